--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
@@ -73,8 +73,8 @@
             upstreams.closesConnections(upstream);
           }
         });
-    limits.onNews(mesh::tellNow);
-    upstreams.onAnnounced(mesh::tellNow);
+    limits.onNews(mesh::announceNow);
+    upstreams.onAnnounced(mesh::announceNow);
     backoffs.onBegin(caller::holdOff);
   }
 
