--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -27,11 +27,9 @@
 import reactor.netty.DisposableServer;
 
 /**
- * Keeps the boxes of a deployment in touch: each tells the others what it has in force and under
- * way, straight or over relays, and learns from them what it could not read itself. A box is named
- * by the address that it listens on for peers.
- *
- * <p>Confined to the event loop.
+ * Connects a box with the other boxes of its deployment to exchange heartbeats, configuration, the
+ * list of upstreams and stage work. A box is identified by the address on which it listens for
+ * peers. Confined to the event loop.
  *
  * @since 0.2
  */
@@ -58,149 +56,141 @@
   private final SuspectExchange suspects;
   private final ListTrustTracker listTrust;
   private final HeartbeatSequence sequence;
-  private long latestConfigurationRevision = -1;
-  private long latestUpstreamsRevision = -1;
+  private long latestConfiguration = -1;
+  private long latestUpstreams = -1;
   private boolean leaving;
 
   /**
-   * Creates the mesh; it does not speak yet.
+   * Creates the mesh without starting it.
    *
-   * @param self address of this box
-   * @param zone its availability zone
-   * @param strength how much work for others it can bear, compared with that of other boxes
-   * @param seeds addresses of some boxes, which may be stale
+   * @param weight capacity of this box for work of others, relative to other boxes
+   * @param seeds addresses of some boxes, possibly outdated
    */
   public BoxMesh(
       String self,
       String zone,
-      int strength,
+      int weight,
       Collection<String> seeds,
       PeerNetwork network,
       EventLoop loop,
-      SharedBoxState beliefs,
+      SharedBoxState state,
       MonotonicClock clock,
       EventLog events) {
     this.self = self;
     this.zone = zone;
-    this.weight = strength;
+    this.weight = weight;
     this.network = network;
     this.loop = loop;
-    this.state = beliefs;
+    this.state = state;
     this.seeds = seeds.stream().filter(seed -> !seed.equals(self)).toList();
-    this.peers = new PeerTable(self, zone, strength, clock, events);
+    this.peers = new PeerTable(self, zone, weight, clock, events);
     this.relay = new HeartbeatRelay(self, clock);
     this.sequence = new HeartbeatSequence(clock, System.currentTimeMillis());
     this.connections = new MeshConnections(network, clock);
     this.routes =
         new HeartbeatRoutes(self, zone, peers, network::connectedIds, connections::isUnreachable);
-    this.listTrust = new ListTrustTracker(beliefs.upstreams());
+    this.listTrust = new ListTrustTracker(state.upstreams());
     this.documents =
-        new DocumentExchange(
-            connections, loop, beliefs.deployments(), beliefs.upstreams(), listTrust);
-    this.listUpdates = new UpstreamListUpdates(routes, beliefs.upstreams(), documents, loop);
+        new DocumentExchange(connections, loop, state.deployments(), state.upstreams(), listTrust);
+    this.listUpdates = new UpstreamListUpdates(routes, state.upstreams(), documents, loop);
     this.sender =
         new HeartbeatSender(
             network, loop, clock, peers, routes, relay, connections, this::ownHeartbeat);
     this.lostBoxes = new LostBoxSelector(peers, knownBoxes, new Random());
-    this.suspects = new SuspectExchange(beliefs.quarantine(), network, routes, sender, loop, clock);
+    this.suspects = new SuspectExchange(state.quarantine(), network, routes, sender, loop, clock);
     MeshMessages.registerFormats(network);
     peers.onLost(relay::removeBox);
-    peers.onLost(beliefs::removeBox);
+    peers.onLost(state::removeBox);
     peers.onLost(connections::removeBox);
     peers.onLost(suspects::removeBox);
     peers.onLost(listTrust::removeBox);
   }
 
-  /** Returns what has stage work done by one box for each service. */
+  /** Returns the client that delegates the stage work of each service to its owner. */
   public StageWorkClient stageWorkClient(BatchCoordinator coordinator) {
     StageWorkHandler handler = new StageWorkHandler(coordinator, connections);
     network.register(
-        MeshMessages.STAGE_WORK,
-        (from, group) -> supplyOnLoop(() -> handleStageGroup(handler, from, group)));
+        MeshMessages.STAGE_WORK, (from, group) -> supply(() -> handle(handler, from, group)));
     network.register(
         MeshMessages.STAGE_CANCEL,
-        (from, message) ->
-            executeOnLoop(() -> coordinator.cancel(message.service(), message.requestId())));
+        (from, message) -> run(() -> coordinator.cancel(message.service(), message.requestId())));
     network.register(
-        MeshMessages.STAGE_FREE,
-        (from, message) -> executeOnLoop(() -> coordinator.free(message.handles())));
+        MeshMessages.STAGE_FREE, (from, message) -> run(() -> coordinator.free(message.handles())));
     backlogs = coordinator::backlogMillis;
     MeshStageWorkClient client =
         new MeshStageWorkClient(self, connections, peers, coordinator, loop, state.pendingPieces());
     network.register(
         MeshMessages.STAGE_INPUTS_TAKEN,
-        (from, message) -> executeOnLoop(() -> client.onInputsTaken(from.boxId(), message)));
+        (from, message) -> run(() -> client.onInputsTaken(from.boxId(), message)));
     peers.onLost(client::onBoxLost);
     backlogListener = client::updateBacklogs;
     return client;
   }
 
-  private Mono<StageGroupResult> handleStageGroup(
+  private Mono<StageGroupResult> handle(
       StageWorkHandler handler, PeerIdentity from, StageGroup group) {
     connections.markUsed(from.boxId());
     return handler.handle(from.boxId(), group);
   }
 
-  /** Listens and starts to tell. */
+  /** Starts listening and sending heartbeats. */
   public Mono<? extends DisposableServer> start(InetSocketAddress listen) {
     network.register(
-        MeshMessages.HEARTBEAT,
-        (from, beat) -> executeOnLoop(() -> onHeartbeat(from.boxId(), beat)));
+        MeshMessages.HEARTBEAT, (from, message) -> run(() -> onHeartbeat(from.boxId(), message)));
     network.register(
-        MeshMessages.DIGEST, (from, digest) -> executeOnLoop(() -> onDigest(from.boxId(), digest)));
+        MeshMessages.DIGEST, (from, digest) -> run(() -> onDigest(from.boxId(), digest)));
     network.register(
         MeshMessages.CONFIGURATION,
-        (from, request) -> supplyOnLoop(() -> Mono.just(documents.configuration())));
+        (from, request) -> supply(() -> Mono.just(documents.configuration())));
     network.register(
         MeshMessages.UPSTREAMS,
-        (from, request) -> supplyOnLoop(() -> Mono.just(documents.upstreamList())));
-    network.register(
-        MeshMessages.SUSPECTS, (from, news) -> executeOnLoop(() -> suspects.receive(news)));
+        (from, request) -> supply(() -> Mono.just(documents.upstreamList())));
+    network.register(MeshMessages.SUSPECTS, (from, news) -> run(() -> suspects.receive(news)));
     network.setIncarnation(System.currentTimeMillis());
     return network.listen(listen).doOnNext(server -> loop.execute(this::runHeartbeat));
   }
 
-  /** Tells the others that this box takes no more work for them. */
+  /** Announces that this box accepts no more work from other boxes. */
   public void leave() {
     leaving = true;
     peers.leave();
     sender.sendHeartbeat();
   }
 
-  /** Tells the others at once what was just learned. */
+  /** Announces the current state to the other boxes without waiting for the next heartbeat. */
   public void announceNow() {
     sender.sendHeartbeat();
     sender.scheduleDigests();
   }
 
-  /** Runs an action whenever another box has read something newer of the list of upstreams. */
+  /** Sets the action to run when another box reports a newer list of upstreams. */
   public void onNewUpstreamList(Runnable action) {
     listUpdates.onRead(action);
   }
 
-  /** Runs an action once no other box doubts the list of upstreams any more. */
+  /** Sets the action to run once no other box distrusts the list of upstreams any more. */
   public void onListConfirmed(Runnable action) {
     listTrust.onConfirmed(action);
   }
 
-  /** Returns whether there are many boxes and this one hears of them by digests. */
+  /** Returns whether heartbeats are relayed and this box receives them in digests. */
   public boolean receivesDigests() {
     return sender.receivesDigests();
   }
 
-  /** Returns whether this box is among so many that have a duty for all. */
-  public boolean isAssigned(String duty, int boxes) {
-    return routes.isAmongFirst(duty, boxes);
+  /** Returns whether this box is among the given number of boxes that perform a task for all. */
+  public boolean isAssigned(String task, int boxes) {
+    return routes.isAmongFirst(task, boxes);
   }
 
-  /** Returns how many boxes are heard, this one included. */
+  /** Returns the number of boxes that are alive, including this one. */
   public int aliveCount() {
     return peers.alive().size();
   }
 
-  /** Returns where this box stands for a duty among those that may be at work, if it can know. */
-  public Optional<BoxRank> rank(String duty) {
-    return peers.rank(duty);
+  /** Returns the rank of this box for a task, empty until it has discovered its peers. */
+  public Optional<BoxRank> rank(String task) {
+    return peers.rank(task);
   }
 
   private void runHeartbeat() {
@@ -211,11 +201,7 @@
     loop.schedule(this::runHeartbeat, sender.intervalMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /**
-   * Few boxes are all connected; among many each keeps up those that it needs. A box that has just
-   * started among many knows more than it hears: it waits to be introduced by those that it hears,
-   * as connections with all that it knows would be most of what its start costs.
-   */
+  /** A box that is starting waits to be introduced, as connecting to all boxes is expensive. */
   private void maintainConnections() {
     if (routes.usesRelays()) {
       connections.markUsed(sender.requiredConnections());
@@ -235,11 +221,11 @@
     return state.heartbeat(zone, leaving, weight, backlogs.get(), sequence.next());
   }
 
-  private void onHeartbeat(String box, Heartbeat beat) {
-    relay.receive(box, beat);
-    applyHeartbeat(box, beat, 0);
-    suspects.compareDigest(box, beat.quarantineDigest());
-    if (beat.listsBoxes()) {
+  private void onHeartbeat(String box, Heartbeat heartbeat) {
+    relay.receive(box, heartbeat);
+    applyHeartbeat(box, heartbeat, 0);
+    suspects.compareDigest(box, heartbeat.quarantineDigest());
+    if (heartbeat.listsBoxes()) {
       sender.sendIntroduction(box);
     }
   }
@@ -254,40 +240,39 @@
         .forEach(entry -> applyHeartbeat(entry.box(), entry.heartbeat(), entry.ageMillis()));
   }
 
-  private void onRelayHeartbeat(String relayBox, Heartbeat beat) {
-    listUpdates.onRelayRevision(relayBox, beat.upstreamsRevision());
-    suspects.compareDigest(relayBox, beat.quarantineDigest());
+  private void onRelayHeartbeat(String relayBox, Heartbeat heartbeat) {
+    listUpdates.onRelayRevision(relayBox, heartbeat.upstreamsRevision());
+    suspects.compareDigest(relayBox, heartbeat.quarantineDigest());
   }
 
-  private void applyHeartbeat(String box, Heartbeat beat, long ageMillis) {
-    peers.update(box, beat.zone(), beat.leaving(), beat.weight(), ageMillis);
-    backlogListener.accept(box, beat.backlogMillis());
+  private void applyHeartbeat(String box, Heartbeat heartbeat, long ageMillis) {
+    peers.update(box, heartbeat.zone(), heartbeat.leaving(), heartbeat.weight(), ageMillis);
+    backlogListener.accept(box, heartbeat.backlogMillis());
     knownBoxes.add(box);
-    beat.aliveBoxes().stream().filter(other -> !other.equals(self)).forEach(knownBoxes::add);
-    documents.scheduleConfigurationFetch(box, beat.configurationRevision());
-    boolean otherDoubt = listTrust.update(box, ListTrust.ofCode(beat.listTrust()));
-    listUpdates.onRevision(box, beat.upstreamsRevision());
-    boolean news = state.applyHeartbeat(box, beat, ageMillis);
-    if (hasNewRevision(beat) || news || otherDoubt) {
+    heartbeat.aliveBoxes().stream().filter(other -> !other.equals(self)).forEach(knownBoxes::add);
+    documents.scheduleConfigurationFetch(box, heartbeat.configurationRevision());
+    boolean trustChanged = listTrust.update(box, ListTrust.ofCode(heartbeat.listTrust()));
+    listUpdates.onRevision(box, heartbeat.upstreamsRevision());
+    boolean stateChanged = state.applyHeartbeat(box, heartbeat, ageMillis);
+    if (hasNewRevision(heartbeat) || stateChanged || trustChanged) {
       sender.scheduleDigests();
     }
   }
 
-  private boolean hasNewRevision(Heartbeat beat) {
-    boolean news =
-        beat.configurationRevision() > latestConfigurationRevision
-            || beat.upstreamsRevision() > latestUpstreamsRevision;
-    latestConfigurationRevision =
-        Math.max(latestConfigurationRevision, beat.configurationRevision());
-    latestUpstreamsRevision = Math.max(latestUpstreamsRevision, beat.upstreamsRevision());
-    return news;
+  private boolean hasNewRevision(Heartbeat heartbeat) {
+    boolean newer =
+        heartbeat.configurationRevision() > latestConfiguration
+            || heartbeat.upstreamsRevision() > latestUpstreams;
+    latestConfiguration = Math.max(latestConfiguration, heartbeat.configurationRevision());
+    latestUpstreams = Math.max(latestUpstreams, heartbeat.upstreamsRevision());
+    return newer;
   }
 
-  private <T> Mono<T> supplyOnLoop(Supplier<Mono<T>> action) {
+  private <T> Mono<T> supply(Supplier<Mono<T>> action) {
     return Mono.defer(action).subscribeOn(Schedulers.fromExecutor(loop));
   }
 
-  private Mono<Void> executeOnLoop(Runnable action) {
+  private Mono<Void> run(Runnable action) {
     return Mono.fromRunnable(() -> loop.execute(action));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DelegatedGroup.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DelegatedGroup.java
@@ -3,7 +3,7 @@
 import org.gradeledge.batch.StageGroup;
 import org.gradeledge.batch.StageWorkListener;
 
-/** A group and the box that has it; two with the same content are still two. Immutable. */
+/** A group delegated to a box, compared by identity. Immutable. */
 final class DelegatedGroup {
 
   private final StageGroup group;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DelegatedGroups.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DelegatedGroups.java
@@ -8,43 +8,42 @@
 import org.gradeledge.batch.StageWorkListener;
 
 /**
- * The groups that other boxes work on for this one, found by their request without a look at all
- * others. Confined to the event loop.
+ * Groups that this box delegated to other boxes, indexed by request. Confined to the event loop.
  */
 final class DelegatedGroups {
 
   private final Map<String, List<DelegatedGroup>> byRequest = new HashMap<>();
 
-  /** Adds a group that a box has. */
+  /** Adds a group that is delegated to a box. */
   DelegatedGroup add(StageGroup group, StageWorkListener listener, String box) {
-    DelegatedGroup placed = new DelegatedGroup(group, listener, box);
-    byRequest.computeIfAbsent(group.requestId(), id -> new ArrayList<>(2)).add(placed);
-    return placed;
+    DelegatedGroup delegated = new DelegatedGroup(group, listener, box);
+    byRequest.computeIfAbsent(group.requestId(), id -> new ArrayList<>(2)).add(delegated);
+    return delegated;
   }
 
-  /** Takes a group out; returns whether it was still there. */
-  boolean remove(DelegatedGroup placed) {
-    String request = placed.group().requestId();
-    List<DelegatedGroup> ofRequest = byRequest.get(request);
-    if (ofRequest == null || !ofRequest.remove(placed)) {
+  /** Removes a group; returns whether it was present. */
+  boolean remove(DelegatedGroup delegated) {
+    String request = delegated.group().requestId();
+    List<DelegatedGroup> groups = byRequest.get(request);
+    if (groups == null || !groups.remove(delegated)) {
       return false;
     }
-    if (ofRequest.isEmpty()) {
+    if (groups.isEmpty()) {
       byRequest.remove(request);
     }
     return true;
   }
 
-  /** Returns the groups of a request, as they are now. */
+  /** Returns a copy of the groups of a request. */
   List<DelegatedGroup> ofRequest(String requestId) {
     return List.copyOf(byRequest.getOrDefault(requestId, List.of()));
   }
 
-  /** Returns the groups that a box has, as they are now. */
+  /** Returns a copy of the groups that are delegated to a box. */
   List<DelegatedGroup> ofBox(String box) {
     return byRequest.values().stream()
         .flatMap(List::stream)
-        .filter(placed -> placed.box().equals(box))
+        .filter(delegated -> delegated.box().equals(box))
         .toList();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/Digest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/Digest.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a relay passes on of several boxes in one message.
+ * Heartbeats of several boxes that a relay forwards in one message.
  *
- * @param entries one for each box
+ * @param entries one entry for each box
  */
 record Digest(List<DigestEntry> entries) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestEntry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestEntry.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * What a box told of itself, as another box passes it on.
+ * Heartbeat of a box as forwarded by another box.
  *
- * @param box address of the box
- * @param ageMillis how long ago it was heard
- * @param heartbeat what it told
+ * @param box address of the box that sent the heartbeat
+ * @param ageMillis time since the heartbeat was received
+ * @param heartbeat the heartbeat
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record DigestEntry(String box, long ageMillis, Heartbeat heartbeat) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestFormat.java
@@ -6,7 +6,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Digests, as a map of one list; its entries are arrays. */
+/** Message format of {@link Digest}: a map with one list, whose entries are arrays. */
 final class DigestFormat implements MessageFormat<Digest> {
 
   private static final int FIELDS = 1;
@@ -37,9 +37,9 @@
   }
 
   private DigestEntry readEntry(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(ENTRY_FIELDS);
+    int extraFields = reader.beginRecord(ENTRY_FIELDS);
     DigestEntry entry = new DigestEntry(reader.text(), reader.number(), heartbeats.read(reader));
-    reader.skip(more);
+    reader.skip(extraFields);
     return entry;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentAnswer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentAnswer.java
@@ -1,8 +1,8 @@
 package org.gradeledge.mesh;
 
 /**
- * The configuration that a box has in force.
+ * Response with the configuration that a box has in force.
  *
- * @param document its document; empty if it has none
+ * @param document the configuration document, empty if the box has none
  */
 record DocumentAnswer(byte[] document) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentAnswerFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentAnswerFormat.java
@@ -6,7 +6,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Messages of the type {@link DocumentAnswer}, as maps. */
+/** Message format of {@link DocumentAnswer}: a map. */
 final class DocumentAnswerFormat implements MessageFormat<DocumentAnswer> {
 
   private static final int FIELDS = 1;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
@@ -6,12 +6,12 @@
 import org.gradeledge.discovery.UpstreamRegistry;
 
 /**
- * Learns from other boxes the configuration and the list of upstreams that this one could not read
- * itself, and gives out its own. Confined to the event loop.
+ * Fetches the configuration and the list of upstreams from other boxes when this box could not read
+ * them from the platform, and provides its own to them. Confined to the event loop.
  */
 final class DocumentExchange {
 
-  /** A box that reads the platform itself needs no other one for what is new. */
+  /** Lets this box read a new configuration from the platform itself first. */
   private static final long FETCH_DELAY_MILLIS = 150;
 
   private final DeploymentRegistry deployments;
@@ -21,17 +21,17 @@
   private final DocumentFetcher<UpstreamList> upstreamListFetcher;
 
   DocumentExchange(
-      MeshConnections links,
+      MeshConnections connections,
       EventLoop loop,
       DeploymentRegistry deployments,
       UpstreamRegistry upstreams,
-      ListTrustTracker doubts) {
-    this.listTrust = doubts;
+      ListTrustTracker listTrust) {
+    this.listTrust = listTrust;
     this.deployments = deployments;
     this.upstreams = upstreams;
     this.configurationFetcher =
         new DocumentFetcher<>(
-            links,
+            connections,
             loop,
             MeshMessages.CONFIGURATION,
             DocumentAnswer.class,
@@ -39,7 +39,7 @@
             (box, answer) -> deployments.offer(answer.document(), box));
     this.upstreamListFetcher =
         new DocumentFetcher<>(
-            links,
+            connections,
             loop,
             MeshMessages.UPSTREAMS,
             UpstreamList.class,
@@ -47,9 +47,9 @@
             (box, list) -> applyList(list));
   }
 
-  /** A list that is doubted must be known to be before what it lacks is looked at. */
   private void applyList(UpstreamList list) {
     if (list.doubted()) {
+      // must be known before the upstreams missing from the list are removed
       listTrust.onUnconfirmedList();
     }
     upstreams.replaceAll(list.revision(), list.upstreams());
@@ -57,7 +57,7 @@
 
   DocumentAnswer configuration() {
     return new DocumentAnswer(
-        deployments.current().map(held -> held.document()).orElse(new byte[0]));
+        deployments.current().map(deployment -> deployment.document()).orElse(new byte[0]));
   }
 
   UpstreamList upstreamList() {
@@ -65,12 +65,12 @@
         upstreams.revision(), List.copyOf(upstreams.listed()), upstreams.isDoubted());
   }
 
-  /** Asks a box for its configuration unless this box has one as new by then. */
+  /** Requests the configuration of a box unless this box has that revision after the delay. */
   void scheduleConfigurationFetch(String box, long revision) {
     configurationFetcher.scheduleFetch(box, revision, FETCH_DELAY_MILLIS);
   }
 
-  /** Asks a box for its list of upstreams unless this box has one as new by then. */
+  /** Requests the list of upstreams of a box unless this box has that revision after the delay. */
   void scheduleUpstreamsFetch(String box, long revision, long delayMillis) {
     upstreamListFetcher.scheduleFetch(box, revision, delayMillis);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentFetcher.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentFetcher.java
@@ -8,8 +8,8 @@
 import org.gradeledge.peer.PeerMessageType;
 
 /**
- * Asks other boxes for one document, one at a time, as long as this box has none as new. Confined
- * to the event loop.
+ * Requests one document from other boxes, one request at a time, while this box has an older
+ * revision. Confined to the event loop.
  */
 final class DocumentFetcher<A> {
 
@@ -24,27 +24,27 @@
   private boolean fetching;
 
   /**
-   * Creates the learner.
+   * Creates the fetcher.
    *
-   * @param ownRevision revision that this box has
-   * @param taker takes what a box answered
+   * @param ownRevision supplies the revision that this box has
+   * @param consumer receives the address of the responding box and its response
    */
   DocumentFetcher(
-      MeshConnections links,
+      MeshConnections connections,
       EventLoop loop,
-      PeerMessageType<DocumentRequest> question,
+      PeerMessageType<DocumentRequest> requestType,
       Class<A> answerType,
       LongSupplier ownRevision,
-      BiConsumer<String, A> taker) {
-    this.connections = links;
+      BiConsumer<String, A> consumer) {
+    this.connections = connections;
     this.loop = loop;
-    this.requestType = question;
+    this.requestType = requestType;
     this.answerType = answerType;
     this.ownRevision = ownRevision;
-    this.consumer = taker;
+    this.consumer = consumer;
   }
 
-  /** Asks a box after a delay, unless this box has a revision as new by then. */
+  /** Requests the document after a delay, unless this box has that revision by then. */
   void scheduleFetch(String box, long revision, long delayMillis) {
     if (revision > ownRevision.getAsLong()) {
       loop.schedule(() -> fetch(box, revision), delayMillis, TimeUnit.MILLISECONDS);
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentRequest.java
@@ -1,8 +1,8 @@
 package org.gradeledge.mesh;
 
 /**
- * Asks a box for what it has in force.
+ * Request for a document of another box.
  *
- * @param known revision that the asking box has
+ * @param known revision that the requesting box has
  */
 record DocumentRequest(long known) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentRequestFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentRequestFormat.java
@@ -6,7 +6,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Messages of the type {@link DocumentRequest}, as maps. */
+/** Message format of {@link DocumentRequest}: a map. */
 final class DocumentRequestFormat implements MessageFormat<DocumentRequest> {
 
   private static final int FIELDS = 1;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
@@ -8,28 +8,27 @@
 import org.gradeledge.selection.LoadShare;
 
 /**
- * What a box tells all others again and again.
+ * State that a box sends to the other boxes periodically.
  *
- * @param zone its availability zone
- * @param leaving whether it is stopping
- * @param relayRequested whether the box that hears it directly is asked to pass it on
- * @param weight how much work for others it can bear; see RelaySettings
- * @param configurationRevision revision of the configuration that it has in force
- * @param upstreamsRevision revision at which its list of upstreams last said something new
- * @param aliveBoxes addresses of the boxes that it hears; left out where heartbeats are relayed
- * @param loadShares what it has under way, by upstream
- * @param backlogMillis how long the stage work that waits at it keeps each service busy, for each
- *     priority what is as urgent or more
- * @param pendingPieces pieces that its requests will want made, by service and priority
- * @param evacuations zones whose upstreams take nothing new
- * @param quarantineDigest a number that is the same where the same is known of requests that end
- *     upstreams
- * @param listTrust code of the {@link org.gradeledge.discovery.ListTrust} that it has in its list
- *     of upstreams
- * @param sequenceNumber rises with each heartbeat of a box, also over its lives; 0 from older boxes
- * @param limits limits that upstreams named to it or to others that told it
- * @param leavingUpstreams starts of upstreams that told it in an answer that they leave, while the
- *     list does not say so
+ * @param zone availability zone of the box
+ * @param leaving whether the box is stopping
+ * @param relayRequested whether the receiver is requested to forward the heartbeat
+ * @param weight capacity for work of others; see RelaySettings
+ * @param configurationRevision revision of the configuration in force
+ * @param upstreamsRevision revision of the last change in the list of upstreams
+ * @param aliveBoxes addresses of the boxes that it hears; empty where heartbeats are relayed
+ * @param loadShares its requests in flight, by upstream
+ * @param backlogMillis time for which its waiting stage work occupies each service; for each
+ *     priority, the work of that priority and all higher ones
+ * @param pendingPieces pieces that its requests are going to require, by service and priority
+ * @param evacuations evacuated zones
+ * @param quarantineDigest digest of its records of requests that crash upstreams
+ * @param listTrust code of its {@link org.gradeledge.discovery.ListTrust} in the list of upstreams
+ * @param sequenceNumber increases with each heartbeat of a box, also across restarts; 0 from older
+ *     versions
+ * @param limits limits that upstreams announced to it or to boxes that reported them
+ * @param leavingUpstreams ids of upstream incarnations that announced in a response that they are
+ *     leaving, while the list does not show it
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record Heartbeat(
@@ -50,13 +49,13 @@
     List<LimitReport> limits,
     List<String> leavingUpstreams) {
 
-  /** Returns whether the box knows so few others that it tells all of them what it hears. */
+  /** Returns whether the sender uses no relays and lists the boxes that it hears. */
   boolean listsBoxes() {
     return !aliveBoxes.isEmpty();
   }
 
-  /** Returns the same with the boxes that are heard. */
-  Heartbeat withBoxes(List<String> heard) {
+  /** Returns a copy that lists the given boxes. */
+  Heartbeat withBoxes(List<String> boxes) {
     return new Heartbeat(
         zone,
         leaving,
@@ -64,7 +63,7 @@
         weight,
         configurationRevision,
         upstreamsRevision,
-        heard,
+        boxes,
         loadShares,
         backlogMillis,
         pendingPieces,
@@ -76,7 +75,7 @@
         leavingUpstreams);
   }
 
-  /** Returns the same, to be passed on. */
+  /** Returns a copy that requests the receiver to forward it. */
   Heartbeat withRelayRequested() {
     return new Heartbeat(
         zone,
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
@@ -11,12 +11,12 @@
 import org.gradeledge.selection.LoadShare;
 import org.msgpack.core.MessagePacker;
 
-/** Heartbeats, as arrays. */
+/** Message format of {@link Heartbeat}: an array. */
 final class HeartbeatFormat implements MessageFormat<Heartbeat> {
 
   private static final int FIELDS = 16;
 
-  /** Fields that all older boxes send; they may know of none of those after them. */
+  /** Number of fields that every older version sends; the others are optional. */
   private static final int REQUIRED_FIELDS = 10;
 
   private static final long NO_QUARANTINE_DIGEST = 0;
@@ -25,30 +25,30 @@
   private static final int EVACUATION_FIELDS = 2;
 
   @Override
-  public void write(MessagePacker packer, Heartbeat beat) throws IOException {
+  public void write(MessagePacker packer, Heartbeat heartbeat) throws IOException {
     packer.packArrayHeader(FIELDS);
-    packer.packString(beat.zone());
-    packer.packBoolean(beat.leaving());
-    packer.packBoolean(beat.relayRequested());
-    packer.packInt(beat.weight());
-    packer.packLong(beat.configurationRevision());
-    packer.packLong(beat.upstreamsRevision());
-    TextLists.write(packer, beat.aliveBoxes());
-    packer.packMapHeader(beat.loadShares().size());
-    for (Map.Entry<String, LoadShare> share : beat.loadShares().entrySet()) {
+    packer.packString(heartbeat.zone());
+    packer.packBoolean(heartbeat.leaving());
+    packer.packBoolean(heartbeat.relayRequested());
+    packer.packInt(heartbeat.weight());
+    packer.packLong(heartbeat.configurationRevision());
+    packer.packLong(heartbeat.upstreamsRevision());
+    TextLists.write(packer, heartbeat.aliveBoxes());
+    packer.packMapHeader(heartbeat.loadShares().size());
+    for (Map.Entry<String, LoadShare> share : heartbeat.loadShares().entrySet()) {
       packer.packString(share.getKey());
       packer.packArrayHeader(SHARE_FIELDS);
       packer.packInt(share.getValue().running());
       packer.packLong(share.getValue().tokens());
     }
-    writeNumbers(packer, beat.backlogMillis());
-    writeNumbers(packer, beat.pendingPieces());
-    write(packer, beat.evacuations());
-    packer.packLong(beat.quarantineDigest());
-    packer.packInt(beat.listTrust());
-    packer.packLong(beat.sequenceNumber());
-    LimitReportFormat.writeAll(packer, beat.limits());
-    TextLists.write(packer, beat.leavingUpstreams());
+    writeNumbers(packer, heartbeat.backlogMillis());
+    writeNumbers(packer, heartbeat.pendingPieces());
+    write(packer, heartbeat.evacuations());
+    packer.packLong(heartbeat.quarantineDigest());
+    packer.packInt(heartbeat.listTrust());
+    packer.packLong(heartbeat.sequenceNumber());
+    LimitReportFormat.writeAll(packer, heartbeat.limits());
+    TextLists.write(packer, heartbeat.leavingUpstreams());
   }
 
   private static void write(MessagePacker packer, ZoneEvacuations evacuations) throws IOException {
@@ -71,8 +71,8 @@
 
   @Override
   public Heartbeat read(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(REQUIRED_FIELDS);
-    Heartbeat beat =
+    int extraFields = reader.beginRecord(REQUIRED_FIELDS);
+    Heartbeat heartbeat =
         new Heartbeat(
             reader.text(),
             reader.flag(),
@@ -84,28 +84,28 @@
             reader.map(HeartbeatFormat::readShare),
             reader.map(HeartbeatFormat::readNumbers),
             reader.map(HeartbeatFormat::readNumbers),
-            more > 0 ? readEvacuations(reader) : ZoneEvacuations.UNKNOWN,
-            more > 1 ? reader.number() : NO_QUARANTINE_DIGEST,
-            more > 2 ? reader.integer() : ListTrust.UNKNOWN.code(),
-            more > 3 ? reader.number() : NO_SEQUENCE_NUMBER,
-            more > 4 ? reader.list(LimitReportFormat::read) : List.of(),
-            more > 5 ? reader.list(MessageReader::text) : List.of());
-    reader.skip(Math.max(0, more - 6));
-    return beat;
+            extraFields > 0 ? readEvacuations(reader) : ZoneEvacuations.UNKNOWN,
+            extraFields > 1 ? reader.number() : NO_QUARANTINE_DIGEST,
+            extraFields > 2 ? reader.integer() : ListTrust.UNKNOWN.code(),
+            extraFields > 3 ? reader.number() : NO_SEQUENCE_NUMBER,
+            extraFields > 4 ? reader.list(LimitReportFormat::read) : List.of(),
+            extraFields > 5 ? reader.list(MessageReader::text) : List.of());
+    reader.skip(Math.max(0, extraFields - 6));
+    return heartbeat;
   }
 
   private static ZoneEvacuations readEvacuations(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(EVACUATION_FIELDS);
+    int extraFields = reader.beginRecord(EVACUATION_FIELDS);
     long revision = reader.number();
     List<String> zones = reader.list(MessageReader::text);
-    reader.skip(more);
+    reader.skip(extraFields);
     return new ZoneEvacuations(revision, new HashSet<>(zones));
   }
 
   private static LoadShare readShare(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(SHARE_FIELDS);
+    int extraFields = reader.beginRecord(SHARE_FIELDS);
     LoadShare share = new LoadShare(reader.integer(), reader.number());
-    reader.skip(more);
+    reader.skip(extraFields);
     return share;
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatRelay.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatRelay.java
@@ -10,14 +10,15 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * The heartbeats that a box knows and passes on. A box passes on for those that asked for it a
- * short while ago; so nobody has to agree on who relays. Confined to the event loop.
+ * Stores the latest heartbeat of each box and creates digests of them. A box relays for the boxes
+ * that requested it recently, so boxes do not have to agree on the relays. Confined to the event
+ * loop.
  */
 final class HeartbeatRelay {
 
   /**
-   * The same heartbeat that comes over two relays seems to differ in age by less than this. Only
-   * for those of older boxes, which have no number.
+   * Age difference below which two heartbeats without sequence numbers, from older versions, count
+   * as the same heartbeat received over two relays.
    */
   private static final long MIN_AGE_DIFFERENCE_MILLIS = 60;
 
@@ -32,7 +33,7 @@
   private final Map<String, ReceivedHeartbeat> latest = new HashMap<>();
   private final Map<String, Long> relayRequestedNanos = new HashMap<>();
 
-  /** Kept when a box is lost: its last heartbeat, still on its way, must not bring it back. */
+  /** Kept when a box is lost, so that a delayed copy of its last heartbeat does not revive it. */
   private final Map<String, Long> latestSequenceNumbers = new HashMap<>();
 
   HeartbeatRelay(String self, MonotonicClock clock) {
@@ -40,16 +41,16 @@
     this.clock = clock;
   }
 
-  /** Takes in what a box told directly, and whether it asks for its heartbeats to be passed on. */
-  void receive(String box, Heartbeat beat) {
+  /** Records a heartbeat that a box sent directly. */
+  void receive(String box, Heartbeat heartbeat) {
     long now = clock.nanos();
-    store(box, beat, now);
-    if (beat.relayRequested()) {
+    store(box, heartbeat, now);
+    if (heartbeat.relayRequested()) {
       relayRequestedNanos.put(box, now);
     }
   }
 
-  /** Takes a digest in; returns what is newer than what was known. */
+  /** Records the heartbeats of a digest that are newer than the stored ones, and returns them. */
   List<DigestEntry> acceptNewer(Digest digest) {
     return digest.entries().stream()
         .filter(entry -> !entry.box().equals(self))
@@ -58,67 +59,66 @@
   }
 
   private boolean acceptIfNewer(DigestEntry entry) {
-    long heardNanos = clock.nanos() - entry.ageMillis() * NANOS_PER_MILLI;
-    boolean newer = isNewer(entry, heardNanos);
+    long receivedNanos = clock.nanos() - entry.ageMillis() * NANOS_PER_MILLI;
+    boolean newer = isNewer(entry, receivedNanos);
     if (newer) {
-      store(entry.box(), entry.heartbeat(), heardNanos);
+      store(entry.box(), entry.heartbeat(), receivedNanos);
     }
     return newer;
   }
 
   /**
-   * A number tells it for sure. An age is less by the time that each way takes, so that what goes
-   * round on busy boxes would seem newer each time.
+   * Compares sequence numbers if possible. The age does not include transmission time, so a
+   * heartbeat that circulates would look newer each time.
    */
-  private boolean isNewer(DigestEntry entry, long heardNanos) {
-    Long newest = latestSequenceNumbers.get(entry.box());
-    if (newest != null && entry.heartbeat().sequenceNumber() != NO_SEQUENCE_NUMBER) {
-      return entry.heartbeat().sequenceNumber() > newest;
+  private boolean isNewer(DigestEntry entry, long receivedNanos) {
+    Long latestNumber = latestSequenceNumbers.get(entry.box());
+    if (latestNumber != null && entry.heartbeat().sequenceNumber() != NO_SEQUENCE_NUMBER) {
+      return entry.heartbeat().sequenceNumber() > latestNumber;
     }
-    ReceivedHeartbeat known = latest.get(entry.box());
-    return known == null
-        || heardNanos - known.receivedNanos() >= MIN_AGE_DIFFERENCE_MILLIS * NANOS_PER_MILLI;
+    ReceivedHeartbeat stored = latest.get(entry.box());
+    return stored == null
+        || receivedNanos - stored.receivedNanos() >= MIN_AGE_DIFFERENCE_MILLIS * NANOS_PER_MILLI;
   }
 
-  private void store(String box, Heartbeat beat, long heardNanos) {
-    latest.put(box, new ReceivedHeartbeat(beat, heardNanos));
-    if (beat.sequenceNumber() != NO_SEQUENCE_NUMBER) {
-      latestSequenceNumbers.put(box, beat.sequenceNumber());
+  private void store(String box, Heartbeat heartbeat, long receivedNanos) {
+    latest.put(box, new ReceivedHeartbeat(heartbeat, receivedNanos));
+    if (heartbeat.sequenceNumber() != NO_SEQUENCE_NUMBER) {
+      latestSequenceNumbers.put(box, heartbeat.sequenceNumber());
     }
   }
 
-  /** Forgets a box that is lost. */
   void removeBox(String box) {
     latest.remove(box);
     relayRequestedNanos.remove(box);
   }
 
-  /** Returns the boxes that this one passes heartbeats on for. */
-  Set<String> relayedBoxes(long lastMillis) {
-    long since = clock.nanos() - lastMillis * NANOS_PER_MILLI;
-    relayRequestedNanos.values().removeIf(asked -> asked - since < 0);
+  /** Returns the boxes that requested relaying within the given time. */
+  Set<String> relayedBoxes(long windowMillis) {
+    long since = clock.nanos() - windowMillis * NANOS_PER_MILLI;
+    relayRequestedNanos.values().removeIf(requested -> requested - since < 0);
     return Set.copyOf(relayRequestedNanos.keySet());
   }
 
-  /** Returns what is known of all boxes, with the own heartbeat. */
+  /** Returns a digest of all boxes, including the own heartbeat. */
   Digest digestOfAll(Heartbeat own) {
     return digest(own, box -> true);
   }
 
-  /** Returns what some boxes told this one, with the own heartbeat. */
+  /** Returns a digest of the given boxes, including the own heartbeat. */
   Digest digestOf(Collection<String> boxes, Heartbeat own) {
     return digest(own, boxes::contains);
   }
 
-  private Digest digest(Heartbeat own, Predicate<String> wanted) {
+  private Digest digest(Heartbeat own, Predicate<String> included) {
     long now = clock.nanos();
     List<DigestEntry> entries = new ArrayList<>();
     entries.add(new DigestEntry(self, 0, own));
     latest.forEach(
-        (box, held) -> {
-          if (wanted.test(box)) {
-            long age = (now - held.receivedNanos()) / NANOS_PER_MILLI;
-            entries.add(new DigestEntry(box, age, held.heartbeat()));
+        (box, received) -> {
+          if (included.test(box)) {
+            long age = (now - received.receivedNanos()) / NANOS_PER_MILLI;
+            entries.add(new DigestEntry(box, age, received.heartbeat()));
           }
         });
     return new Digest(entries);
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatRoutes.java
@@ -9,21 +9,20 @@
 import org.gradeledge.selection.RendezvousHash;
 
 /**
- * Whom a box tells what it has. Few boxes tell all others. Among many, each tells two relays of its
- * zone, and the relays of different zones tell each other; so what a box sends and receives does
- * not grow with the number of boxes, but for the digests' length. Relays are those that rank first
- * ({@link PeerTable#byRank}) among the boxes that are heard and connected. Connections are kept up
- * with those and one spare of each zone alone, so that they do not grow with the number of boxes
- * either. Confined to the event loop.
+ * Selects the recipients of heartbeats and the connections that heartbeats require. Up to {@link
+ * #MAX_FULL_MESH_BOXES} boxes send to all others. Above that, each box sends to two relays of its
+ * zone, and the relays of different zones send to each other. Relays are the boxes that rank first
+ * ({@link PeerTable#byRank}) among those that are alive and connected. Connections are kept to the
+ * relays and one spare of each zone only, so the number of connections and messages per box does
+ * not grow with the number of boxes. Confined to the event loop.
  */
 final class HeartbeatRoutes {
 
-  /** Up to so many boxes all tell all. */
   static final int MAX_FULL_MESH_BOXES = 12;
 
   private static final int RELAYS_PER_ZONE = 2;
 
-  /** Relays and a spare, which takes the place of one whose connection ends without a dial. */
+  /** Includes a spare, which replaces a relay at once when its connection ends. */
   private static final int CANDIDATES_PER_ZONE = RELAYS_PER_ZONE + 1;
 
   private final String self;
@@ -37,8 +36,8 @@
   /**
    * Creates the routes of a box.
    *
-   * @param connected the boxes that this one is connected with
-   * @param unreachable whether the last dial of a box came to nothing
+   * @param connected supplies the boxes that this one is connected with
+   * @param unreachable whether the last attempt to connect to a box failed
    */
   HeartbeatRoutes(
       String self,
@@ -53,17 +52,17 @@
     this.unreachable = unreachable;
   }
 
-  /** Returns whether there are so many boxes that heartbeats are relayed. */
+  /** Returns whether heartbeats are relayed among the boxes that are alive. */
   boolean usesRelays() {
     return requiresRelays(peers.alive().size());
   }
 
-  /** Returns whether heartbeats are relayed among so many boxes. */
+  /** Returns whether heartbeats are relayed among the given number of boxes. */
   static boolean requiresRelays(int boxes) {
     return boxes > MAX_FULL_MESH_BOXES;
   }
 
-  /** Returns the relays of the own zone, without this box. */
+  /** Returns the connected relays of the own zone, excluding this box. */
   List<String> localRelays() {
     return withoutSelf(relays(zone, connected.get()::contains));
   }
@@ -73,7 +72,7 @@
     return relays(zone, unreachable.negate()).contains(self);
   }
 
-  /** Returns the relays of all other zones. */
+  /** Returns the connected relays of all other zones. */
   List<String> remoteRelays() {
     Set<String> reachable = connected.get();
     return peers.zones().stream()
@@ -82,12 +81,12 @@
         .toList();
   }
 
-  /** Returns the boxes of the own zone to be connected with for heartbeats. */
+  /** Returns the boxes of the own zone to connect with for heartbeats. */
   List<String> localCandidates() {
     return withoutSelf(firstRanked(zone, unreachable.negate(), CANDIDATES_PER_ZONE));
   }
 
-  /** Returns the boxes of other zones that a relay is to be connected with for digests. */
+  /** Returns the boxes of other zones that a relay connects with for digests. */
   List<String> remoteCandidates() {
     return peers.zones().stream()
         .filter(other -> !other.equals(zone))
@@ -95,38 +94,38 @@
         .toList();
   }
 
-  /** Returns whether this box is among the first so many of all that work for others. */
-  boolean isAmongFirst(String duty, int count) {
+  /** Returns whether this box is among the first {@code count} available boxes for a task. */
+  boolean isAmongFirst(String task, int count) {
     return peers.available().stream()
-        .sorted(RendezvousHash.byRank(duty))
+        .sorted(RendezvousHash.byRank(task))
         .limit(count)
         .anyMatch(self::equals);
   }
 
-  private List<String> relays(String ofZone, Predicate<String> usable) {
-    return firstRanked(ofZone, usable, RELAYS_PER_ZONE);
+  private List<String> relays(String boxZone, Predicate<String> usable) {
+    return firstRanked(boxZone, usable, RELAYS_PER_ZONE);
   }
 
-  private List<String> firstRanked(String ofZone, Predicate<String> usable, int count) {
-    return ranked(ofZone).stream()
+  private List<String> firstRanked(String boxZone, Predicate<String> usable, int count) {
+    return ranked(boxZone).stream()
         .filter(box -> box.equals(self) || usable.test(box))
         .limit(count)
         .toList();
   }
 
-  /** Each heartbeat asks several times, and the order changes only where a box does. */
-  private List<String> ranked(String ofZone) {
-    Set<String> working = peers.available();
-    if (working != rankedBoxes) {
-      rankedBoxes = working;
+  /** Caches the order, which changes only with the set of available boxes. */
+  private List<String> ranked(String boxZone) {
+    Set<String> available = peers.available();
+    if (available != rankedBoxes) {
+      rankedBoxes = available;
       rankedByZone.clear();
     }
-    return rankedByZone.computeIfAbsent(ofZone, zoneName -> rankBoxes(working, zoneName));
+    return rankedByZone.computeIfAbsent(boxZone, zoneName -> rankBoxes(available, zoneName));
   }
 
-  private List<String> rankBoxes(Set<String> boxes, String ofZone) {
+  private List<String> rankBoxes(Set<String> boxes, String boxZone) {
     return boxes.stream()
-        .filter(box -> peers.zoneOf(box).filter(ofZone::equals).isPresent())
+        .filter(box -> peers.zoneOf(box).filter(boxZone::equals).isPresent())
         .sorted(peers.byRank("relay"))
         .toList();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
@@ -13,8 +13,8 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Sends the own heartbeats to whom they are due, and digests to those that asked for them. Confined
- * to the event loop.
+ * Sends the heartbeats of this box, and digests to the boxes that requested relaying. Confined to
+ * the event loop.
  */
 final class HeartbeatSender {
 
@@ -47,30 +47,30 @@
       PeerTable peers,
       HeartbeatRoutes routes,
       HeartbeatRelay relay,
-      MeshConnections links,
-      Supplier<Heartbeat> own) {
+      MeshConnections connections,
+      Supplier<Heartbeat> ownHeartbeat) {
     this.network = network;
-    this.connections = links;
+    this.connections = connections;
     this.loop = loop;
     this.clock = clock;
     this.peers = peers;
     this.routes = routes;
     this.relay = relay;
-    this.ownHeartbeat = own;
+    this.ownHeartbeat = ownHeartbeat;
     this.lastDigestNanos = clock.nanos() - DIGEST_TIMEOUT.toNanos();
   }
 
-  /** Returns the time between heartbeats. */
+  /** Returns the interval between heartbeats. */
   long intervalMillis() {
     return routes.usesRelays() ? RELAYED_INTERVAL_MILLIS : DIRECT_INTERVAL_MILLIS;
   }
 
-  /** Returns after how long a box that is not heard counts as lost. */
+  /** Returns the time after which a box that sends no heartbeat counts as lost. */
   long timeoutMillis() {
     return intervalMillis() * (routes.usesRelays() ? RELAYED_MISSED_LIMIT : DIRECT_MISSED_LIMIT);
   }
 
-  /** Sends what is due at each heartbeat. */
+  /** Sends the heartbeat and, if due, the digests of this interval. */
   void sendScheduled() {
     heartbeatCount++;
     sendHeartbeat();
@@ -79,20 +79,21 @@
     }
   }
 
-  /** Sends the own heartbeat. */
   void sendHeartbeat() {
-    Heartbeat beat = ownHeartbeat.get();
+    Heartbeat heartbeat = ownHeartbeat.get();
     if (!routes.usesRelays()) {
-      network.tellAll(MeshMessages.HEARTBEAT, beat.withBoxes(List.copyOf(peers.alive())));
+      network.tellAll(MeshMessages.HEARTBEAT, heartbeat.withBoxes(List.copyOf(peers.alive())));
       return;
     }
     if (!receivesDigests() && isDigestDue()) {
-      network.tellAll(MeshMessages.HEARTBEAT, beat);
+      network.tellAll(MeshMessages.HEARTBEAT, heartbeat);
     }
-    network.tellEach(routes.localRelays(), MeshMessages.HEARTBEAT, beat.withRelayRequested());
+    network.tellEach(routes.localRelays(), MeshMessages.HEARTBEAT, heartbeat.withRelayRequested());
   }
 
-  /** Sends digests without waiting for their turn, if there are enough boxes for them. */
+  /**
+   * Sends digests shortly, without waiting for the next regular ones, if heartbeats are relayed.
+   */
   void scheduleDigests() {
     if (routes.usesRelays() && !digestScheduled) {
       digestScheduled = true;
@@ -105,10 +106,7 @@
     sendDigests();
   }
 
-  /**
-   * Tells a box that knows few others of all that are there, if there are many: it has just
-   * started, and hears nobody who does not hear it.
-   */
+  /** Sends a digest of all boxes to a box that has just started, if heartbeats are relayed. */
   void sendIntroduction(String box) {
     long now = clock.nanos();
     long last = lastIntroductionNanos.getOrDefault(box, now - INTRODUCTION_INTERVAL.toNanos());
@@ -119,53 +117,51 @@
   }
 
   /**
-   * Tries to meet a box that is not heard, and tells it of all that are: it has come back, or two
-   * parts of the deployment were cut from each other.
+   * Tries to connect to a lost box and sends it a digest of all boxes, in case it has restarted or
+   * a network partition has ended.
    */
   void tryReconnect(String box) {
     connections.sendIfReachable(box, MeshMessages.DIGEST, relay.digestOfAll(ownHeartbeat.get()));
   }
 
   /**
-   * Returns the boxes to be connected with for heartbeats, where there are many. A box that others
-   * asked to relay, or that ranks among the relays of its zone, needs those of other zones too.
+   * Returns the boxes to connect with for relayed heartbeats. A relay also requires connections to
+   * the relays of other zones.
    */
   Set<String> requiredConnections() {
-    Set<String> flock = relayedBoxes();
+    Set<String> clients = relayedBoxes();
     Set<String> boxes = new HashSet<>(routes.localCandidates());
-    boxes.addAll(flock);
-    if (sendsToOtherZones(flock)) {
+    boxes.addAll(clients);
+    if (sendsToOtherZones(clients)) {
       boxes.addAll(routes.remoteCandidates());
     }
     return boxes;
   }
 
-  /** Returns whom news goes to, where there are many boxes and each passes on what is new to it. */
+  /** Returns the recipients of an update that each box forwards where heartbeats are relayed. */
   Set<String> updateRecipients() {
-    Set<String> flock = relayedBoxes();
+    Set<String> clients = relayedBoxes();
     Set<String> boxes = new HashSet<>(routes.localRelays());
-    boxes.addAll(flock);
-    if (sendsToOtherZones(flock)) {
+    boxes.addAll(clients);
+    if (sendsToOtherZones(clients)) {
       boxes.addAll(routes.remoteRelays());
     }
     return boxes;
   }
 
-  /** Returns the boxes that this one passes heartbeats on for. */
   private Set<String> relayedBoxes() {
     return relay.relayedBoxes(timeoutMillis());
   }
 
-  private boolean sendsToOtherZones(Set<String> flock) {
-    return !flock.isEmpty() || routes.isRelay();
+  private boolean sendsToOtherZones(Set<String> clients) {
+    return !clients.isEmpty() || routes.isRelay();
   }
 
-  /** Notes that a digest has come. */
   void recordDigest() {
     lastDigestNanos = clock.nanos();
   }
 
-  /** Returns whether there are many boxes and this one hears of them by digests. */
+  /** Returns whether heartbeats are relayed and this box receives them in digests. */
   boolean receivesDigests() {
     return routes.usesRelays() && clock.nanos() - lastDigestNanos < DIGEST_TIMEOUT.toNanos();
   }
@@ -175,13 +171,14 @@
   }
 
   private void sendDigests() {
-    Set<String> flock = relayedBoxes();
-    Heartbeat beat = ownHeartbeat.get();
-    if (!flock.isEmpty()) {
-      network.tellEach(flock, MeshMessages.DIGEST, relay.digestOfAll(beat));
+    Set<String> clients = relayedBoxes();
+    Heartbeat heartbeat = ownHeartbeat.get();
+    if (!clients.isEmpty()) {
+      network.tellEach(clients, MeshMessages.DIGEST, relay.digestOfAll(heartbeat));
     }
-    if (sendsToOtherZones(flock)) {
-      network.tellEach(routes.remoteRelays(), MeshMessages.DIGEST, relay.digestOf(flock, beat));
+    if (sendsToOtherZones(clients)) {
+      network.tellEach(
+          routes.remoteRelays(), MeshMessages.DIGEST, relay.digestOf(clients, heartbeat));
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSequence.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSequence.java
@@ -4,9 +4,10 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Numbers the heartbeats of a box: the milliseconds since 1970 at its start, and those that have
- * passed since. So they rise within a life, and from one life to the next; where the time of day
- * was set back in between, they are behind for no longer than by that. Confined to the event loop.
+ * Generates the sequence numbers of the heartbeats of a box: the time of day in milliseconds when
+ * the process started plus the time elapsed since then on the monotonic clock. The numbers increase
+ * within a process lifetime, and across restarts unless the time of day is set back. Confined to
+ * the event loop.
  */
 final class HeartbeatSequence {
 
@@ -20,7 +21,7 @@
     this.startMillis = timeOfDayMillis;
   }
 
-  /** Returns the number of a heartbeat that is made now. */
+  /** Returns the sequence number for a heartbeat that is created now. */
   long next() {
     return startMillis + TimeUnit.NANOSECONDS.toMillis(clock.nanos() - startNanos);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/LimitReportFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/LimitReportFormat.java
@@ -6,7 +6,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Reports on limits of upstreams, as arrays. */
+/** Message format of {@link LimitReport}: an array. */
 abstract class LimitReportFormat {
 
   private static final int FIELDS = 3;
@@ -24,9 +24,9 @@
   }
 
   static LimitReport read(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(FIELDS);
+    int extraFields = reader.beginRecord(FIELDS);
     LimitReport report = new LimitReport(reader.text(), reader.number(), reader.number());
-    reader.skip(more);
+    reader.skip(extraFields);
     return report;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/ListTrustTracker.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/ListTrustTracker.java
@@ -6,16 +6,15 @@
 import org.gradeledge.discovery.UpstreamRegistry;
 
 /**
- * What other boxes say of entries that are missing from the list of upstreams. Among many boxes few
- * read the list often enough to notice that it was away; the others would take what they are told,
- * or read next, for the whole truth and drop upstreams that live. Where all that read steadily
- * doubt it, what is missing stays in use, and is judged by a reading of their own once one of them
- * trusts the list again. A box that the platform turns away alone doubts it too: that counts for
- * nothing beside one that reads it. Confined to the event loop.
+ * Tracks whether other boxes distrust removals from the list of upstreams. Where heartbeats are
+ * relayed, most boxes read the list too rarely to notice that it was unavailable, and would remove
+ * live upstreams that are missing from it. While at least one box distrusts the list and no box
+ * trusts it, missing upstreams stay in use; afterwards the next list that this box reads itself
+ * decides. Confined to the event loop.
  */
 final class ListTrustTracker {
 
-  /** A box that doubts says so in each heartbeat; within so many of them all have heard it. */
+  /** Number of heartbeat intervals within which the distrust of a box reaches all others. */
   private static final int PROPAGATION_HEARTBEATS = 3;
 
   private final UpstreamRegistry upstreams;
@@ -28,22 +27,24 @@
     this.upstreams = upstreams;
   }
 
-  /** Sets how the list is judged once it is not doubted any more. */
+  /** Sets the action to run once the list is no longer distrusted. */
   void onConfirmed(Runnable action) {
     confirmedAction = action;
   }
 
-  /** Hears what a box says of the list; returns whether it said something else before. */
+  /**
+   * Records the trust that a box reports. Returns whether it differs from the previous report; a
+   * first report counts only if it is distrust.
+   */
   boolean update(String box, ListTrust trust) {
     ListTrust before = reportedTrust.put(box, trust);
-    boolean other = before != trust;
-    if (other) {
+    boolean changed = before != trust;
+    if (changed) {
       evaluate();
     }
-    return other && (before != null || trust == ListTrust.DOUBTED);
+    return changed && (before != null || trust == ListTrust.DOUBTED);
   }
 
-  /** Forgets a box that is lost. */
   void removeBox(String box) {
     if (reportedTrust.remove(box) != null) {
       evaluate();
@@ -51,8 +52,8 @@
   }
 
   /**
-   * Takes a list over from a box that doubts it, or was told so: a list may come sooner than the
-   * heartbeat of the box that has noticed the outage.
+   * Distrusts removals after a list with unconfirmed entries was received, which may arrive before
+   * the heartbeat of the box that noticed the outage.
    */
   void onUnconfirmedList() {
     if (upstreams.trust() == ListTrust.UNKNOWN) {
@@ -60,7 +61,6 @@
     }
   }
 
-  /** Notes that a heartbeat has passed. */
   void onHeartbeatInterval() {
     heartbeatsSinceDistrust++;
     if (distrusted && heartbeatsSinceDistrust > PROPAGATION_HEARTBEATS) {
@@ -69,11 +69,11 @@
   }
 
   private void evaluate() {
-    boolean doubted =
+    boolean distrustedByPeers =
         reportedTrust.containsValue(ListTrust.DOUBTED)
             && !reportedTrust.containsValue(ListTrust.TRUSTED)
             && upstreams.trust() == ListTrust.UNKNOWN;
-    if (doubted) {
+    if (distrustedByPeers) {
       distrust();
     } else if (distrusted) {
       distrusted = false;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/LostBoxSelector.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/LostBoxSelector.java
@@ -6,18 +6,13 @@
 import java.util.Set;
 
 /**
- * Chooses a box that was known and is not heard to be tried again. All boxes that hear each other
- * try together, so that each lost one is tried a few times a second whatever their number: that
- * brings together what a cut has parted, and finds a box that came back while its seeds were away.
- * Confined to the event loop.
+ * Selects a lost box to reconnect to. The boxes that are alive share the attempts, so the number of
+ * attempts per lost box does not depend on the number of boxes. This ends network partitions and
+ * finds restarted boxes whose seeds were unavailable. Confined to the event loop.
  */
 final class LostBoxSelector {
 
-  /**
-   * How many of the boxes that are heard try a lost one at each heartbeat: at a heartbeat every 400
-   * ms each lost box is tried five times a second, so that it is met within a second by far the
-   * most times.
-   */
+  /** Average number of boxes that try to connect to each lost box per heartbeat. */
   private static final double ATTEMPTS_PER_HEARTBEAT = 2;
 
   private final PeerTable peers;
@@ -25,21 +20,21 @@
   private final Random random;
 
   /**
-   * Creates the choice.
+   * Creates the selector.
    *
-   * @param known all boxes that were ever heard of; a view
+   * @param knownBoxes live view of all boxes that were ever reported
    */
-  LostBoxSelector(PeerTable peers, Set<String> known, Random random) {
+  LostBoxSelector(PeerTable peers, Set<String> knownBoxes, Random random) {
     this.peers = peers;
-    this.knownBoxes = known;
+    this.knownBoxes = knownBoxes;
     this.random = random;
   }
 
-  /** Returns the box to be tried at this heartbeat, if it is this box's turn. */
+  /** Returns the box to connect to at this heartbeat, if any. */
   Optional<String> next() {
     List<String> lost = knownBoxes.stream().filter(box -> !peers.isAlive(box)).sorted().toList();
-    double turn = ATTEMPTS_PER_HEARTBEAT * lost.size() / peers.alive().size();
-    return lost.isEmpty() || random.nextDouble() >= turn
+    double probability = ATTEMPTS_PER_HEARTBEAT * lost.size() / peers.alive().size();
+    return lost.isEmpty() || random.nextDouble() >= probability
         ? Optional.empty()
         : Optional.of(lost.get(random.nextInt(lost.size())));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshConnections.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshConnections.java
@@ -15,16 +15,15 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The connections of a box with others of its deployment, opened when they are first used and kept
- * up until they have rested for a while. A box is named by the address that it listens on for
- * peers. Confined to the event loop.
+ * Connections of a box with other boxes, opened on first use and closed after an idle time. A box
+ * is identified by the address on which it listens for peers. Confined to the event loop.
  */
 final class MeshConnections {
 
-  /** Longer than the pauses of steady traffic, so that what is used is not opened again. */
+  /** Longer than the pauses in steady traffic, to avoid reconnecting. */
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(10);
 
-  /** A busy box takes a few tens of milliseconds for both greetings; work must not wait longer. */
+  /** Limits the time for which stage work waits for a connection. */
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
   private final PeerNetwork network;
@@ -36,33 +35,32 @@
     this.clock = clock;
   }
 
-  /** Notes that boxes are needed; connections with them stay up for a while. */
+  /** Marks the connections with the given boxes as used. */
   void markUsed(Collection<String> boxes) {
     long now = clock.nanos();
     boxes.forEach(box -> lastUsedNanos.put(box, now));
   }
 
-  /** Notes that a box is needed. */
   void markUsed(String box) {
     markUsed(List.of(box));
   }
 
-  /** Forgets a box that is lost; a connection with it that may have gone silent is closed. */
+  /** Closes the connection with a lost box, as it may be half-open. */
   void removeBox(String box) {
     lastUsedNanos.remove(box);
     network.disconnect(box);
   }
 
-  /** Keeps up the connections that are needed, and some more boxes' just now. */
-  void maintain(Collection<String> more) {
+  /** Keeps the connections that were used recently and those with the given boxes open. */
+  void maintain(Collection<String> boxes) {
     long since = clock.nanos() - IDLE_TIMEOUT.toNanos();
-    lastUsedNanos.values().removeIf(used -> used - since < 0);
-    Set<String> wanted = new HashSet<>(lastUsedNanos.keySet());
-    wanted.addAll(more);
-    network.keepUp(wanted.stream().map(MeshConnections::address).toList());
+    lastUsedNanos.values().removeIf(lastUsed -> lastUsed - since < 0);
+    Set<String> required = new HashSet<>(lastUsedNanos.keySet());
+    required.addAll(boxes);
+    network.keepUp(required.stream().map(MeshConnections::address).toList());
   }
 
-  /** Returns whether the last dial of a box came to nothing. */
+  /** Returns whether the last attempt to connect to a box failed. */
   boolean isUnreachable(String box) {
     return network.isUnreachable(address(box));
   }
@@ -73,20 +71,24 @@
     sendIfReachable(box, type, message);
   }
 
-  /** As {@link #send}, but a box that cannot be reached is not dialed again for it. */
+  /** Like {@link #send}, but marks the box as used only if it can be reached. */
   <T> void sendIfReachable(String box, PeerMessageType<T> type, T message) {
     network
         .connect(address(box), CONNECT_TIMEOUT)
         .subscribe(
             ignored -> {},
-            failure -> Logger.debug(failure, "{} was not told {}", box, type.name()),
+            failure ->
+                Logger.debug(
+                    failure, "Failed to connect to box {} for message {}", box, type.name()),
             () -> {
               markUsed(box);
               network.tell(box, type, message);
             });
   }
 
-  /** Asks a box, over a new connection if there is none; the limit counts from then on. */
+  /**
+   * Sends a request, over a new connection if there is none; the time limit counts once connected.
+   */
   <T, A> Mono<A> request(
       String box, PeerMessageType<T> type, T message, Class<A> answerType, Duration limit) {
     markUsed(box);
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshMessages.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshMessages.java
@@ -6,7 +6,7 @@
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.quarantine.SuspectNews;
 
-/** The messages between boxes that relay. */
+/** Message types between boxes that relay. */
 abstract class MeshMessages {
 
   static final PeerMessageType<Heartbeat> HEARTBEAT =
@@ -31,7 +31,7 @@
 
   private MeshMessages() {}
 
-  /** Sets how these messages and their answers are written and read. */
+  /** Registers the formats of these messages and their responses. */
   static void registerFormats(PeerNetwork network) {
     network.register(Heartbeat.class, new HeartbeatFormat());
     network.register(Digest.class, new DigestFormat());
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshStageWorkClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshStageWorkClient.java
@@ -17,9 +17,9 @@
 import org.gradeledge.batch.StageWorkListener;
 
 /**
- * Hands the stage work of a service to the box that ranks first for it ({@link PeerTable#byRank})
- * among those that are heard, so that the pieces of all boxes meet. If that box is lost or does not
- * take the work, this box does it itself. Confined to the event loop.
+ * Delegates the stage work of a service to its owner, the available box that ranks first for the
+ * service ({@link PeerTable#byRank}), so that the owner can batch the pieces of all boxes. Runs the
+ * work locally if the owner is lost or rejects it. Confined to the event loop.
  */
 final class MeshStageWorkClient implements StageWorkClient {
 
@@ -40,22 +40,22 @@
 
   MeshStageWorkClient(
       String self,
-      MeshConnections links,
+      MeshConnections connections,
       PeerTable peers,
-      BatchCoordinator local,
+      BatchCoordinator localCoordinator,
       EventLoop loop,
-      PiecesToCome toCome) {
+      PiecesToCome pendingPieces) {
     this.self = self;
-    this.connections = links;
+    this.connections = connections;
     this.peers = peers;
-    this.localCoordinator = local;
+    this.localCoordinator = localCoordinator;
     this.loop = loop;
-    this.pendingPieces = toCome;
+    this.pendingPieces = pendingPieces;
   }
 
   /**
-   * Hands the work on; a box that has just started waits a moment until it knows who else is there,
-   * since boxes that choose by different views call the same upstreams.
+   * Delegates the group. A box that is starting waits until it has discovered its peers, as boxes
+   * with different views would select different owners, which call the same upstreams.
    */
   @Override
   public void submit(StageGroup group, StageWorkListener listener) {
@@ -63,13 +63,13 @@
       delegate(group, listener);
       return;
     }
-    DelegatedGroup placement = delegated.add(group, listener, UNASSIGNED);
-    loop.schedule(() -> resubmit(placement), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+    DelegatedGroup delegatedGroup = delegated.add(group, listener, UNASSIGNED);
+    loop.schedule(() -> resubmit(delegatedGroup), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void resubmit(DelegatedGroup placement) {
-    if (delegated.remove(placement)) {
-      submit(placement.group(), placement.listener());
+  private void resubmit(DelegatedGroup delegatedGroup) {
+    if (delegated.remove(delegatedGroup)) {
+      submit(delegatedGroup.group(), delegatedGroup.listener());
     }
   }
 
@@ -79,7 +79,7 @@
       localCoordinator.submit(group, listener);
       return;
     }
-    DelegatedGroup placement = delegated.add(group, listener, box);
+    DelegatedGroup delegatedGroup = delegated.add(group, listener, box);
     connections
         .request(
             box,
@@ -88,48 +88,48 @@
             StageGroupResult.class,
             Duration.ofMillis(Math.max(1, group.remainingMillis())))
         .subscribe(
-            result -> loop.execute(() -> onResult(placement, result)),
-            failure -> loop.execute(() -> runLocally(placement)));
+            result -> loop.execute(() -> onResult(delegatedGroup, result)),
+            failure -> loop.execute(() -> runLocally(delegatedGroup)));
   }
 
-  /** Each request asks several times, and the answer changes only where a box comes or goes. */
+  /** Caches the owners, which change only with the set of available boxes. */
   private String owner(String service) {
-    Set<String> working = peers.available();
-    if (working != ownerCandidates) {
-      ownerCandidates = working;
+    Set<String> available = peers.available();
+    if (available != ownerCandidates) {
+      ownerCandidates = available;
       ownerByService.clear();
     }
-    return ownerByService.computeIfAbsent(service, name -> firstRanked(working, name));
+    return ownerByService.computeIfAbsent(service, name -> firstRanked(available, name));
   }
 
   private String firstRanked(Set<String> boxes, String service) {
     return boxes.stream().min(peers.byRank(service)).orElse(self);
   }
 
-  private void onResult(DelegatedGroup placement, StageGroupResult result) {
-    if (!delegated.remove(placement)) {
+  private void onResult(DelegatedGroup delegatedGroup, StageGroupResult result) {
+    if (!delegated.remove(delegatedGroup)) {
       localCoordinator.free(result.handles());
       return;
     }
     result.handles().forEach(handle -> boxByHandle.put(handle, result.box()));
-    placement.listener().ended(result);
+    delegatedGroup.listener().ended(result);
   }
 
-  private void runLocally(DelegatedGroup placement) {
-    if (delegated.remove(placement)) {
-      localCoordinator.submit(placement.group(), placement.listener());
+  private void runLocally(DelegatedGroup delegatedGroup) {
+    if (delegated.remove(delegatedGroup)) {
+      localCoordinator.submit(delegatedGroup.group(), delegatedGroup.listener());
     }
   }
 
-  /** Hears from a box that works on a group that its inputs have been fetched. */
+  /** Notifies the listener that the owner has fetched the inputs of a group. */
   void onInputsTaken(String box, StageInputsTaken message) {
     delegated.ofRequest(message.requestId()).stream()
-        .filter(placement -> placement.box().equals(box))
-        .filter(placement -> placement.group().stage() == message.stage())
-        .forEach(placement -> placement.listener().inputsTaken());
+        .filter(delegatedGroup -> delegatedGroup.box().equals(box))
+        .filter(delegatedGroup -> delegatedGroup.group().stage() == message.stage())
+        .forEach(delegatedGroup -> delegatedGroup.listener().inputsTaken());
   }
 
-  /** Does the work itself that a box had which is not heard any more. */
+  /** Runs the groups locally that were delegated to a lost box. */
   void onBoxLost(String box) {
     reportedBacklogs.remove(box);
     delegated.ofBox(box).forEach(this::runLocally);
@@ -146,7 +146,7 @@
     return byPriority.isEmpty() ? 0 : byPriority.get(Math.min(priority, byPriority.size() - 1));
   }
 
-  /** Takes in what a box tells of the work that waits at it. */
+  /** Records the backlogs that a box reports. */
   void updateBacklogs(String box, Map<String, List<Long>> backlogMillis) {
     reportedBacklogs.put(box, backlogMillis);
   }
@@ -170,14 +170,14 @@
   public void cancel(String service, String requestId) {
     localCoordinator.cancel(service, requestId);
     delegated.ofRequest(requestId).stream()
-        .filter(placement -> placement.group().service().equals(service))
-        .forEach(placement -> cancel(placement, new StageCancel(service, requestId)));
+        .filter(delegatedGroup -> delegatedGroup.group().service().equals(service))
+        .forEach(delegatedGroup -> cancel(delegatedGroup, new StageCancel(service, requestId)));
   }
 
-  private void cancel(DelegatedGroup placement, StageCancel message) {
-    delegated.remove(placement);
-    if (!placement.box().equals(UNASSIGNED)) {
-      connections.send(placement.box(), MeshMessages.STAGE_CANCEL, message);
+  private void cancel(DelegatedGroup delegatedGroup, StageCancel message) {
+    delegated.remove(delegatedGroup);
+    if (!delegatedGroup.box().equals(UNASSIGNED)) {
+      connections.send(delegatedGroup.box(), MeshMessages.STAGE_CANCEL, message);
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/PeerTable.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/PeerTable.java
@@ -16,7 +16,9 @@
 import org.gradeledge.selection.RendezvousHash;
 import org.gradeledge.time.MonotonicClock;
 
-/** Which boxes are heard, and which of them do work for others. Confined to the event loop. */
+/**
+ * Tracks which other boxes are alive and which are available for work. Confined to the event loop.
+ */
 final class PeerTable {
 
   private static final long RETENTION_MILLIS = 60_000;
@@ -25,19 +27,19 @@
   private static final long MAX_DISCOVERY_MILLIS = 1_200;
 
   /**
-   * Twice the time over which what was sent to an upstream counts, and long after a box is lost.
+   * Time for which a lost box counts in {@link #rank}: longer than calls that it has sent may
+   * affect an upstream.
    */
   private static final Duration RANK_RETENTION = Duration.ofSeconds(10);
 
   private record PeerState(
       long reportedNanos, String zone, boolean leaving, int weight, boolean alive) {
 
-    /** Returns the same of a box that is not heard any more. */
     PeerState asLost() {
       return new PeerState(reportedNanos, zone, leaving, weight, false);
     }
 
-    /** Returns whether anything but the time is not as it was. */
+    /** Returns whether anything other than the time has changed. */
     boolean differsFrom(PeerState before) {
       return alive != before.alive
           || leaving != before.leaving
@@ -60,10 +62,10 @@
   private Set<String> available = Set.of();
   private Set<String> zones = Set.of();
 
-  PeerTable(String self, String zone, int strength, MonotonicClock clock, EventLog events) {
+  PeerTable(String self, String zone, int weight, MonotonicClock clock, EventLog events) {
     this.self = self;
     this.zone = zone;
-    this.weight = strength;
+    this.weight = weight;
     this.clock = clock;
     this.startNanos = clock.nanos();
     this.lastJoinNanos = startNanos;
@@ -80,10 +82,10 @@
     refreshSets();
   }
 
-  /** Notes what a box told so many milliseconds ago. */
-  void update(String box, String boxZone, boolean boxLeaving, int boxStrength, long ageMillis) {
+  /** Records the state that a box reported the given time ago. */
+  void update(String box, String boxZone, boolean boxLeaving, int boxWeight, long ageMillis) {
     long nanos = clock.nanos() - ageMillis * 1_000_000;
-    PeerState now = new PeerState(nanos, boxZone, boxLeaving, boxStrength, true);
+    PeerState now = new PeerState(nanos, boxZone, boxLeaving, boxWeight, true);
     PeerState before = peers.put(box, now);
     if (before == null || now.differsFrom(before)) {
       refreshSets();
@@ -94,7 +96,7 @@
     }
   }
 
-  /** Marks boxes that have been silent for too long; returns those that were lost just now. */
+  /** Marks boxes as lost that have sent nothing for the given time. */
   void expire(long silentMillis) {
     long now = clock.nanos();
     Set.copyOf(peers.keySet()).forEach(box -> expire(box, silentMillis, now));
@@ -115,27 +117,27 @@
   }
 
   /**
-   * Returns whether this box has been up for long enough to know who else is there: it has looked
-   * for a while and heard nobody new lately, or has looked for very long.
+   * Returns whether this box has been running long enough to know its peers: no new peer was
+   * reported for a while, or the maximum discovery time has passed.
    */
   boolean isDiscoveryComplete() {
     long now = clock.nanos();
-    long up = (now - startNanos) / 1_000_000;
-    long nobodyNew = (now - lastJoinNanos) / 1_000_000;
-    return up >= MAX_DISCOVERY_MILLIS
-        || (up >= MIN_DISCOVERY_MILLIS && nobodyNew >= QUIET_PERIOD_MILLIS);
+    long uptime = (now - startNanos) / 1_000_000;
+    long quietMillis = (now - lastJoinNanos) / 1_000_000;
+    return uptime >= MAX_DISCOVERY_MILLIS
+        || (uptime >= MIN_DISCOVERY_MILLIS && quietMillis >= QUIET_PERIOD_MILLIS);
   }
 
   /**
-   * Returns where this box stands for a duty, by rendezvous hashing, among all that may be at work
-   * still: those that are lost count a while, as what they have sent does, and one that others do
-   * not hear may go on. Empty while this box cannot know who is there.
+   * Returns the rank of this box for a task, by rendezvous hashing, among all boxes that may be
+   * running. Lost boxes count for a while, as they may be running without being heard, and calls
+   * that they sent may still be in flight. Empty during discovery.
    */
-  Optional<BoxRank> rank(String duty) {
+  Optional<BoxRank> rank(String task) {
     if (!isDiscoveryComplete()) {
       return Optional.empty();
     }
-    long own = RendezvousHash.weight(duty, self);
+    long own = RendezvousHash.weight(task, self);
     long now = clock.nanos();
     List<String> others =
         peers.entrySet().stream()
@@ -143,8 +145,9 @@
             .map(Map.Entry::getKey)
             .filter(box -> !box.equals(self))
             .toList();
-    long before = others.stream().filter(box -> RendezvousHash.weight(duty, box) > own).count();
-    return Optional.of(new BoxRank((int) before, others.size() + 1));
+    long higherRanked =
+        others.stream().filter(box -> RendezvousHash.weight(task, box) > own).count();
+    return Optional.of(new BoxRank((int) higherRanked, others.size() + 1));
   }
 
   boolean isAlive(String box) {
@@ -152,7 +155,7 @@
     return last != null && last.alive();
   }
 
-  /** Returns the zone of a box that was heard, or of this one. */
+  /** Returns the zone of this or another known box. */
   Optional<String> zoneOf(String box) {
     return box.equals(self)
         ? Optional.of(zone)
@@ -160,55 +163,55 @@
   }
 
   /**
-   * Returns the order in which boxes come to do something for others: the stronger ones first, as
-   * one box makes the calls of a whole service and a relay sends digests to its zone; among boxes
-   * that are alike by rendezvous hashing. Strengths within a factor of two count as alike, so that
-   * small differences do not bring all duties to one box.
+   * Returns the order in which boxes are selected for a task: by weight, then by rendezvous
+   * hashing. Weights within a factor of two count as equal, so that small differences do not assign
+   * all tasks to one box.
    */
-  Comparator<String> byRank(String duty) {
+  Comparator<String> byRank(String task) {
     return Comparator.comparingInt(this::weightClass)
         .reversed()
-        .thenComparing(RendezvousHash.byRank(duty));
+        .thenComparing(RendezvousHash.byRank(task));
   }
 
   private int weightClass(String box) {
-    int known = box.equals(self) ? weight : peers.containsKey(box) ? peers.get(box).weight() : 0;
-    return Integer.SIZE - Integer.numberOfLeadingZeros(known);
+    int boxWeight =
+        box.equals(self) ? weight : peers.containsKey(box) ? peers.get(box).weight() : 0;
+    return Integer.SIZE - Integer.numberOfLeadingZeros(boxWeight);
   }
 
-  /** Returns the zones of all boxes that were heard, and the own one. */
+  /** Returns the zones of all known boxes, including this one. */
   Set<String> zones() {
     return zones;
   }
 
-  /** Returns the boxes that are heard, this one included; the same set until one changes. */
+  /** Returns the boxes that are alive, including this one. The set is replaced when it changes. */
   Set<String> alive() {
     return alive;
   }
 
   /**
-   * Returns the boxes that do work for others; this one counts where there is no other. It is the
-   * same set until one of them changes.
+   * Returns the boxes that are available for work of others, including this one if there is no
+   * other. The set is replaced when it changes.
    */
   Set<String> available() {
     return available;
   }
 
-  /** These are asked for many times a request, and change only where a box comes or goes. */
+  /** Recomputes the sets that are read several times per request. */
   private void refreshSets() {
-    Set<String> zonesNow = new TreeSet<>(Set.of(zone));
-    Set<String> aliveNow = new TreeSet<>(Set.of(self));
-    Set<String> workingNow = new TreeSet<>();
+    Set<String> newZones = new TreeSet<>(Set.of(zone));
+    Set<String> newAlive = new TreeSet<>(Set.of(self));
+    Set<String> newAvailable = new TreeSet<>();
     peers.forEach(
         (box, last) -> {
-          zonesNow.add(last.zone());
-          addIf(last.alive(), aliveNow, box);
-          addIf(last.alive() && !last.leaving(), workingNow, box);
+          newZones.add(last.zone());
+          addIf(last.alive(), newAlive, box);
+          addIf(last.alive() && !last.leaving(), newAvailable, box);
         });
-    addIf(!leaving || workingNow.isEmpty(), workingNow, self);
-    zones = Collections.unmodifiableSet(zonesNow);
-    alive = Collections.unmodifiableSet(aliveNow);
-    available = Collections.unmodifiableSet(workingNow);
+    addIf(!leaving || newAvailable.isEmpty(), newAvailable, self);
+    zones = Collections.unmodifiableSet(newZones);
+    alive = Collections.unmodifiableSet(newAlive);
+    available = Collections.unmodifiableSet(newAvailable);
   }
 
   private static void addIf(boolean condition, Set<String> boxes, String box) {
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
@@ -10,15 +10,14 @@
 import org.gradeledge.selection.LoadBoard;
 
 /**
- * What a box holds to be so, which it tells others of and learns from them. Confined to the event
- * loop.
+ * State that a box exchanges with the other boxes. Confined to the event loop.
  *
  * @param deployments configuration in force
- * @param upstreams upstreams that are known
+ * @param upstreams known upstreams
  * @param upstreamLoads load and health of upstreams
- * @param pendingPieces pieces that requests will want made
- * @param quarantine requests that end upstreams
- * @param limits limits that upstreams name
+ * @param pendingPieces pieces that requests in flight are going to require
+ * @param quarantine requests that crash upstreams
+ * @param limits rate limits announced by upstreams
  * @since 0.3
  */
 public record SharedBoxState(
@@ -29,18 +28,18 @@
     Quarantine quarantine,
     UpstreamLimits limits) {
 
-  /** Returns what is told to all others. */
+  /** Returns a heartbeat with the current state of this box. */
   Heartbeat heartbeat(
       String zone,
       boolean leaving,
-      int strength,
+      int weight,
       Map<String, List<Long>> backlogMillis,
-      long number) {
+      long sequenceNumber) {
     return new Heartbeat(
         zone,
         leaving,
         false,
-        strength,
+        weight,
         deployments.revision(),
         upstreams.changedAt(),
         List.of(),
@@ -50,26 +49,26 @@
         upstreams.evacuations(),
         quarantine.digest(),
         upstreams.trust().code(),
-        number,
+        sequenceNumber,
         limits.reports(),
         upstreams.leavingAsTheySaid());
   }
 
-  /** Forgets what a box told of itself, as it is lost. */
+  /** Removes the state that a lost box reported. */
   void removeBox(String box) {
     upstreamLoads.setPeerShares(box, Map.of());
     pendingPieces.forget(box);
   }
 
   /**
-   * Takes in what a box tells; returns whether that orders the evacuation of other zones than
-   * before, or tells of a limit or of an upstream that leaves which was not known.
+   * Applies the heartbeat of another box. Returns whether it changed the evacuated zones or
+   * reported a limit or a leaving upstream that was not known.
    */
-  boolean applyHeartbeat(String box, Heartbeat beat, long ageMillis) {
-    upstreamLoads.setPeerShares(box, beat.loadShares());
-    pendingPieces.told(box, beat.pendingPieces());
-    boolean limited = limits.told(box, beat.limits(), ageMillis);
-    boolean leaving = upstreams.toldLeaving(box, beat.leavingUpstreams());
-    return upstreams.evacuate(beat.evacuations()) || limited || leaving;
+  boolean applyHeartbeat(String box, Heartbeat heartbeat, long ageMillis) {
+    upstreamLoads.setPeerShares(box, heartbeat.loadShares());
+    pendingPieces.told(box, heartbeat.pendingPieces());
+    boolean limitsChanged = limits.told(box, heartbeat.limits(), ageMillis);
+    boolean leavingChanged = upstreams.toldLeaving(box, heartbeat.leavingUpstreams());
+    return upstreams.evacuate(heartbeat.evacuations()) || limitsChanged || leavingChanged;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageCancel.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageCancel.java
@@ -1,9 +1,9 @@
 package org.gradeledge.mesh;
 
 /**
- * Gives up the waiting stage work of a request.
+ * Cancels the waiting stage work of a request.
  *
- * @param service service that it waits for
- * @param requestId the request
+ * @param service service that the work waits for
+ * @param requestId id of the request
  */
 record StageCancel(String service, String requestId) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageCancelFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageCancelFormat.java
@@ -6,7 +6,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Messages of the type {@link StageCancel}, as maps. */
+/** Message format of {@link StageCancel}: a map. */
 final class StageCancelFormat implements MessageFormat<StageCancel> {
 
   private static final int FIELDS = 2;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageFree.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageFree.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Gives up results of stage work.
+ * Frees results of stage work.
  *
- * @param handles where they lie
+ * @param handles handles of the results
  */
 record StageFree(List<String> handles) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageFreeFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageFreeFormat.java
@@ -6,7 +6,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Messages of the type {@link StageFree}, as maps. */
+/** Message format of {@link StageFree}: a map. */
 final class StageFreeFormat implements MessageFormat<StageFree> {
 
   private static final int FIELDS = 1;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupFormat.java
@@ -7,7 +7,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Messages of the type {@link StageGroup}, as maps. */
+/** Message format of {@link StageGroup}: a map. */
 final class StageGroupFormat implements MessageFormat<StageGroup> {
 
   private static final int FIELDS = 14;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupResultFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupResultFormat.java
@@ -8,7 +8,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Messages of the type {@link StageGroupResult}, as maps. */
+/** Message format of {@link StageGroupResult}: a map. */
 final class StageGroupResultFormat implements MessageFormat<StageGroupResult> {
 
   private static final int FIELDS = 6;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageInputsTaken.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageInputsTaken.java
@@ -1,7 +1,7 @@
 package org.gradeledge.mesh;
 
 /**
- * Tells the box of a request that the inputs of a stage have been fetched.
+ * Reports that the inputs of a stage have been fetched, to the box that processes the request.
  *
  * @param requestId id of the request
  * @param stage number of the stage
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageInputsTakenFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageInputsTakenFormat.java
@@ -6,7 +6,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Messages of the type {@link StageInputsTaken}, as maps. */
+/** Message format of {@link StageInputsTaken}: a map. */
 final class StageInputsTakenFormat implements MessageFormat<StageInputsTaken> {
 
   private static final int FIELDS = 2;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageWorkHandler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageWorkHandler.java
@@ -8,28 +8,34 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
 
-/** Does stage work that other boxes hand to this one. Confined to the event loop. */
+/** Runs stage work that other boxes delegate to this one. Confined to the event loop. */
 final class StageWorkHandler {
 
   private final BatchCoordinator coordinator;
   private final MeshConnections connections;
 
-  StageWorkHandler(BatchCoordinator coordinator, MeshConnections links) {
+  StageWorkHandler(BatchCoordinator coordinator, MeshConnections connections) {
     this.coordinator = coordinator;
-    this.connections = links;
+    this.connections = connections;
   }
 
-  /** Starts the work; if nobody waits for it any more it is cancelled, and its results given up. */
+  /**
+   * Starts a group of another box. If the subscriber cancels, cancels the group and frees its
+   * results.
+   */
   Mono<StageGroupResult> handle(String box, StageGroup group) {
     return Mono.create(
         sink -> {
-          RemoteGroup handed = new RemoteGroup(box, group, sink);
-          sink.onCancel(handed::cancel);
-          coordinator.submit(group, handed);
+          RemoteGroup remoteGroup = new RemoteGroup(box, group, sink);
+          sink.onCancel(remoteGroup::cancel);
+          coordinator.submit(group, remoteGroup);
         });
   }
 
-  /** A group of another box, which hears how it goes as long as it waits for it. */
+  /**
+   * Listener of a group that another box delegated; forwards events while that box awaits the
+   * result.
+   */
   private final class RemoteGroup implements StageWorkListener {
 
     private final String box;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
@@ -10,17 +10,14 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Brings what boxes know of requests that end upstreams to all of them. What is new goes out at
- * once, the way that heartbeats go: to all among few boxes, over relays among many. What did not
- * arrive, as a box has just started or was cut off, is noticed by a number in each heartbeat that
- * differs where two boxes do not know the same, and then each tells the other all that it knows.
- * Confined to the event loop.
+ * Distributes records of requests that crash upstreams to all boxes. New records are sent at once,
+ * to all boxes or over relays like heartbeats. Records that were missed are detected by the digest
+ * in each heartbeat: boxes whose digests differ send each other all their records. Confined to the
+ * event loop.
  */
 final class SuspectExchange {
 
-  /**
-   * Two boxes that differ need one message each way; a busy one takes some hundred milliseconds.
-   */
+  /** Minimum time between full sets of records sent to the same box. */
   private static final long RESEND_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   private final Quarantine quarantine;
@@ -48,7 +45,9 @@
     quarantine.onNews(this::scheduleSend);
   }
 
-  /** An upstream takes many requests along, and all are heard of in one turn: one message. */
+  /**
+   * Combines the records of one event loop turn in one message, as a crash affects many requests.
+   */
   private void scheduleSend() {
     if (!sendScheduled) {
       sendScheduled = true;
@@ -61,7 +60,7 @@
     broadcast(quarantine.takeNews());
   }
 
-  /** Takes in what a box tells; among many boxes what is new is passed on. */
+  /** Merges records of another box, and forwards the new ones where heartbeats are relayed. */
   void receive(SuspectNews news) {
     SuspectNews changed = quarantine.merge(news);
     if (routes.usesRelays()) {
@@ -80,7 +79,7 @@
     network.tellEach(sender.updateRecipients(), MeshMessages.SUSPECTS, news);
   }
 
-  /** Hears from a connected box by its own heartbeat what it knows, as a number. */
+  /** Compares the digest in the heartbeat of a connected box with the own one. */
   void compareDigest(String box, long digest) {
     if (digest == quarantine.digest()) {
       return;
@@ -93,7 +92,6 @@
     }
   }
 
-  /** Forgets a box that is lost. */
   void removeBox(String box) {
     lastSentNanos.remove(box);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
@@ -9,7 +9,7 @@
 import org.gradeledge.quarantine.SuspectReport;
 import org.msgpack.core.MessagePacker;
 
-/** News of requests under which upstreams ended, as arrays. */
+/** Message format of {@link SuspectNews}: arrays. */
 final class SuspectsFormat implements MessageFormat<SuspectNews> {
 
   private static final int FIELDS = 2;
@@ -43,28 +43,28 @@
 
   @Override
   public SuspectNews read(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(FIELDS);
+    int extraFields = reader.beginRecord(FIELDS);
     SuspectNews news =
         new SuspectNews(reader.list(SuspectsFormat::readReport), reader.list(MessageReader::text));
-    reader.skip(more);
+    reader.skip(extraFields);
     return news;
   }
 
   private static SuspectReport readReport(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(REPORT_FIELDS);
+    int extraFields = reader.beginRecord(REPORT_FIELDS);
     SuspectReport report =
         new SuspectReport(
             new RequestFingerprint(reader.number(), reader.number(), reader.integer()),
             reader.list(SuspectsFormat::readEnd),
             reader.flag());
-    reader.skip(more);
+    reader.skip(extraFields);
     return report;
   }
 
   private static EndReport readEnd(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(END_FIELDS);
+    int extraFields = reader.beginRecord(END_FIELDS);
     EndReport end = new EndReport(reader.text(), reader.number(), reader.flag());
-    reader.skip(more);
+    reader.skip(extraFields);
     return end;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/TextLists.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/TextLists.java
@@ -4,12 +4,12 @@
 import java.util.Collection;
 import org.msgpack.core.MessagePacker;
 
-/** Lists of texts in messages between boxes. */
+/** Writes lists of texts in messages between boxes. */
 final class TextLists {
 
   private TextLists() {}
 
-  /** Writes texts as an array, in their order. */
+  /** Writes texts as an array in iteration order. */
   static void write(MessagePacker packer, Collection<String> texts) throws IOException {
     packer.packArrayHeader(texts.size());
     for (String text : texts) {
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamList.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamList.java
@@ -4,10 +4,10 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * The upstreams that a box knows.
+ * List of upstreams of a box.
  *
- * @param revision revision that its list stands at
- * @param upstreams the list
- * @param doubted whether it lacks entries that may only have lapsed
+ * @param revision revision of the list
+ * @param upstreams the upstreams
+ * @param doubted whether upstreams that are missing may have lapsed only because of an outage
  */
 record UpstreamList(long revision, List<UpstreamRecord> upstreams, boolean doubted) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListFormat.java
@@ -7,7 +7,7 @@
 import org.gradeledge.peer.MessageReader;
 import org.msgpack.core.MessagePacker;
 
-/** Lists of upstreams, as maps. */
+/** Message format of {@link UpstreamList}: a map. */
 final class UpstreamListFormat implements MessageFormat<UpstreamList> {
 
   private static final int FIELDS = 3;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListUpdates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListUpdates.java
@@ -5,20 +5,19 @@
 import org.gradeledge.discovery.UpstreamRegistry;
 
 /**
- * How a box comes by a newer list of upstreams that another one has. Few boxes all read it from the
- * platform, and so do relays among many; the others wait for their relay to have it and ask it, so
- * that news costs one message of the zone in place of one call to the platform for each box.
- * Confined to the event loop.
+ * Obtains a newer list of upstreams that another box reports. Relays, and all boxes where
+ * heartbeats are not relayed, read it from the platform. Other boxes request it from their relay,
+ * which saves platform calls. Confined to the event loop.
  */
 final class UpstreamListUpdates {
 
   /**
-   * A relay has the news and passes it on within about 200 ms; a box that has not learned it by
-   * then reads it itself, well within the shortest bound for upstreams that leave (2 s).
+   * Time after which a box that has not received the list from its relay reads it itself; shorter
+   * than the shortest time limit for leaving upstreams.
    */
   private static final long READ_DELAY_MILLIS = 500;
 
-  /** A box that cannot read the platform either asks whoever had the news first. */
+  /** Time after which a box requests the list from the box that reported it. */
   private static final long FALLBACK_FETCH_DELAY_MILLIS = 1_000;
 
   private final HeartbeatRoutes routes;
@@ -38,12 +37,12 @@
     this.loop = loop;
   }
 
-  /** Sets how the list is read from the platform. */
+  /** Sets the action that reads the list from the platform. */
   void onRead(Runnable action) {
     readAction = action;
   }
 
-  /** Hears that a box has a list of some revision. */
+  /** Handles the revision that a box reports. */
   void onRevision(String box, long revision) {
     if (upstreams.revision() >= revision) {
       return;
@@ -61,7 +60,7 @@
     documents.scheduleUpstreamsFetch(box, revision, FALLBACK_FETCH_DELAY_MILLIS);
   }
 
-  /** Hears from a relay itself that it has a list of some revision. */
+  /** Handles the revision that a relay reports for itself. */
   void onRelayRevision(String relay, long revision) {
     documents.scheduleUpstreamsFetch(relay, revision, 0);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/package-info.java
@@ -1,4 +1,4 @@
-/** What boxes tell each other: who is there, what is in force, load, and stage work to be done. */
+/** Exchange of heartbeats, configuration, upstream state and stage work between boxes. */
 @NullMarked
 package org.gradeledge.mesh;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/DelegatedGroupsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/DelegatedGroupsTests.java
@@ -10,36 +10,36 @@
 
 class DelegatedGroupsTests {
 
-  private static final StageWorkListener NOBODY = result -> {};
+  private static final StageWorkListener NO_LISTENER = result -> {};
 
-  private final DelegatedGroups placed = new DelegatedGroups();
+  private final DelegatedGroups delegated = new DelegatedGroups();
 
   @Test
   void findsTheGroupsOfARequestAndOfABox() {
-    DelegatedGroup first = placed.add(group("one", 0), NOBODY, "box-1");
-    DelegatedGroup second = placed.add(group("one", 1), NOBODY, "box-2");
-    DelegatedGroup other = placed.add(group("two", 0), NOBODY, "box-1");
+    DelegatedGroup first = delegated.add(group("one", 0), NO_LISTENER, "box-1");
+    DelegatedGroup second = delegated.add(group("one", 1), NO_LISTENER, "box-2");
+    DelegatedGroup other = delegated.add(group("two", 0), NO_LISTENER, "box-1");
 
-    assertThat(placed.ofRequest("one")).containsExactly(first, second);
-    assertThat(placed.ofBox("box-1")).containsExactlyInAnyOrder(first, other);
+    assertThat(delegated.ofRequest("one")).containsExactly(first, second);
+    assertThat(delegated.ofBox("box-1")).containsExactlyInAnyOrder(first, other);
   }
 
   @Test
-  void takesOutOneOfTwoThatAreAlikeAndEachOnlyOnce() {
-    DelegatedGroup first = placed.add(group("one", 0), NOBODY, "box-1");
-    DelegatedGroup second = placed.add(group("one", 0), NOBODY, "box-1");
+  void removesEqualGroupsByIdentityAndOnlyOnce() {
+    DelegatedGroup first = delegated.add(group("one", 0), NO_LISTENER, "box-1");
+    DelegatedGroup second = delegated.add(group("one", 0), NO_LISTENER, "box-1");
 
-    assertThat(placed.remove(first)).isTrue();
-    assertThat(placed.remove(first)).isFalse();
-    assertThat(placed.ofRequest("one")).containsExactly(second);
+    assertThat(delegated.remove(first)).isTrue();
+    assertThat(delegated.remove(first)).isFalse();
+    assertThat(delegated.ofRequest("one")).containsExactly(second);
   }
 
   @Test
-  void nothingIsLeftOfARequestWhoseGroupsAreOut() {
-    placed.remove(placed.add(group("one", 0), NOBODY, "box-1"));
+  void aRequestHasNoGroupsAfterTheirRemoval() {
+    delegated.remove(delegated.add(group("one", 0), NO_LISTENER, "box-1"));
 
-    assertThat(placed.ofRequest("one")).isEmpty();
-    assertThat(placed.ofBox("box-1")).isEmpty();
+    assertThat(delegated.ofRequest("one")).isEmpty();
+    assertThat(delegated.ofBox("box-1")).isEmpty();
   }
 
   private static StageGroup group(String request, int stage) {
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/HeartbeatRelayTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/HeartbeatRelayTests.java
@@ -15,7 +15,7 @@
   private final HeartbeatRelay relay = new HeartbeatRelay("self", () -> nowNanos);
 
   @Test
-  void passesOnWhatItHeardWithItsAge() {
+  void digestContainsReceivedHeartbeatsWithTheirAge() {
     relay.receive("one", Heartbeats.of("zone-a", 3));
     nowNanos += 250 * MILLI;
 
@@ -26,10 +26,10 @@
   }
 
   @Test
-  void worksForThoseThatAskedAShortWhileAgo() {
-    relay.receive("asks", Heartbeats.of("zone-a", 1).withRelayRequested());
-    relay.receive("does-not", Heartbeats.of("zone-a", 1));
-    assertThat(relay.relayedBoxes(1_000)).containsExactly("asks");
+  void relaysOnlyForBoxesThatRequestedItRecently() {
+    relay.receive("requesting", Heartbeats.of("zone-a", 1).withRelayRequested());
+    relay.receive("other", Heartbeats.of("zone-a", 1));
+    assertThat(relay.relayedBoxes(1_000)).containsExactly("requesting");
 
     nowNanos += 1_001 * MILLI;
 
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void theSameHeartbeatOverTwoRelaysCountsOnce() {
+  void ignoresASecondCopyOfAHeartbeat() {
     DigestEntry entry = new DigestEntry("far", 100, Heartbeats.of("zone-b", 1));
     assertThat(relay.acceptNewer(new Digest(List.of(entry)))).containsExactly(entry);
     nowNanos += 20 * MILLI;
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void anOlderHeartbeatNeverTakesThePlaceOfANewerOne() {
+  void olderHeartbeatNeverReplacesANewerOne() {
     relay.receive("one", Heartbeats.of("zone-a", 7));
 
     DigestEntry older = new DigestEntry("one", 500, Heartbeats.of("zone-a", 6));
@@ -58,32 +58,29 @@
   }
 
   /**
-   * Found by reading: what boxes tell each other of a heartbeat is as old as told when it was sent,
-   * and seems younger by the time that it takes to arrive. On busy boxes that is more than by which
-   * the same heartbeat may differ, so that it was taken for a newer one, and passed on again and
-   * again, also by boxes that had lost its sender before. Here it is told again, always as old as
-   * at first.
+   * Guards against heartbeats of a lost box that circulate among relays forever, because they look
+   * newer each time by their transmission time.
    */
   @Test
-  void theLastHeartbeatOfABoxThatHasEndedDoesNotGoRoundForEver() {
+  void lastHeartbeatOfALostBoxIsNotAcceptedAgain() {
     Heartbeat last = Heartbeats.withSequenceNumber("zone-b", 77);
-    DigestEntry told = new DigestEntry("gone", 100, last);
-    assertThat(relay.acceptNewer(new Digest(List.of(told)))).containsExactly(told);
+    DigestEntry entry = new DigestEntry("gone", 100, last);
+    assertThat(relay.acceptNewer(new Digest(List.of(entry)))).containsExactly(entry);
 
-    for (int times = 0; times < 20; times++) {
+    for (int attempt = 0; attempt < 20; attempt++) {
       nowNanos += 400 * MILLI;
-      assertThat(relay.acceptNewer(new Digest(List.of(told)))).isEmpty();
+      assertThat(relay.acceptNewer(new Digest(List.of(entry)))).isEmpty();
     }
     relay.removeBox("gone");
 
-    assertThat(relay.acceptNewer(new Digest(List.of(told)))).isEmpty();
+    assertThat(relay.acceptNewer(new Digest(List.of(entry)))).isEmpty();
     assertThat(relay.digestOfAll(OWN).entries())
         .extracting(DigestEntry::box)
         .containsExactly("self");
   }
 
   @Test
-  void aBoxThatIsBackIsHeardByItsNextHeartbeat() {
+  void acceptsTheNextHeartbeatOfARestartedBox() {
     relay.acceptNewer(
         new Digest(
             List.of(new DigestEntry("back", 0, Heartbeats.withSequenceNumber("zone-b", 77)))));
@@ -93,9 +90,9 @@
     assertThat(relay.acceptNewer(new Digest(List.of(next)))).containsExactly(next);
   }
 
-  /** The time of day of its machine was set back meanwhile. */
+  /** The time of day of the machine was set back. */
   @Test
-  void whoIsHeardDirectlyIsThereWhateverItsNumber() {
+  void acceptsDirectHeartbeatsWithLowerSequenceNumbers() {
     relay.receive("back", Heartbeats.withSequenceNumber("zone-b", 77));
     relay.receive("back", Heartbeats.withSequenceNumber("zone-b", 5));
     DigestEntry next = new DigestEntry("back", 0, Heartbeats.withSequenceNumber("zone-b", 6));
@@ -103,9 +100,9 @@
     assertThat(relay.acceptNewer(new Digest(List.of(next)))).containsExactly(next);
   }
 
-  /** News that follows a heartbeat within a few milliseconds is not the same heartbeat. */
+  /** Guards against dropping an update that follows a heartbeat within a few milliseconds. */
   @Test
-  void theNextHeartbeatIsNewHoweverSoonItComes() {
+  void acceptsTheNextHeartbeatEvenWithTheSameAge() {
     relay.acceptNewer(
         new Digest(
             List.of(new DigestEntry("far", 100, Heartbeats.withSequenceNumber("zone-b", 77)))));
@@ -115,14 +112,14 @@
   }
 
   @Test
-  void doesNotTakeItsOwnHeartbeatBack() {
+  void ignoresItsOwnHeartbeatInADigest() {
     DigestEntry own = new DigestEntry("self", 0, OWN);
 
     assertThat(relay.acceptNewer(new Digest(List.of(own)))).isEmpty();
   }
 
   @Test
-  void tellsOtherZonesOfItsFlockAlone() {
+  void digestOfContainsOnlyTheGivenBoxesAndItself() {
     relay.receive("near", Heartbeats.of("zone-a", 1).withRelayRequested());
     relay.acceptNewer(new Digest(List.of(new DigestEntry("far", 0, Heartbeats.of("zone-b", 1)))));
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/HeartbeatRoutesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/HeartbeatRoutesTests.java
@@ -15,20 +15,20 @@
 
   private static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c");
 
-  private final Map<String, PeerTable> boards = new HashMap<>();
+  private final Map<String, PeerTable> peerTables = new HashMap<>();
   private final Map<String, HeartbeatRoutes> routes = new HashMap<>();
   private final Set<String> connected = new HashSet<>();
   private final Set<String> unreachable = new HashSet<>();
 
   @Test
-  void fewBoxesTellAll() {
+  void usesNoRelaysUpToTheFullMeshLimit() {
     start(HeartbeatRoutes.MAX_FULL_MESH_BOXES);
 
     assertThat(routes.values()).noneMatch(HeartbeatRoutes::usesRelays);
   }
 
   @Test
-  void boxesOfAZoneThatHearTheSameChooseTheSameTwoRelays() {
+  void boxesOfAZoneSelectTheSameTwoRelays() {
     start(30);
 
     assertThat(routes.values()).allMatch(HeartbeatRoutes::usesRelays);
@@ -40,17 +40,17 @@
   }
 
   @Test
-  void relaysOfOtherZonesAreTwoOfEach() {
+  void remoteRelaysAreTwoOfEachOtherZone() {
     start(30);
 
-    List<String> foreign = routes.get("box-0").remoteRelays();
+    List<String> remoteRelays = routes.get("box-0").remoteRelays();
 
-    assertThat(foreign).hasSize(4).noneMatch(box -> boxes("zone-a").contains(box));
-    assertThat(foreign).allMatch(box -> routes.get(box).isRelay());
+    assertThat(remoteRelays).hasSize(4).noneMatch(box -> boxes("zone-a").contains(box));
+    assertThat(remoteRelays).allMatch(box -> routes.get(box).isRelay());
   }
 
   @Test
-  void aRelayWhoseConnectionEndedIsReplacedAtOnce() {
+  void replacesADisconnectedRelayAtOnce() {
     start(30);
     String lost = routes.get("box-0").localRelays().get(0);
 
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void connectionsAreKeptUpWithTheRelaysAndASpareOfEachZone() {
+  void candidatesAreTheRelaysAndASpareOfEachZone() {
     start(90);
     HeartbeatRoutes relay =
         routes.values().stream().filter(HeartbeatRoutes::isRelay).findFirst().orElseThrow();
@@ -72,20 +72,22 @@
   }
 
   @Test
-  void aBoxThatCannotBeReachedIsNoCandidate() {
+  void anUnreachableBoxIsNoCandidate() {
     start(30);
-    String away = routes.get("box-0").localCandidates().get(0);
+    String unreachableBox = routes.get("box-0").localCandidates().get(0);
 
-    unreachable.add(away);
+    unreachable.add(unreachableBox);
 
-    assertThat(routes.get("box-0").localCandidates()).doesNotContain(away).hasSizeBetween(2, 3);
+    assertThat(routes.get("box-0").localCandidates())
+        .doesNotContain(unreachableBox)
+        .hasSizeBetween(2, 3);
   }
 
   @Test
-  void aDutyIsHeldByAsManyBoxesAsAreAsked() {
+  void aTaskIsAssignedToTheGivenNumberOfBoxes() {
     start(30);
 
-    assertThat(routes.values().stream().filter(each -> each.isAmongFirst("duty", 6))).hasSize(6);
+    assertThat(routes.values().stream().filter(each -> each.isAmongFirst("task", 6))).hasSize(6);
   }
 
   private void start(int count) {
@@ -95,19 +97,19 @@
     }
     connected.addAll(all);
     for (String box : all) {
-      PeerTable board = new PeerTable(box, zoneOf(box), 1, () -> 0, EventLogs.silent());
+      PeerTable peers = new PeerTable(box, zoneOf(box), 1, () -> 0, EventLogs.silent());
       all.stream()
           .filter(other -> !other.equals(box))
-          .forEach(other -> board.update(other, zoneOf(other), false, 1, 0));
-      boards.put(box, board);
+          .forEach(other -> peers.update(other, zoneOf(other), false, 1, 0));
+      peerTables.put(box, peers);
       routes.put(
           box,
-          new HeartbeatRoutes(box, zoneOf(box), board, () -> connected, unreachable::contains));
+          new HeartbeatRoutes(box, zoneOf(box), peers, () -> connected, unreachable::contains));
     }
   }
 
   private List<String> boxes(String zone) {
-    return boards.keySet().stream().filter(box -> zoneOf(box).equals(zone)).toList();
+    return peerTables.keySet().stream().filter(box -> zoneOf(box).equals(zone)).toList();
   }
 
   private static String zoneOf(String box) {
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/Heartbeats.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/Heartbeats.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import org.gradeledge.discovery.ZoneEvacuations;
 
-/** Heartbeats for tests. */
+/** Creates heartbeats for tests. */
 final class Heartbeats {
 
   private Heartbeats() {}
 
-  /** Returns one as older boxes send it, without a number. */
+  /** Returns a heartbeat without a sequence number, as sent by older versions. */
   static Heartbeat of(String zone, long configuration) {
     return of(zone, configuration, 0);
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
@@ -28,15 +28,15 @@
 import reactor.netty.DisposableServer;
 import reactor.netty.resources.LoopResources;
 
-/** Meshes of boxes that hear each other over real connections, on one event loop. */
+/** Runs the meshes of several boxes on one event loop, with real connections between them. */
 final class InProcessBoxes implements AutoCloseable {
 
   private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
-  /** Tries to listen on a port that was free; several in a row being taken is another fault. */
+  /** Attempts to bind a free port; another process may take it in the meantime. */
   private static final int MAX_BIND_ATTEMPTS = 5;
 
-  /** Another one than that of boxes that other tests run: a port may pass from one to another. */
+  /** A random secret, as a port may pass from a box of another test to one of this test. */
   private final PeerSecret secret = new PeerSecret(UUID.randomUUID().toString());
 
   private final LoopResources loops = LoopResources.create("mesh", 1, 1, true, false);
@@ -45,7 +45,7 @@
   private final List<PeerNetwork> networks = new ArrayList<>();
   private final List<UpstreamRegistry> registries = new ArrayList<>();
   private final List<Quarantine> quarantines = new ArrayList<>();
-  private final List<UpstreamLimits> limits = new ArrayList<>();
+  private final List<UpstreamLimits> upstreamLimits = new ArrayList<>();
   private final List<DisposableServer> servers = new ArrayList<>();
   private final List<String> addresses = new ArrayList<>();
 
@@ -57,19 +57,19 @@
     return networks;
   }
 
-  /** Returns what the boxes know of upstreams, in the order in which they were started. */
+  /** Returns the upstream registries of the boxes, in start order. */
   List<UpstreamRegistry> registries() {
     return registries;
   }
 
-  /** Returns what the boxes know of requests that end upstreams, in the same order. */
+  /** Returns the quarantines of the boxes, in start order. */
   List<Quarantine> quarantines() {
     return quarantines;
   }
 
-  /** Returns what the boxes know of limits that upstreams name, in the same order. */
+  /** Returns the upstream limits of the boxes, in start order. */
   List<UpstreamLimits> limits() {
-    return limits;
+    return upstreamLimits;
   }
 
   String address(int box) {
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Waits until there are so many boxes and each hears all of them, over relays. */
+  /** Waits until all boxes receive digests and see the given number of boxes. */
   void awaitCompleteViews(int boxes) throws Exception {
     await(() -> meshes.stream().allMatch(BoxMesh::receivesDigests));
     await(() -> meshes.stream().allMatch(mesh -> mesh.aliveCount() == boxes));
@@ -95,15 +95,15 @@
     addresses.remove(index);
   }
 
-  /** A port that was free a moment ago may be taken by then; another one is tried. */
+  /** Starts a box on a free port; retries if the port is taken in the meantime. */
   void startBox() throws IOException {
     List<String> seeds = addresses.isEmpty() ? List.of() : addresses.subList(0, 1);
-    for (int tries = 1; ; tries++) {
+    for (int attempt = 1; ; attempt++) {
       try {
         startBox("127.0.0.1:" + freePort(), seeds);
         return;
       } catch (ChannelBindException e) {
-        if (tries == MAX_BIND_ATTEMPTS) {
+        if (attempt == MAX_BIND_ATTEMPTS) {
           throw e;
         }
       }
@@ -133,14 +133,14 @@
     Quarantine quarantine = new Quarantine(clock);
     quarantines.add(quarantine);
     UpstreamLimits limits = new UpstreamLimits(clock, EventLogs.silent(), registry::all);
-    limits.add(limits);
+    upstreamLimits.add(limits);
     DeploymentRegistry deployments =
         new DeploymentRegistry(
             document -> {
-              throw new IllegalArgumentException("none is read in this test");
+              throw new IllegalArgumentException("no configuration is read in this test");
             },
             EventLogs.silent());
-    SharedBoxState beliefs =
+    SharedBoxState state =
         new SharedBoxState(
             deployments,
             registry,
@@ -155,19 +155,19 @@
         seeds,
         network,
         loop,
-        beliefs,
+        state,
         clock,
         EventLogs.silent());
   }
 
-  /** Waits; where the test's time is up, tells what each box heard and was connected with. */
+  /** Waits for a condition; on interruption by the test timeout, reports the views of all boxes. */
   void await(Callable<Boolean> condition) throws Exception {
     try {
       while (!onLoop(condition)) {
         Thread.onSpinWait();
       }
     } catch (InterruptedException e) {
-      throw new AssertionError("time is up; the views: " + onLoop(this::describeViews), e);
+      throw new AssertionError("timed out; views of the boxes: " + onLoop(this::describeViews), e);
     }
   }
 
@@ -176,16 +176,16 @@
         .mapToObj(
             box ->
                 addresses.get(box)
-                    + " hears "
+                    + " sees "
                     + meshes.get(box).aliveCount()
                     + (meshes.get(box).receivesDigests() ? " by digests" : " directly")
-                    + ", connected with "
+                    + " boxes, connected with "
                     + networks.get(box).connectedIds())
         .collect(Collectors.joining("\n"));
   }
 
-  <T> T onLoop(Callable<T> question) throws Exception {
-    return loop.submit(question).get();
+  <T> T onLoop(Callable<T> action) throws Exception {
+    return loop.submit(action).get();
   }
 
   private static int freePort() throws IOException {
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LeavingUpstreamExchangeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LeavingUpstreamExchangeTests.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One box hears from an upstream that it leaves, and the list says nothing of it. */
+/** An upstream announces to one box that it is leaving, while the list does not show it. */
 @Timeout(120)
 class LeavingUpstreamExchangeTests {
 
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("id", 10, "service", "10.0.0.1", 1, "zone", 1, false, 0);
-  private static final UpstreamRecord NEXT_START =
+  private static final UpstreamRecord NEXT_INCARNATION =
       new UpstreamRecord("id", 20, "service", "10.0.0.1", 1, "zone", 1, false, 0);
   private static final int FEW = 3;
   private static final int MANY = 18;
@@ -29,22 +29,23 @@
     boxes.close();
   }
 
-  // Guards against requests at an upstream that another box has heard from that it leaves.
+  /** Guards against requests to an upstream that announced to another box that it is leaving. */
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void whatOneBoxHearsAllHeedAndTheNextStartServes(int count) throws Exception {
+  void noBoxUsesALeavingUpstreamUntilItsNextIncarnation(int count) throws Exception {
     start(count);
 
     announce(0);
     boxes.await(() -> all().allMatch(each -> each.usable("service").isEmpty()));
 
-    listAll(2, NEXT_START);
-    assertThat(boxes.onLoop(() -> all().allMatch(each -> each.isUsable(NEXT_START)))).isTrue();
+    listAll(2, NEXT_INCARNATION);
+    assertThat(boxes.onLoop(() -> all().allMatch(each -> each.isUsable(NEXT_INCARNATION))))
+        .isTrue();
   }
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void aBoxThatComesLaterHearsOfIt(int count) throws Exception {
+  void aBoxThatStartsLaterDoesNotUseTheLeavingUpstream(int count) throws Exception {
     start(count);
     announce(0);
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitExchangeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitExchangeTests.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A limit that one box has heard is known to all, few or many, and each has its own place. */
+/** A limit that one box receives reaches all boxes, with and without relays. */
 @Timeout(120)
 class LimitExchangeTests {
 
@@ -33,7 +33,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void whatOneBoxHearsAllKnowAndItsEndToo(int count) throws Exception {
+  void allBoxesLearnALimitAndItsRemoval(int count) throws Exception {
     start(count);
 
     answer(LimitStatement.named(1.3));
@@ -45,7 +45,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void aBoxThatComesLaterHearsOfIt(int count) throws Exception {
+  void aBoxThatStartsLaterLearnsTheLimit(int count) throws Exception {
     start(count);
     answer(LimitStatement.named(2));
     boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isPresent()));
@@ -61,7 +61,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void eachBoxHasAPlaceOfItsOwn(int count) throws Exception {
+  void eachBoxHasADistinctRank(int count) throws Exception {
     start(count);
 
     boxes.await(() -> ranks(count).equals(IntStream.range(0, count).boxed().toList()));
@@ -96,7 +96,7 @@
             return true;
           });
     } catch (Exception e) {
-      throw new AssertionError("the list was not taken on", e);
+      throw new AssertionError("failed to set the list of upstreams", e);
     }
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/ListTrustTrackerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/ListTrustTrackerTests.java
@@ -11,125 +11,125 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A box that seldom reads the list, and what others say of it. */
+/** Decisions of a box that rarely reads the list of upstreams, by the trust that others report. */
 class ListTrustTrackerTests {
 
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("id", "service", "127.0.0.1", 1, "zone", 1, false);
 
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final ListTrustTracker doubts = new ListTrustTracker(upstreams);
-  private final AtomicInteger judged = new AtomicInteger();
+  private final ListTrustTracker tracker = new ListTrustTracker(upstreams);
+  private final AtomicInteger confirmations = new AtomicInteger();
 
   @BeforeEach
   void start() {
     upstreams.replaceAll(1, List.of(UPSTREAM));
-    doubts.onConfirmed(judged::incrementAndGet);
+    tracker.onConfirmed(confirmations::incrementAndGet);
   }
 
   @Test
-  void whatIsMissingIsGoneWhereNobodyDoubts() {
-    doubts.update("a", ListTrust.TRUSTED);
-    doubts.update("b", ListTrust.UNKNOWN);
+  void removesMissingUpstreamsIfNoBoxDistrustsTheList() {
+    tracker.update("a", ListTrust.TRUSTED);
+    tracker.update("b", ListTrust.UNKNOWN);
 
-    assertThat(usableOnceMissing()).isFalse();
+    assertThat(isUsableAfterRemoval()).isFalse();
   }
 
   @Test
-  void whatIsMissingStaysInUseWhereThoseThatReadSteadilyDoubt() {
-    doubts.update("a", ListTrust.DOUBTED);
-    doubts.update("b", ListTrust.UNKNOWN);
+  void keepsMissingUpstreamsIfABoxDistrustsTheList() {
+    tracker.update("a", ListTrust.DOUBTED);
+    tracker.update("b", ListTrust.UNKNOWN);
 
-    assertThat(usableOnceMissing()).isTrue();
+    assertThat(isUsableAfterRemoval()).isTrue();
   }
 
-  /** One that the platform turns away, beside one that it serves. */
+  /** Guards against distrust of a single box that the platform rejects. */
   @Test
-  void aDoubtCountsForNothingBesideOneThatReadsSteadily() {
-    doubts.update("b", ListTrust.TRUSTED);
-    doubts.update("a", ListTrust.DOUBTED);
+  void removesMissingUpstreamsIfAnotherBoxTrustsTheList() {
+    tracker.update("b", ListTrust.TRUSTED);
+    tracker.update("a", ListTrust.DOUBTED);
 
-    assertThat(usableOnceMissing()).isFalse();
+    assertThat(isUsableAfterRemoval()).isFalse();
   }
 
   @Test
-  void aBoxThatReadsSteadilyItselfGoesByWhatItReads() {
+  void ownTrustOverridesTheDistrustOfOthers() {
     upstreams.onTrust(() -> ListTrust.TRUSTED);
-    doubts.update("a", ListTrust.DOUBTED);
+    tracker.update("a", ListTrust.DOUBTED);
 
-    assertThat(usableOnceMissing()).isFalse();
+    assertThat(isUsableAfterRemoval()).isFalse();
   }
 
   @Test
-  void itIsJudgedOnceNobodyDoubtsAnyMore() {
-    doubts.update("a", ListTrust.DOUBTED);
-    doubts.update("b", ListTrust.DOUBTED);
-    doubts.update("a", ListTrust.UNKNOWN);
-    assertThat(judged).hasValue(0);
+  void confirmsTheListOnceNoBoxDistrustsIt() {
+    tracker.update("a", ListTrust.DOUBTED);
+    tracker.update("b", ListTrust.DOUBTED);
+    tracker.update("a", ListTrust.UNKNOWN);
+    assertThat(confirmations).hasValue(0);
 
-    doubts.update("b", ListTrust.UNKNOWN);
+    tracker.update("b", ListTrust.UNKNOWN);
 
-    assertThat(judged).hasValue(1);
+    assertThat(confirmations).hasValue(1);
   }
 
   @Test
-  void itIsJudgedOnceOneTrustsTheListAgain() {
-    doubts.update("a", ListTrust.DOUBTED);
-    doubts.update("b", ListTrust.UNKNOWN);
+  void confirmsTheListOnceABoxTrustsIt() {
+    tracker.update("a", ListTrust.DOUBTED);
+    tracker.update("b", ListTrust.UNKNOWN);
 
-    doubts.update("b", ListTrust.TRUSTED);
+    tracker.update("b", ListTrust.TRUSTED);
 
-    assertThat(judged).hasValue(1);
+    assertThat(confirmations).hasValue(1);
   }
 
   @Test
-  void itIsJudgedWhereTheOneThatDoubtsIsLost() {
-    doubts.update("a", ListTrust.DOUBTED);
+  void confirmsTheListOnceTheDistrustingBoxIsLost() {
+    tracker.update("a", ListTrust.DOUBTED);
 
-    doubts.removeBox("a");
+    tracker.removeBox("a");
 
-    assertThat(judged).hasValue(1);
+    assertThat(confirmations).hasValue(1);
   }
 
-  /** The list comes sooner than the heartbeat of the box that has noticed the outage. */
+  /** Guards against removal of upstreams when the list arrives before the distrust is reported. */
   @Test
-  void aListThatIsDoubtedIsJudgedOnceAllHadTheTimeToSaySo() {
-    doubts.onUnconfirmedList();
-    assertThat(usableOnceMissing()).isTrue();
-    for (int beat = 0; beat < 3; beat++) {
-      doubts.onHeartbeatInterval();
-      assertThat(judged).hasValue(0);
+  void confirmsAnUnconfirmedListAfterThePropagationTime() {
+    tracker.onUnconfirmedList();
+    assertThat(isUsableAfterRemoval()).isTrue();
+    for (int interval = 0; interval < 3; interval++) {
+      tracker.onHeartbeatInterval();
+      assertThat(confirmations).hasValue(0);
     }
 
-    doubts.onHeartbeatInterval();
+    tracker.onHeartbeatInterval();
 
-    assertThat(judged).hasValue(1);
+    assertThat(confirmations).hasValue(1);
   }
 
   @Test
-  void aListThatIsDoubtedIsNotJudgedWhileABoxDoubtsIt() {
-    doubts.onUnconfirmedList();
-    doubts.update("a", ListTrust.DOUBTED);
-    for (int beat = 0; beat < 10; beat++) {
-      doubts.onHeartbeatInterval();
+  void doesNotConfirmAnUnconfirmedListWhileABoxDistrustsIt() {
+    tracker.onUnconfirmedList();
+    tracker.update("a", ListTrust.DOUBTED);
+    for (int interval = 0; interval < 10; interval++) {
+      tracker.onHeartbeatInterval();
     }
-    assertThat(judged).hasValue(0);
+    assertThat(confirmations).hasValue(0);
 
-    doubts.update("a", ListTrust.UNKNOWN);
+    tracker.update("a", ListTrust.UNKNOWN);
 
-    assertThat(judged).hasValue(1);
+    assertThat(confirmations).hasValue(1);
   }
 
-  /** A change is passed on at once; what is the same as before waits for its turn. */
+  /** Only changes are sent at once. */
   @Test
-  void tellsWhetherABoxSaysSomethingElseThanBefore() {
-    assertThat(doubts.update("a", ListTrust.UNKNOWN)).isFalse();
-    assertThat(doubts.update("a", ListTrust.DOUBTED)).isTrue();
-    assertThat(doubts.update("a", ListTrust.DOUBTED)).isFalse();
-    assertThat(doubts.update("a", ListTrust.TRUSTED)).isTrue();
+  void updateReturnsWhetherTheReportedTrustChanged() {
+    assertThat(tracker.update("a", ListTrust.UNKNOWN)).isFalse();
+    assertThat(tracker.update("a", ListTrust.DOUBTED)).isTrue();
+    assertThat(tracker.update("a", ListTrust.DOUBTED)).isFalse();
+    assertThat(tracker.update("a", ListTrust.TRUSTED)).isTrue();
   }
 
-  private boolean usableOnceMissing() {
+  private boolean isUsableAfterRemoval() {
     upstreams.replaceAll(2, List.of());
     return upstreams.isUsable(UPSTREAM);
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LostBoxSelectorTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LostBoxSelectorTests.java
@@ -12,49 +12,52 @@
 
 class LostBoxSelectorTests {
 
-  private static final int BEATS = 4_000;
+  private static final int HEARTBEATS = 4_000;
 
   private final PeerTable peers = new PeerTable("self", "zone-a", 1, () -> 0, EventLogs.silent());
-  private final Set<String> known = new HashSet<>();
-  private final LostBoxSelector lost = new LostBoxSelector(peers, known, new Random(7));
+  private final Set<String> knownBoxes = new HashSet<>();
+  private final LostBoxSelector selector = new LostBoxSelector(peers, knownBoxes, new Random(7));
 
   @Test
-  void nobodyIsTriedWhileAllAreHeard() {
-    hear(30);
+  void selectsNothingWhileAllBoxesAreAlive() {
+    addAliveBoxes(30);
 
-    assertThat(tries()).isEmpty();
+    assertThat(selections()).isEmpty();
   }
 
   @Test
-  void allBoxesTogetherTryALostOneTwiceABeat() {
-    hear(39);
-    known.add("away");
+  void allBoxesTogetherSelectALostBoxTwicePerHeartbeat() {
+    addAliveBoxes(39);
+    knownBoxes.add("lost");
 
-    List<String> tries = tries();
+    List<String> selections = selections();
 
-    assertThat(tries).containsOnly("away");
-    assertThat(tries.size() * 40.0 / BEATS).isBetween(1.6, 2.4);
+    assertThat(selections).containsOnly("lost");
+    assertThat(selections.size() * 40.0 / HEARTBEATS).isBetween(1.6, 2.4);
   }
 
   @Test
-  void whereMostAreLostEachIsTriedInItsTurn() {
-    hear(10);
-    IntStream.range(0, 50).forEach(box -> known.add("away-" + box));
+  void selectsEachLostBoxIfMostAreLost() {
+    addAliveBoxes(10);
+    IntStream.range(0, 50).forEach(box -> knownBoxes.add("lost-" + box));
 
-    List<String> tries = tries();
+    List<String> selections = selections();
 
-    assertThat(tries).hasSize(BEATS);
-    assertThat(Set.copyOf(tries)).hasSize(50);
+    assertThat(selections).hasSize(HEARTBEATS);
+    assertThat(Set.copyOf(selections)).hasSize(50);
   }
 
-  private void hear(int boxes) {
+  private void addAliveBoxes(int boxes) {
     for (int box = 0; box < boxes; box++) {
-      known.add("box-" + box);
+      knownBoxes.add("box-" + box);
       peers.update("box-" + box, "zone-a", false, 1, 0);
     }
   }
 
-  private List<String> tries() {
-    return IntStream.range(0, BEATS).boxed().flatMap(beat -> lost.next().stream()).toList();
+  private List<String> selections() {
+    return IntStream.range(0, HEARTBEATS)
+        .boxed()
+        .flatMap(heartbeat -> selector.next().stream())
+        .toList();
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
@@ -26,21 +26,24 @@
 import org.gradeledge.quarantine.SuspectReport;
 import org.junit.jupiter.api.Test;
 
-/** The formats write the same bytes as binding by reflection, and read each other's. */
+/**
+ * The formats write the same bytes as reflective binding, and each reads the output of the other.
+ */
 class MeshFormatsTests {
 
   private static final byte MAP_OF_ONE = (byte) 0x81;
   private static final byte ARRAY_OF_ONE = (byte) 0x91;
   private static final int LONG_ARRAY_HEADER = 3;
-  private static final byte TEXT_OF_ONE = (byte) 0xa1;
+  private static final byte TEXT_OF_LENGTH_ONE = (byte) 0xa1;
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void heartbeatsAreTheSameBytes(@ForAll long seed) throws IOException {
-    assertSame(new HeartbeatFormat(), RandomMessages.heartbeat(new Random(seed)), Heartbeat.class);
+  void heartbeatFormatMatchesBinding(@ForAll long seed) throws IOException {
+    assertMatchesBinding(
+        new HeartbeatFormat(), RandomMessages.heartbeat(new Random(seed)), Heartbeat.class);
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void digestsAreTheSameBytes(@ForAll long seed) throws IOException {
+  void digestFormatMatchesBinding(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     List<DigestEntry> entries = new ArrayList<>();
     for (int index = random.nextInt(5); index > 0; index--) {
@@ -50,11 +53,11 @@
               RandomMessages.number(random),
               RandomMessages.heartbeat(random)));
     }
-    assertSame(new DigestFormat(), new Digest(entries), Digest.class);
+    assertMatchesBinding(new DigestFormat(), new Digest(entries), Digest.class);
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void groupsAreTheSameBytes(@ForAll long seed) throws IOException {
+  void groupFormatMatchesBinding(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     StageGroup group =
         new StageGroup(
@@ -72,11 +75,11 @@
             RandomMessages.number(random),
             RandomMessages.number(random),
             random.nextBoolean());
-    assertSame(new StageGroupFormat(), group, StageGroup.class);
+    assertMatchesBinding(new StageGroupFormat(), group, StageGroup.class);
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void resultsAreTheSameBytes(@ForAll long seed) throws IOException {
+  void resultFormatMatchesBinding(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     StageOutcome outcome = StageOutcome.values()[random.nextInt(StageOutcome.values().length)];
     StageGroupResult result =
@@ -86,11 +89,11 @@
             RandomMessages.text(random),
             RandomMessages.number(random),
             RandomMessages.number(random));
-    assertSame(new StageGroupResultFormat(), result, StageGroupResult.class);
+    assertMatchesBinding(new StageGroupResultFormat(), result, StageGroupResult.class);
   }
 
   @Property(tries = 200, shrinking = ShrinkingMode.OFF)
-  void listsOfUpstreamsAreTheSameBytes(@ForAll long seed) throws IOException {
+  void upstreamListFormatMatchesBinding(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     List<UpstreamRecord> upstreams = new ArrayList<>();
     for (int index = random.nextInt(5); index > 0; index--) {
@@ -106,32 +109,33 @@
               random.nextBoolean(),
               random.nextInt(9_000)));
     }
-    assertSame(
+    assertMatchesBinding(
         new UpstreamListFormat(),
         new UpstreamList(RandomMessages.number(random), upstreams, random.nextBoolean()),
         UpstreamList.class);
   }
 
   @Property(tries = 200, shrinking = ShrinkingMode.OFF)
-  void smallMessagesAreTheSameBytes(@ForAll long seed) throws IOException {
+  void otherFormatsMatchBinding(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
-    assertSame(
+    assertMatchesBinding(
         new StageCancelFormat(),
         new StageCancel(RandomMessages.text(random), RandomMessages.text(random)),
         StageCancel.class);
-    assertSame(new StageFreeFormat(), new StageFree(RandomMessages.texts(random)), StageFree.class);
-    assertSame(
+    assertMatchesBinding(
+        new StageFreeFormat(), new StageFree(RandomMessages.texts(random)), StageFree.class);
+    assertMatchesBinding(
         new StageInputsTakenFormat(),
         new StageInputsTaken(RandomMessages.text(random), random.nextInt(9)),
         StageInputsTaken.class);
-    assertSame(
+    assertMatchesBinding(
         new DocumentRequestFormat(),
         new DocumentRequest(RandomMessages.number(random)),
         DocumentRequest.class);
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void newsOfSuspectsIsReadAsItWasWritten(@ForAll long seed) throws IOException {
+  void suspectsFormatReadsWhatItWrites(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     List<SuspectReport> reports = new ArrayList<>();
     for (int index = random.nextInt(5); index > 0; index--) {
@@ -153,7 +157,7 @@
   }
 
   @Property(tries = 100, shrinking = ShrinkingMode.OFF)
-  void documentsAreTheSameBytes(@ForAll byte[] document) throws IOException {
+  void documentFormatMatchesBinding(@ForAll byte[] document) throws IOException {
     DocumentAnswerFormat format = new DocumentAnswerFormat();
     byte[] bytes = MessageFormats.write(format, new DocumentAnswer(document));
     assertThat(bytes).isEqualTo(MessageFormats.writeBound(new DocumentAnswer(document)));
@@ -161,14 +165,14 @@
   }
 
   @Property(tries = 20_000, shrinking = ShrinkingMode.OFF)
-  void damagedDigestsAreReadOrRefused(
-      @ForAll @IntRange(max = 10_000) int place, @ForAll byte value, @ForAll int seed)
+  void damagedDigestsAreReadOrRejected(
+      @ForAll @IntRange(max = 10_000) int position, @ForAll byte value, @ForAll int seed)
       throws IOException {
     DigestFormat format = new DigestFormat();
     Digest digest =
         new Digest(List.of(new DigestEntry("box", 3, RandomMessages.heartbeat(new Random(seed)))));
     byte[] bytes = MessageFormats.write(format, digest);
-    bytes[place % bytes.length] = value;
+    bytes[position % bytes.length] = value;
     try {
       assertThat(MessageFormats.read(format, bytes)).isNotNull();
     } catch (IOException | RuntimeException e) {
@@ -177,26 +181,27 @@
   }
 
   @Test
-  void whatIsCutShortIsRefused() throws IOException {
+  void rejectsTruncatedMessages() throws IOException {
     StageGroupResultFormat format = new StageGroupResultFormat();
     StageGroupResult result =
         new StageGroupResult(StageOutcome.MADE, List.of("a/1", "b/2"), "box", 0, 7);
     byte[] bytes = MessageFormats.write(format, result);
     for (int length = 0; length < bytes.length; length++) {
-      byte[] cut = Arrays.copyOf(bytes, length);
-      assertThatThrownBy(() -> MessageFormats.read(format, cut)).isInstanceOf(Exception.class);
+      byte[] truncated = Arrays.copyOf(bytes, length);
+      assertThatThrownBy(() -> MessageFormats.read(format, truncated))
+          .isInstanceOf(Exception.class);
     }
   }
 
   @Test
-  void aMissingFieldIsNamed() throws IOException {
+  void namesAMissingField() throws IOException {
     byte[] bytes = MessageFormats.writeBound(Map.of("service", "encode"));
     assertThatThrownBy(() -> MessageFormats.read(new StageCancelFormat(), bytes))
         .hasMessageContaining("requestId");
   }
 
   @Test
-  void fieldsOfNewerBoxesArePassedOver() throws IOException {
+  void skipsUnknownFields() throws IOException {
     byte[] bytes =
         MessageFormats.writeBound(
             Map.of("service", "encode", "requestId", "r1", "newer", List.of(1.5, "x")));
@@ -205,31 +210,32 @@
   }
 
   @Test
-  void heartbeatsOfOlderBoxesAreRead() throws IOException {
-    Heartbeat beat = Heartbeats.of("zone", 7);
-    byte[] bytes = MessageFormats.write(new HeartbeatFormat(), beat);
-    int suspects = 1;
-    int doubts = 1;
-    int number = 1;
+  void readsHeartbeatsOfOlderVersions() throws IOException {
+    Heartbeat heartbeat = Heartbeats.of("zone", 7);
+    byte[] bytes = MessageFormats.write(new HeartbeatFormat(), heartbeat);
+    int quarantineDigest = 1;
+    int listTrust = 1;
+    int sequenceNumber = 1;
     int limits = 1;
     int leaving = 1;
     byte[] older =
-        Arrays.copyOf(bytes, bytes.length - leaving - limits - number - doubts - suspects);
+        Arrays.copyOf(
+            bytes, bytes.length - leaving - limits - sequenceNumber - listTrust - quarantineDigest);
     older = asArrayOf(11, older);
     int evacuations = 3;
     byte[] oldest = Arrays.copyOf(older, older.length - evacuations);
     oldest[0]--;
 
-    assertThat(MessageFormats.read(new HeartbeatFormat(), older)).isEqualTo(beat);
-    assertThat(MessageFormats.read(new HeartbeatFormat(), oldest)).isEqualTo(beat);
+    assertThat(MessageFormats.read(new HeartbeatFormat(), older)).isEqualTo(heartbeat);
+    assertThat(MessageFormats.read(new HeartbeatFormat(), oldest)).isEqualTo(heartbeat);
   }
 
   @Test
-  void whatIsNestedWithoutEndIsRefused() {
+  void rejectsExcessiveNesting() {
     byte[] bytes = new byte[100_000];
     Arrays.fill(bytes, ARRAY_OF_ONE);
     bytes[0] = MAP_OF_ONE;
-    bytes[1] = TEXT_OF_ONE;
+    bytes[1] = TEXT_OF_LENGTH_ONE;
     bytes[2] = 'x';
 
     assertThatThrownBy(() -> MessageFormats.read(new StageFreeFormat(), bytes))
@@ -237,14 +243,14 @@
         .hasMessageContaining("nested");
   }
 
-  /** Returns a message with a header of a short array in place of that of a long one. */
+  /** Replaces the header of a long array by that of a short one. */
   private static byte[] asArrayOf(int fields, byte[] longArray) {
     byte[] shortArray = Arrays.copyOfRange(longArray, LONG_ARRAY_HEADER - 1, longArray.length);
     shortArray[0] = (byte) (ARRAY_OF_ONE - 1 + fields);
     return shortArray;
   }
 
-  private static <T> void assertSame(MessageFormat<T> format, T message, Class<T> type)
+  private static <T> void assertMatchesBinding(MessageFormat<T> format, T message, Class<T> type)
       throws IOException {
     byte[] bytes = MessageFormats.write(format, message);
     assertThat(bytes).isEqualTo(MessageFormats.writeBound(message));
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/PeerTableTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/PeerTableTests.java
@@ -14,104 +14,104 @@
   private static final long MILLI = 1_000_000;
 
   private long nowNanos;
-  private final PeerTable board =
+  private final PeerTable peers =
       new PeerTable("self", "zone", 1, () -> nowNanos, EventLogs.silent());
 
   @Test
-  void aBoxThatHasJustStartedDoesNotKnowYetWhoElseIsThere() {
-    assertThat(board.isDiscoveryComplete()).isFalse();
+  void discoveryTakesAMinimumTime() {
+    assertThat(peers.isDiscoveryComplete()).isFalse();
 
     nowNanos += 500 * MILLI;
-    assertThat(board.isDiscoveryComplete()).isTrue();
+    assertThat(peers.isDiscoveryComplete()).isTrue();
   }
 
   @Test
-  void aBoxWaitsWhileItStillHearsOthersForTheFirstTimeButNotForEver() {
+  void newPeersExtendDiscoveryUpToTheMaximumTime() {
     nowNanos += 450 * MILLI;
-    board.update("one", "zone", false, 1, 0);
+    peers.update("one", "zone", false, 1, 0);
     nowNanos += 200 * MILLI;
-    assertThat(board.isDiscoveryComplete()).isFalse();
-    board.update("two", "zone", false, 1, 0);
+    assertThat(peers.isDiscoveryComplete()).isFalse();
+    peers.update("two", "zone", false, 1, 0);
     nowNanos += 290 * MILLI;
-    assertThat(board.isDiscoveryComplete()).isFalse();
+    assertThat(peers.isDiscoveryComplete()).isFalse();
 
-    board.update("three", "zone", false, 1, 0);
+    peers.update("three", "zone", false, 1, 0);
     nowNanos += 260 * MILLI;
 
-    assertThat(board.isDiscoveryComplete()).isTrue();
+    assertThat(peers.isDiscoveryComplete()).isTrue();
   }
 
   @Test
-  void aBoxThatIsSilentForTooLongIsLostAndToldOfOnce() {
+  void reportsASilentBoxAsLostOnce() {
     List<String> lost = new ArrayList<>();
-    board.onLost(lost::add);
-    board.update("one", "zone", false, 1, 400);
+    peers.onLost(lost::add);
+    peers.update("one", "zone", false, 1, 400);
     nowNanos += 700 * MILLI;
-    board.expire(1_000);
-    board.expire(1_000);
+    peers.expire(1_000);
+    peers.expire(1_000);
 
     assertThat(lost).containsExactly("one");
-    assertThat(board.alive()).containsExactly("self");
+    assertThat(peers.alive()).containsExactly("self");
   }
 
   @Test
-  void oneThatIsLeavingDoesNoWorkForOthers() {
-    board.update("one", "zone", true, 1, 0);
+  void aLeavingBoxIsAliveButNotAvailable() {
+    peers.update("one", "zone", true, 1, 0);
 
-    assertThat(board.available()).containsExactly("self");
-    assertThat(board.alive()).containsExactly("one", "self");
+    assertThat(peers.available()).containsExactly("self");
+    assertThat(peers.alive()).containsExactly("one", "self");
   }
 
   @Test
-  void whoWorksIsLookedAtAgainOnlyWhereABoxComesGoesOrLeaves() {
-    board.update("one", "zone", false, 1, 0);
-    Set<String> before = board.available();
-    board.update("one", "zone", false, 1, 0);
-    assertThat(board.available()).isSameAs(before);
-
-    board.update("one", "zone", true, 1, 0);
-    assertThat(board.available()).containsExactly("self");
-
-    board.leave();
-    board.update("two", "other-zone", false, 1, 0);
-    assertThat(board.available()).containsExactly("two");
-    assertThat(board.zones()).containsExactly("other-zone", "zone");
+  void replacesTheAvailableSetOnlyWhenABoxChanges() {
+    peers.update("one", "zone", false, 1, 0);
+    Set<String> before = peers.available();
+    peers.update("one", "zone", false, 1, 0);
+    assertThat(peers.available()).isSameAs(before);
+
+    peers.update("one", "zone", true, 1, 0);
+    assertThat(peers.available()).containsExactly("self");
+
+    peers.leave();
+    peers.update("two", "other-zone", false, 1, 0);
+    assertThat(peers.available()).containsExactly("two");
+    assertThat(peers.zones()).containsExactly("other-zone", "zone");
   }
 
   @Test
-  void aStrongerBoxComesBeforeAllWeakerOnesInEveryDuty() {
+  void aBoxOfGreaterWeightRanksFirstForEveryTask() {
     for (int box = 0; box < 40; box++) {
-      board.update("weak-" + box, "zone", false, 20, 0);
+      peers.update("light-" + box, "zone", false, 20, 0);
     }
-    board.update("strong", "zone", false, 150, 0);
+    peers.update("heavy", "zone", false, 150, 0);
 
-    for (int duty = 0; duty < 20; duty++) {
-      assertThat(board.alive().stream().min(board.byRank("duty-" + duty))).contains("strong");
+    for (int task = 0; task < 20; task++) {
+      assertThat(peers.alive().stream().min(peers.byRank("task-" + task))).contains("heavy");
     }
   }
 
   @Test
-  void boxesThatAreAlikeShareTheDuties() {
+  void boxesOfSimilarWeightShareTheTasks() {
     for (int box = 0; box < 10; box++) {
-      board.update("box-" + box, "zone", false, 36 + box, 0);
+      peers.update("box-" + box, "zone", false, 36 + box, 0);
     }
     Set<String> chosen = new HashSet<>();
-    for (int duty = 0; duty < 60; duty++) {
-      chosen.add(board.alive().stream().min(board.byRank("duty-" + duty)).orElseThrow());
+    for (int task = 0; task < 60; task++) {
+      chosen.add(peers.alive().stream().min(peers.byRank("task-" + task)).orElseThrow());
     }
 
     assertThat(chosen).hasSizeGreaterThan(6).doesNotContain("self");
   }
 
   @Test
-  void aBoxThatTellsAnotherStrengthComesToAnotherPlace() {
-    board.update("one", "zone", false, 20, 0);
-    board.update("two", "zone", false, 40, 0);
-    Set<String> before = board.available();
+  void aChangedWeightChangesTheRank() {
+    peers.update("one", "zone", false, 20, 0);
+    peers.update("two", "zone", false, 40, 0);
+    Set<String> before = peers.available();
 
-    board.update("one", "zone", false, 150, 0);
+    peers.update("one", "zone", false, 150, 0);
 
-    assertThat(board.available()).isNotSameAs(before);
-    assertThat(board.alive().stream().min(board.byRank("duty"))).contains("one");
+    assertThat(peers.available()).isNotSameAs(before);
+    assertThat(peers.alive().stream().min(peers.byRank("task"))).contains("one");
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/RandomMessages.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/RandomMessages.java
@@ -10,7 +10,7 @@
 import org.gradeledge.limit.LimitReport;
 import org.gradeledge.selection.LoadShare;
 
-/** Parts of messages between boxes, as they may come. */
+/** Creates random parts of messages between boxes. */
 final class RandomMessages {
 
   private RandomMessages() {}
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/RelayedMeshTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/RelayedMeshTests.java
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** So many boxes that heartbeats are relayed, over real connections in one process. */
+/** Enough boxes that heartbeats are relayed, over real connections in one process. */
 @Timeout(120)
 class RelayedMeshTests {
 
   private static final int BOXES = 18;
 
-  /** Ends of connections where heartbeats are relayed; all with all would be about twice that. */
-  private static final int MOST_ENDS = BOXES * BOXES / 2;
+  /** Half of the connection ends that a full mesh has. */
+  private static final int MAX_CONNECTION_ENDS = BOXES * BOXES / 2;
 
   private final InProcessBoxes boxes = new InProcessBoxes();
 
@@ -24,19 +24,19 @@
   }
 
   @Test
-  void boxesThatKnowOneSeedAloneHearAllOthersAndGoOnHearingThem() throws Exception {
+  void boxesWithOneSeedDiscoverAllOthers() throws Exception {
     boxes.startBoxes(BOXES);
     boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES));
     boxes.awaitCompleteViews(BOXES);
 
     assertThat(
             boxes.onLoop(
-                () -> boxes.meshes().stream().filter(mesh -> mesh.isAssigned("duty", 6)).count()))
+                () -> boxes.meshes().stream().filter(mesh -> mesh.isAssigned("task", 6)).count()))
         .isEqualTo(6);
   }
 
   @Test
-  void aBoxThatComesLaterHearsAllOthers() throws Exception {
+  void aBoxThatStartsLaterDiscoversAllOthers() throws Exception {
     boxes.startBoxes(BOXES);
     boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::receivesDigests));
 
@@ -46,14 +46,14 @@
   }
 
   @Test
-  void connectionsAreThoseThatHeartbeatsNeed() throws Exception {
+  void closesConnectionsThatHeartbeatsDoNotRequire() throws Exception {
     boxes.startBoxes(BOXES);
     boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES));
 
     boxes.await(
         () ->
             boxes.networks().stream().mapToInt(each -> each.connectedIds().size()).sum()
-                < MOST_ENDS);
+                < MAX_CONNECTION_ENDS);
 
     assertThat(
             boxes.onLoop(
@@ -62,14 +62,14 @@
   }
 
   @Test
-  void aBoxWhoseSeedsAreAllGoneIsMetByThoseThatKnewIt() throws Exception {
+  void otherBoxesReconnectToARestartedBoxWithoutSeeds() throws Exception {
     boxes.startBoxes(BOXES);
     boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::receivesDigests));
-    String gone = boxes.address(BOXES - 1);
+    String restarted = boxes.address(BOXES - 1);
     boxes.stopBox(BOXES - 1);
     boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES - 1));
 
-    boxes.startBox(gone, List.of());
+    boxes.startBox(restarted, List.of());
 
     boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES));
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/SuspectExchangeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/SuspectExchangeTests.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What one box learns of a request that ends upstreams reaches all others, few or many. */
+/** Records of a request that crashes upstreams reach all boxes, with and without relays. */
 @Timeout(120)
 class SuspectExchangeTests {
 
   private static final int FEW = 4;
   private static final int MANY = 18;
-  private static final RequestFingerprint GUILTY = new RequestFingerprint(1, 2, 3);
-  private static final RequestFingerprint INNOCENT = new RequestFingerprint(4, 5, 6);
+  private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 2, 3);
+  private static final RequestFingerprint HARMLESS = new RequestFingerprint(4, 5, 6);
 
   private final InProcessBoxes boxes = new InProcessBoxes();
 
@@ -28,51 +28,51 @@
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void endsThatThreeBoxesSawAreOneVerdictAtAll(int count) throws Exception {
-    start(count);
+  void crashesSeenByThreeBoxesQuarantineTheRequestAtAllBoxes(int count) throws Exception {
+    startBoxes(count);
 
-    end(0, GUILTY, "a");
-    end(1, GUILTY, "b");
-    end(count - 1, GUILTY, "c");
+    recordCrash(0, CRASHING, "a");
+    recordCrash(1, CRASHING, "b");
+    recordCrash(count - 1, CRASHING, "c");
 
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(GUILTY)));
-    assertThat(boxes.onLoop(() -> boxes.quarantines().stream().anyMatch(b -> b.bars(INNOCENT))))
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(CRASHING)));
+    assertThat(boxes.onLoop(() -> boxes.quarantines().stream().anyMatch(b -> b.bars(HARMLESS))))
         .isFalse();
   }
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void aBoxThatComesLaterLearnsTheVerdict(int count) throws Exception {
-    start(count);
-    for (String start : List.of("a", "b", "c")) {
-      end(0, GUILTY, start);
+  void aBoxThatStartsLaterLearnsTheQuarantine(int count) throws Exception {
+    startBoxes(count);
+    for (String incarnation : List.of("a", "b", "c")) {
+      recordCrash(0, CRASHING, incarnation);
     }
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(GUILTY)));
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(CRASHING)));
 
     boxes.startBox();
 
-    boxes.await(() -> newest().bars(GUILTY));
+    boxes.await(() -> newest().bars(CRASHING));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void whatIsLiftedAtOneBoxIsLiftedAtAll(int count) throws Exception {
-    start(count);
-    for (String start : List.of("a", "b", "c")) {
-      end(0, GUILTY, start);
+  void aQuarantineLiftedAtOneBoxIsLiftedAtAllBoxes(int count) throws Exception {
+    startBoxes(count);
+    for (String incarnation : List.of("a", "b", "c")) {
+      recordCrash(0, CRASHING, incarnation);
     }
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(GUILTY)));
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(CRASHING)));
 
     boxes.onLoop(
         () -> {
-          boxes.quarantines().get(1).lift(GUILTY);
+          boxes.quarantines().get(1).lift(CRASHING);
           return true;
         });
 
-    boxes.await(() -> boxes.quarantines().stream().noneMatch(box -> box.bars(GUILTY)));
+    boxes.await(() -> boxes.quarantines().stream().noneMatch(box -> box.bars(CRASHING)));
   }
 
-  private void start(int count) throws Exception {
+  private void startBoxes(int count) throws Exception {
     boxes.startBoxes(count);
     boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == count));
   }
@@ -81,10 +81,11 @@
     return boxes.quarantines().get(boxes.quarantines().size() - 1);
   }
 
-  private void end(int box, RequestFingerprint fingerprint, String start) throws Exception {
+  private void recordCrash(int box, RequestFingerprint fingerprint, String incarnation)
+      throws Exception {
     boxes.onLoop(
         () -> {
-          boxes.quarantines().get(box).endedUnder(fingerprint, start);
+          boxes.quarantines().get(box).endedUnder(fingerprint, incarnation);
           return true;
         });
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListPropagationTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListPropagationTests.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What one box has read of the list of upstreams reaches many others. */
+/** Changes in the list of upstreams that one box reads reach all boxes over relays. */
 @Timeout(120)
 class UpstreamListPropagationTests {
 
@@ -23,8 +23,8 @@
   private static final long REVISION = 7;
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("id", "service", "127.0.0.1", 1, "zone-0", 1, false);
-  private static final UpstreamRecord STARTED_AFTERWARDS =
-      new UpstreamRecord("afterwards", "service", "10.0.0.2", 1, "zone-1", 1, false);
+  private static final UpstreamRecord STARTED_LATER =
+      new UpstreamRecord("later", "service", "10.0.0.2", 1, "zone-1", 1, false);
 
   private final InProcessBoxes boxes = new InProcessBoxes();
 
@@ -34,39 +34,35 @@
   }
 
   /**
-   * A box that does not hear a stronger one of its zone yet takes itself for a relay and reads too,
-   * so that the count means something only once all hear all.
+   * Guards against all boxes reading a new list. Reads are counted once all boxes see each other,
+   * as before that more boxes act as relays.
    */
   @Test
-  void newsOfUpstreamsReachesAllThoughOnlyRelaysReadIt() throws Exception {
+  void aNewListReachesAllBoxesThoughOnlyRelaysReadIt() throws Exception {
     boxes.startBoxes(BOXES);
     boxes.awaitCompleteViews(BOXES);
     AtomicInteger reads = new AtomicInteger();
-    boxes.onLoop(() -> readNewsOnAsking(reads));
+    boxes.onLoop(() -> countReads(reads));
 
-    boxes.onLoop(() -> learn(0));
+    boxes.onLoop(() -> applyNewList(0));
     boxes.await(() -> boxes.registries().stream().allMatch(each -> each.revision() == REVISION));
 
     assertThat(reads.get()).isLessThan(BOXES / 2);
   }
 
   /**
-   * Seen: among many boxes most dropped all upstreams for up to two seconds after an outage of the
-   * list, in which the entries had lapsed.
-   *
-   * <p>How it came about: a box that reads the list every ten seconds, as others tell it of news,
-   * has not noticed the outage; the list that it is told lacks the entries that the teller itself
-   * keeps in use, and it takes them as gone.
+   * Guards against the removal of all upstreams at boxes that receive a list in which entries
+   * lapsed during an outage that they have not noticed.
    */
   @ParameterizedTest
   @ValueSource(ints = {18, 61, 86})
-  void anEntryThatMayOnlyHaveLapsedStaysInUseAtBoxesThatAreToldOfIt(int count) throws Exception {
+  void anEntryThatMayOnlyHaveLapsedStaysInUseAtAllBoxes(int count) throws Exception {
     boxes.startBoxes(count);
     boxes.awaitCompleteViews(count);
-    boxes.onLoop(() -> learn(0));
+    boxes.onLoop(() -> applyNewList(0));
     boxes.await(() -> boxes.registries().stream().allMatch(each -> each.revision() == REVISION));
 
-    boxes.onLoop(() -> lapseAt(0));
+    boxes.onLoop(() -> applyLapsedListAt(0));
     boxes.await(() -> boxes.registries().stream().allMatch(each -> each.revision() > REVISION));
 
     assertThat(
@@ -77,16 +73,14 @@
 
   @ParameterizedTest
   @ValueSource(ints = {BOXES, 61, 86})
-  void whatOneBoxReadsAfterADrillReachesAllAndDropsNothingThatTheCopyLacks(int count)
-      throws Exception {
+  void aListFromARestoredBackupReachesAllBoxesAndRemovesNoUpstream(int count) throws Exception {
     boxes.startBoxes(count);
     boxes.awaitCompleteViews(count);
-    boxes.onLoop(() -> learn(0));
+    boxes.onLoop(() -> applyNewList(0));
     boxes.await(() -> boxes.registries().stream().allMatch(each -> each.revision() == REVISION));
 
-    boxes.onLoop(() -> readOlderCopyAt(0));
-    boxes.await(
-        () -> boxes.registries().stream().allMatch(each -> each.isUsable(STARTED_AFTERWARDS)));
+    boxes.onLoop(() -> readRestoredBackupAt(0));
+    boxes.await(() -> boxes.registries().stream().allMatch(each -> each.isUsable(STARTED_LATER)));
 
     assertThat(
             boxes.onLoop(
@@ -94,15 +88,15 @@
         .isEqualTo(count);
   }
 
-  private boolean readOlderCopyAt(int box) {
+  private boolean readRestoredBackupAt(int box) {
     UpstreamRegistry registry = boxes.registries().get(box);
     registry.distrustRemovals();
-    registry.replaceAll(TableRevision.of(1, 2), List.of(STARTED_AFTERWARDS));
+    registry.replaceAll(TableRevision.of(1, 2), List.of(STARTED_LATER));
     boxes.meshes().get(box).announceNow();
     return true;
   }
 
-  private boolean lapseAt(int box) {
+  private boolean applyLapsedListAt(int box) {
     boxes.registries().get(box).distrustRemovals();
     boxes.registries().get(box).update(REVISION + 1, List.of(), List.of(UPSTREAM.id()));
     boxes.meshes().get(box).announceNow();
@@ -110,18 +104,18 @@
   }
 
   @Test
-  void anEvacuationThatOneBoxReadsReachesAll() throws Exception {
+  void anEvacuationReachesAllBoxes() throws Exception {
     boxes.startBoxes(BOXES);
     boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::receivesDigests));
-    ZoneEvacuations ordered = new ZoneEvacuations(REVISION, Set.of("zone-0"));
+    ZoneEvacuations evacuations = new ZoneEvacuations(REVISION, Set.of("zone-0"));
 
-    boxes.onLoop(() -> boxes.registries().get(BOXES - 1).evacuate(ordered));
+    boxes.onLoop(() -> boxes.registries().get(BOXES - 1).evacuate(evacuations));
 
     boxes.await(
-        () -> boxes.registries().stream().allMatch(each -> each.evacuations().equals(ordered)));
+        () -> boxes.registries().stream().allMatch(each -> each.evacuations().equals(evacuations)));
   }
 
-  private boolean readNewsOnAsking(AtomicInteger reads) {
+  private boolean countReads(AtomicInteger reads) {
     for (int box = 0; box < BOXES; box++) {
       int reader = box;
       boxes
@@ -130,13 +124,13 @@
           .onNewUpstreamList(
               () -> {
                 reads.incrementAndGet();
-                learn(reader);
+                applyNewList(reader);
               });
     }
     return true;
   }
 
-  private boolean learn(int box) {
+  private boolean applyNewList(int box) {
     boxes.registries().get(box).replaceAll(REVISION, List.of(UPSTREAM));
     boxes.meshes().get(box).announceNow();
     return true;
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListUpdatesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListUpdatesTests.java
@@ -20,21 +20,21 @@
 import org.junit.jupiter.api.Test;
 import reactor.netty.resources.LoopResources;
 
-/** Who reads the list of upstreams when others tell of news, in virtual time. */
+/** Which boxes read the list of upstreams when another box reports a new one, in virtual time. */
 class UpstreamListUpdatesTests {
 
   private static final String SELF = "127.0.0.1:1";
   private static final String ZONE = "zone";
   private static final int BOXES = 18;
-  private static final int STRONG = 100;
-  private static final int WEAK = 1;
+  private static final int HEAVY = 100;
+  private static final int LIGHT = 1;
   private static final long REVISION = 7;
 
-  /** As long as a relay has to pass the news on. */
+  /** Time after which a box stops waiting for its relay. */
   private static final long RELAY_MILLIS = 500;
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
-  private final LoopResources loops = LoopResources.create("news", 1, true);
+  private final LoopResources loops = LoopResources.create("updates", 1, true);
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
   private final AtomicInteger reads = new AtomicInteger();
 
@@ -45,10 +45,10 @@
   }
 
   @Test
-  void aBoxThatIsNoRelayReadsOnlyOnceARelayHadItsTime() {
-    UpstreamListUpdates news = newsAt(WEAK);
+  void aBoxThatIsNoRelayReadsAfterTheRelayTime() {
+    UpstreamListUpdates updates = updatesAt(LIGHT);
 
-    news.onRevision("127.0.0.1:2", REVISION);
+    updates.onRevision("127.0.0.1:2", REVISION);
     advance(RELAY_MILLIS - 1);
     assertThat(reads).hasValue(0);
 
@@ -57,13 +57,13 @@
   }
 
   @Test
-  void aBoxThatLearnsTheNewsMeanwhileNeverReads() {
-    UpstreamListUpdates news = newsAt(WEAK);
+  void aBoxThatReceivesTheListMeanwhileDoesNotRead() {
+    UpstreamListUpdates updates = updatesAt(LIGHT);
 
     for (int box = 2; box < BOXES; box++) {
-      news.onRevision("127.0.0.1:" + box, REVISION);
+      updates.onRevision("127.0.0.1:" + box, REVISION);
     }
-    learn();
+    applyNewList();
     advance(RELAY_MILLIS);
 
     assertThat(reads).hasValue(0);
@@ -71,27 +71,27 @@
 
   @Test
   void aRelayReadsAtOnce() {
-    newsAt(STRONG).onRevision("127.0.0.1:2", REVISION);
+    updatesAt(HEAVY).onRevision("127.0.0.1:2", REVISION);
 
     assertThat(reads).hasValue(1);
   }
 
   @Test
-  void whatIsNoNewsIsNotRead() {
-    learn();
+  void doesNotReadARevisionThatItAlreadyHas() {
+    applyNewList();
 
-    newsAt(STRONG).onRevision("127.0.0.1:2", REVISION);
+    updatesAt(HEAVY).onRevision("127.0.0.1:2", REVISION);
     advance(RELAY_MILLIS);
 
     assertThat(reads).hasValue(0);
   }
 
-  /** All other boxes are of middle strength. */
-  private UpstreamListUpdates newsAt(int strength) {
+  /** All other boxes have a weight in between. */
+  private UpstreamListUpdates updatesAt(int weight) {
     MonotonicClock clock = () -> 0;
-    PeerTable peers = new PeerTable(SELF, ZONE, strength, clock, EventLogs.silent());
+    PeerTable peers = new PeerTable(SELF, ZONE, weight, clock, EventLogs.silent());
     for (int box = 2; box <= BOXES; box++) {
-      peers.update("127.0.0.1:" + box, ZONE, false, STRONG / 2, 0);
+      peers.update("127.0.0.1:" + box, ZONE, false, HEAVY / 2, 0);
     }
     PeerNetwork network =
         new PeerNetwork(
@@ -103,7 +103,7 @@
     DeploymentRegistry deployments =
         new DeploymentRegistry(
             document -> {
-              throw new IllegalArgumentException("none is read in this test");
+              throw new IllegalArgumentException("no configuration is read in this test");
             },
             EventLogs.silent());
     DocumentExchange documents =
@@ -113,13 +113,13 @@
             deployments,
             upstreams,
             new ListTrustTracker(upstreams));
-    UpstreamListUpdates news =
+    UpstreamListUpdates updates =
         new UpstreamListUpdates(routes, upstreams, documents, channel.eventLoop());
-    news.onRead(reads::incrementAndGet);
-    return news;
+    updates.onRead(reads::incrementAndGet);
+    return updates;
   }
 
-  private void learn() {
+  private void applyNewList() {
     upstreams.replaceAll(
         REVISION, List.of(new UpstreamRecord("id", "service", "127.0.0.1", 1, ZONE, 1, false)));
   }
