--- a/gradeledge-core/src/main/java/org/gradeledge/event/EventLog.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/event/EventLog.java
@@ -8,11 +8,11 @@
 import java.util.Deque;
 
 /**
- * Writes events as lines of JSON on a thread of its own. Writing an event never blocks: what does
- * not fit into the queue is left out and counted, and a line tells how many.
+ * Writes events as lines of JSON on a dedicated thread. Writing an event never blocks: events that
+ * do not fit into the queue are dropped, and a line reports their number.
  *
- * <p>Events that led to a failed request or that change what the box believes may use the whole
- * queue; events of what went well only half of it. Thread-safe.
+ * <p>State changes and problems may fill the whole queue, other events only half of it.
+ * Thread-safe.
  *
  * @since 0.2
  */
@@ -25,7 +25,7 @@
   private final Deque<String> queue = new ArrayDeque<>();
   private long droppedLines;
 
-  /** Creates the log and starts its thread. */
+  /** Creates the log and starts its writer thread. */
   public EventLog(PrintStream out, String box) {
     this.out = out;
     this.box = box;
@@ -34,22 +34,22 @@
     writer.start();
   }
 
-  /** Starts an event of a change of what the box believes. */
+  /** Starts an event for a change of the state that this box has recorded. */
   public Event change(String name) {
     return new Event(this, name, true);
   }
 
-  /** Starts an event of a request that was refused, failed or had to be helped. */
+  /** Starts an event for a problem, such as a refused or failed request. */
   public Event problem(String name) {
     return new Event(this, name, true);
   }
 
-  /** Starts an event of a request that goes well. */
+  /** Starts an event for a step of a successful request. */
   public Event step(String name) {
     return new Event(this, name, false);
   }
 
-  /** Waits until what is queued is written, at most for the time given. */
+  /** Waits until all queued events are written or the given time has passed. */
   public synchronized void drain(long millis) throws InterruptedException {
     long end = System.nanoTime() + millis * 1_000_000;
     while (!queue.isEmpty() && System.nanoTime() < end) {
@@ -100,7 +100,7 @@
     return lines.toString();
   }
 
-  /** An event that is being put together; it counts once {@link #write} is called. */
+  /** Builder for an event, which is logged when {@link #write} is called. */
   public static final class Event {
 
     private static final JsonStringEncoder ENCODER = JsonStringEncoder.getInstance();
@@ -116,7 +116,7 @@
       line.append("\",\"event\":\"").append(name).append('"');
     }
 
-    /** Adds a text. */
+    /** Adds a string field. */
     public Event with(String key, String value) {
       line.append(",\"").append(key).append("\":\"");
       ENCODER.quoteAsString(value, line);
@@ -124,19 +124,19 @@
       return this;
     }
 
-    /** Adds a number. */
+    /** Adds a number field. */
     public Event with(String key, long value) {
       line.append(",\"").append(key).append("\":").append(value);
       return this;
     }
 
-    /** Hands the line to the writer. */
+    /** Adds the event to the queue of the writer. */
     public void write() {
       log.enqueue(line.append("}\n").toString(), important);
     }
   }
 
-  /** Returns standard output as a stream of UTF-8 that does not flush by itself. */
+  /** Returns standard output as a UTF-8 stream without automatic flushing. */
   public static PrintStream standardOutput() {
     return new PrintStream(
         new java.io.FileOutputStream(java.io.FileDescriptor.out), false, StandardCharsets.UTF_8);
--- a/gradeledge-core/src/main/java/org/gradeledge/event/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/event/package-info.java
@@ -1,4 +1,4 @@
-/** Structured log events: one line of JSON for each decision, bounded and never blocking. */
+/** Structured event log that writes one line of JSON per event without blocking. */
 @NullMarked
 package org.gradeledge.event;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/event/EventLogTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/event/EventLogTests.java
@@ -15,7 +15,7 @@
 class EventLogTests {
 
   @Test
-  void writesOneLineOfJsonForEachEvent() throws Exception {
+  void writesOneLineOfJsonPerEvent() throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     EventLog log = new EventLog(new PrintStream(out, true, StandardCharsets.UTF_8), "box-1");
 
@@ -30,45 +30,45 @@
   }
 
   @Test
-  void aReaderThatStopsReadingBlocksNobodyAndWhatWasLeftOutIsCounted() throws Exception {
-    CountDownLatch readAgain = new CountDownLatch(1);
+  void aBlockedOutputDoesNotBlockCallersAndDroppedEventsAreCounted() throws Exception {
+    CountDownLatch unblock = new CountDownLatch(1);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    EventLog log = new EventLog(new PrintStream(new StoppingStream(out, readAgain)), "box-1");
+    EventLog log = new EventLog(new PrintStream(new BlockingStream(out, unblock)), "box-1");
 
     for (int i = 0; i < 20_000; i++) {
       log.step("request-ended").with("number", i).write();
     }
     log.problem("request-refused").write();
-    readAgain.countDown();
+    unblock.countDown();
     log.drain(5_000);
 
-    String text = awaitTextWith(out, "request-refused");
+    String text = awaitTextContaining(out, "request-refused");
     assertThat(text).contains("left-out");
     assertThat(text.lines().count()).isLessThan(5_000);
   }
 
   private static String awaitText(ByteArrayOutputStream out) {
-    return awaitTextWith(out, "\n");
+    return awaitTextContaining(out, "\n");
   }
 
-  private static String awaitTextWith(ByteArrayOutputStream out, String part) {
+  private static String awaitTextContaining(ByteArrayOutputStream out, String expected) {
     String text = out.toString(StandardCharsets.UTF_8);
-    while (!text.contains(part)) {
+    while (!text.contains(expected)) {
       Thread.onSpinWait();
       text = out.toString(StandardCharsets.UTF_8);
     }
     return text;
   }
 
-  /** Blocks each write until it is told to read again. */
-  private static final class StoppingStream extends OutputStream {
+  /** Blocks each write until the latch is released. */
+  private static final class BlockingStream extends OutputStream {
 
     private final OutputStream target;
-    private final CountDownLatch readAgain;
+    private final CountDownLatch unblock;
 
-    StoppingStream(OutputStream target, CountDownLatch readAgain) {
+    BlockingStream(OutputStream target, CountDownLatch unblock) {
       this.target = target;
-      this.readAgain = readAgain;
+      this.unblock = unblock;
     }
 
     @Override
@@ -79,7 +79,7 @@
     @Override
     public void write(byte[] bytes, int offset, int length) throws IOException {
       try {
-        readAgain.await();
+        unblock.await();
       } catch (InterruptedException e) {
         throw new IOException(e);
       }
--- a/gradeledge-core/src/test/java/org/gradeledge/event/RecordedEvents.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/event/RecordedEvents.java
@@ -4,7 +4,7 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** A log whose lines a test counts. */
+/** Records the lines of an event log, to be counted by tests. */
 public final class RecordedEvents {
 
   private static final String MARKER = "last-line-so-far";
@@ -14,16 +14,16 @@
       new EventLog(new PrintStream(bytes, true, StandardCharsets.UTF_8), "test");
   private int markers;
 
-  /** Returns the log. */
+  /** Returns the event log. */
   public EventLog log() {
     return log;
   }
 
-  /** Returns how many lines of an event were written, once all so far are. */
+  /** Returns the number of lines of an event, after all queued lines are written. */
   public long count(String event) {
-    String last = MARKER + ++markers;
-    log.change(last).write();
-    while (lines(last) == 0) {
+    String marker = MARKER + ++markers;
+    log.change(marker).write();
+    while (lines(marker) == 0) {
       Thread.onSpinWait();
     }
     return lines(event);
