--- a/gradeledge-core/src/main/java/org/gradeledge/metrics/AttemptResult.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/metrics/AttemptResult.java
@@ -3,19 +3,19 @@
 import java.util.Locale;
 
 /**
- * What became of one call of a stage.
+ * Result of one call of a stage.
  *
  * @since 0.1
  */
 public enum AttemptResult {
-  /** Its answer was used. */
+  /** The answer was used. */
   USED,
-  /** It failed. */
+  /** The call failed. */
   FAILED,
-  /** It was cancelled, since its answer was no longer wanted. */
+  /** The call was cancelled because its answer was no longer required. */
   CANCELLED;
 
-  /** Returns the name used as a label. */
+  /** Returns the value of the metric label. */
   public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/metrics/BoxMetrics.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/metrics/BoxMetrics.java
@@ -13,9 +13,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Everything that a box counts, in one Prometheus registry of its own.
+ * Metrics of a box in a Prometheus registry of its own.
  *
- * <p>Labels hold names from settings and pipeline files only, never tokens or request content.
+ * <p>Labels contain names from settings and pipeline files only, never tokens or request content.
  * Times are in seconds. Thread-safe.
  *
  * @since 0.1
@@ -104,12 +104,12 @@
     requestSeconds.labelValues(pipeline).observe(nanos / 1e9);
   }
 
-  /** Returns what each stage consumes. */
+  /** Returns the costs of the stages. */
   public CostLedger costs() {
     return costs;
   }
 
-  /** Counts an answer that belonged to another call. */
+  /** Counts an upstream answer that was dropped because it belonged to another call. */
   public void droppedAnswer(String upstream) {
     droppedAnswers.labelValues(upstream).inc();
   }
@@ -120,7 +120,7 @@
     peerBytes.labelValues(type, direction).inc(bytes);
   }
 
-  /** Counts a call to the platform, by its name and whether it was answered. */
+  /** Counts a call to the platform by its name and by whether it was answered. */
   public void platformCall(String call, boolean answered) {
     platformCalls.labelValues(call, answered ? "answered" : "failed").inc();
   }
@@ -130,17 +130,17 @@
     changes.labelValues(pipeline, verdict).inc();
   }
 
-  /** Shows the version that this box serves. */
+  /** Sets the version of a pipeline that this box serves. */
   public void versionInForce(String pipeline, long version) {
     versionInForce.labelValues(pipeline).set(version);
   }
 
-  /** Counts a change of state that a log line tells too. */
+  /** Counts a change of state that is also logged as an event. */
   public void stateChange(String change) {
     stateChanges.labelValues(change).inc();
   }
 
-  /** Shows a value that is read whenever the metrics are. */
+  /** Registers a gauge whose value is read on each scrape. */
   public void gauge(String name, String help, DoubleSupplier value) {
     GaugeWithCallback.builder()
         .name(name)
@@ -149,7 +149,7 @@
         .register(registry);
   }
 
-  /** Returns all metrics and the process's own figures in the Prometheus text format. */
+  /** Returns all metrics, including those of the JVM, in the Prometheus text format. */
   public byte[] exposition() {
     registerJvmMetrics();
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -161,7 +161,7 @@
     return out.toByteArray();
   }
 
-  /** The process's figures load much of the JVM's management, which a box need not wait for. */
+  /** Registers the JVM metrics on first use, as loading their classes would delay startup. */
   private synchronized void registerJvmMetrics() {
     if (!jvmMetricsRegistered) {
       jvmMetricsRegistered = true;
--- a/gradeledge-core/src/main/java/org/gradeledge/metrics/CostLedger.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/metrics/CostLedger.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What each stage consumes, by pipeline, stage and client account. Thread-safe.
+ * Accumulates the costs of stages by pipeline, stage and client account. Thread-safe.
  *
  * @since 0.1
  */
@@ -43,7 +43,7 @@
             registry, "gradeledge_stage_attempts_total", "Calls by what became of them", "result");
   }
 
-  /** Adds one call of a stage. */
+  /** Adds the cost of one call. */
   public void add(StageCost cost) {
     boolean used = cost.result() == AttemptResult.USED;
     String[] key = {cost.pipeline(), cost.stage(), cost.account()};
@@ -60,7 +60,7 @@
     sum.attempts.computeIfAbsent(cost.result(), result -> new LongAdder()).increment();
   }
 
-  /** Returns all totals since the box started. */
+  /** Returns the totals since the box started, sorted by pipeline, stage and account. */
   public List<CostTotal> totals() {
     return sums.entrySet().stream()
         .map(entry -> total(entry.getKey(), entry.getValue()))
@@ -85,8 +85,8 @@
         byResult);
   }
 
-  private static CounterDataPoint labelled(Counter counter, String[] key, String last) {
-    return counter.labelValues(key[0], key[1], key[2], last);
+  private static CounterDataPoint labelled(Counter counter, String[] key, String lastValue) {
+    return counter.labelValues(key[0], key[1], key[2], lastValue);
   }
 
   private static Counter counter(
--- a/gradeledge-core/src/main/java/org/gradeledge/metrics/CostTotal.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/metrics/CostTotal.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * What one stage consumed for one client account on one box.
+ * Total cost of one stage for one client account on one box.
  *
  * @param pipeline name of the pipeline
  * @param stage name of the stage
  * @param account name of the client account
  * @param upstreamMillis time that upstreams spent on calls whose answers were used
- * @param wastedMillis time that they spent on all other calls
- * @param tokensIn tokens read
- * @param tokensOut tokens generated
- * @param attempts calls by what became of them
+ * @param wastedMillis time that upstreams spent on all other calls
+ * @param tokensIn input tokens
+ * @param tokensOut generated tokens
+ * @param attempts number of calls by result
  * @since 0.1
  */
 public record CostTotal(
--- a/gradeledge-core/src/main/java/org/gradeledge/metrics/StageCost.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/metrics/StageCost.java
@@ -1,15 +1,15 @@
 package org.gradeledge.metrics;
 
 /**
- * What one call of a stage consumed.
+ * Cost of one call of a stage.
  *
  * @param pipeline name of the pipeline
  * @param stage name of the stage
- * @param account client account whose request it was
- * @param result what became of the call
+ * @param account client account of the request
+ * @param result result of the call
  * @param nanos time from dispatch to end, in nanoseconds
- * @param tokensIn tokens that the upstream read, 0 where it does not say
- * @param tokensOut tokens that the upstream generated
+ * @param tokensIn input tokens, 0 if the upstream does not report them
+ * @param tokensOut generated tokens
  * @since 0.1
  */
 public record StageCost(
--- a/gradeledge-core/src/main/java/org/gradeledge/metrics/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** The registry of counters, gauges and histograms that a box exposes. */
+/** Metrics of a box: counters, gauges and histograms in the Prometheus format. */
 @NullMarked
 package org.gradeledge.metrics;
 
