--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -165,7 +165,7 @@
 
   /** Sets the action to run when another box reports a newer list of upstreams. */
   public void onNewUpstreamList(Runnable action) {
-    listUpdates.onRead(action);
+    listUpdates.setReadAction(action);
   }
 
   /** Sets the action to run once no other box distrusts the list of upstreams any more. */
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
@@ -139,7 +139,7 @@
   }
 
   /** Returns the recipients of an update that each box forwards where heartbeats are relayed. */
-  Set<String> updateRecipients() {
+  Set<String> forwardingRecipients() {
     Set<String> clients = relayedBoxes();
     Set<String> boxes = new HashSet<>(routes.localRelays());
     boxes.addAll(clients);
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
@@ -76,7 +76,7 @@
       network.tellAll(MeshMessages.SUSPECTS, news);
       return;
     }
-    network.tellEach(sender.updateRecipients(), MeshMessages.SUSPECTS, news);
+    network.tellEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, news);
   }
 
   /** Compares the digest in the heartbeat of a connected box with the own one. */
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListUpdates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListUpdates.java
@@ -38,7 +38,7 @@
   }
 
   /** Sets the action that reads the list from the platform. */
-  void onRead(Runnable action) {
+  void setReadAction(Runnable action) {
     readAction = action;
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/event/RecordedEvents.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/event/RecordedEvents.java
@@ -12,7 +12,7 @@
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
   private final EventLog log =
       new EventLog(new PrintStream(bytes, true, StandardCharsets.UTF_8), "test");
-  private int markers;
+  private int markerCount;
 
   /** Returns the event log. */
   public EventLog log() {
@@ -21,7 +21,7 @@
 
   /** Returns the number of lines of an event, after all queued lines are written. */
   public long count(String event) {
-    String marker = MARKER + ++markers;
+    String marker = MARKER + ++markerCount;
     log.change(marker).write();
     while (lines(marker) == 0) {
       Thread.onSpinWait();
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListUpdatesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListUpdatesTests.java
@@ -115,7 +115,7 @@
             new ListTrustTracker(upstreams));
     UpstreamListUpdates updates =
         new UpstreamListUpdates(routes, upstreams, documents, channel.eventLoop());
-    updates.onRead(reads::incrementAndGet);
+    updates.setReadAction(reads::incrementAndGet);
     return updates;
   }
 
