--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -145,7 +145,8 @@
     network.register(
         MeshMessages.UPSTREAMS,
         (from, request) -> supply(() -> Mono.just(documents.upstreamList())));
-    network.register(MeshMessages.SUSPECTS, (from, news) -> run(() -> suspects.receive(news)));
+    network.register(
+        MeshMessages.SUSPECTS, (from, message) -> run(() -> suspects.receive(message)));
     network.setIncarnation(System.currentTimeMillis());
     return network.listen(listen).doOnNext(server -> loop.execute(this::runHeartbeat));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
@@ -16,7 +16,7 @@
  * @param weight capacity for work of others; see RelaySettings
  * @param configurationRevision revision of the configuration in force
  * @param upstreamsRevision revision of the last change in the list of upstreams
- * @param aliveBoxes addresses of the boxes that it hears; empty where heartbeats are relayed
+ * @param aliveBoxes addresses of the boxes that are alive; empty where heartbeats are relayed
  * @param loadShares its requests in flight, by upstream
  * @param backlogMillis time for which its waiting stage work occupies each service; for each
  *     priority, the work of that priority and all higher ones
@@ -49,7 +49,7 @@
     List<LimitReport> limits,
     List<String> leavingUpstreams) {
 
-  /** Returns whether the sender uses no relays and lists the boxes that it hears. */
+  /** Returns whether the sender uses no relays and therefore lists the boxes that are alive. */
   boolean listsBoxes() {
     return !aliveBoxes.isEmpty();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
@@ -138,7 +138,7 @@
     return boxes;
   }
 
-  /** Returns the recipients of an update that each box forwards where heartbeats are relayed. */
+  /** Returns the boxes to which records are forwarded where heartbeats are relayed. */
   Set<String> forwardingRecipients() {
     Set<String> clients = relayedBoxes();
     Set<String> boxes = new HashSet<>(routes.localRelays());
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/PeerTable.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/PeerTable.java
@@ -130,8 +130,8 @@
 
   /**
    * Returns the rank of this box for a task, by rendezvous hashing, among all boxes that may be
-   * running. Lost boxes count for a while, as they may be running without being heard, and calls
-   * that they sent may still be in flight. Empty during discovery.
+   * running. Lost boxes count for a while, as they may still be running and their calls may still
+   * be in flight. Empty during discovery.
    */
   Optional<BoxRank> rank(String task) {
     if (!isDiscoveryComplete()) {
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
@@ -61,22 +61,22 @@
   }
 
   /** Merges records of another box, and forwards the new ones where heartbeats are relayed. */
-  void receive(SuspectNews news) {
-    SuspectNews changed = quarantine.merge(news);
+  void receive(SuspectNews records) {
+    SuspectNews changed = quarantine.merge(records);
     if (routes.usesRelays()) {
       broadcast(changed);
     }
   }
 
-  private void broadcast(SuspectNews news) {
-    if (news.isEmpty()) {
+  private void broadcast(SuspectNews records) {
+    if (records.isEmpty()) {
       return;
     }
     if (!routes.usesRelays()) {
-      network.tellAll(MeshMessages.SUSPECTS, news);
+      network.tellAll(MeshMessages.SUSPECTS, records);
       return;
     }
-    network.tellEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, news);
+    network.tellEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, records);
   }
 
   /** Compares the digest in the heartbeat of a connected box with the own one. */
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
@@ -17,13 +17,13 @@
   private static final int END_FIELDS = 3;
 
   @Override
-  public void write(MessagePacker packer, SuspectNews news) throws IOException {
+  public void write(MessagePacker packer, SuspectNews records) throws IOException {
     packer.packArrayHeader(FIELDS);
-    packer.packArrayHeader(news.reports().size());
-    for (SuspectReport report : news.reports()) {
+    packer.packArrayHeader(records.reports().size());
+    for (SuspectReport report : records.reports()) {
       write(packer, report);
     }
-    TextLists.write(packer, news.living());
+    TextLists.write(packer, records.living());
   }
 
   private static void write(MessagePacker packer, SuspectReport report) throws IOException {
@@ -44,10 +44,10 @@
   @Override
   public SuspectNews read(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(FIELDS);
-    SuspectNews news =
+    SuspectNews records =
         new SuspectNews(reader.list(SuspectsFormat::readReport), reader.list(MessageReader::text));
     reader.skip(extraFields);
-    return news;
+    return records;
   }
 
   private static SuspectReport readReport(MessageReader reader) throws IOException {
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
@@ -150,10 +150,11 @@
               ends,
               random.nextBoolean()));
     }
-    SuspectNews news = new SuspectNews(reports, RandomMessages.texts(random));
+    SuspectNews records = new SuspectNews(reports, RandomMessages.texts(random));
     SuspectsFormat format = new SuspectsFormat();
 
-    assertThat(MessageFormats.read(format, MessageFormats.write(format, news))).isEqualTo(news);
+    assertThat(MessageFormats.read(format, MessageFormats.write(format, records)))
+        .isEqualTo(records);
   }
 
   @Property(tries = 100, shrinking = ShrinkingMode.OFF)
