--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -27,11 +27,9 @@
 import reactor.netty.DisposableServer;
 
 /**
- * Keeps the boxes of a deployment in touch: each tells the others what it has in force and under
- * way, straight or over relays, and learns from them what it could not read itself. A box is named
- * by the address that it listens on for peers.
- *
- * <p>Confined to the event loop.
+ * Connects a box with the other boxes of its deployment to exchange heartbeats, configuration, the
+ * list of upstreams and stage work. A box is identified by the address on which it listens for
+ * peers. Confined to the event loop.
  *
  * @since 0.2
  */
@@ -39,242 +37,243 @@
 
   private final String self;
   private final String zone;
-  private final int strength;
+  private final int weight;
   private final PeerNetwork network;
   private final EventLoop loop;
-  private final BoxBeliefs beliefs;
-  private final PeerBoard peers;
-  private final Set<String> known = new HashSet<>();
+  private final SharedBoxState state;
+  private final PeerTable peers;
+  private final Set<String> knownBoxes = new HashSet<>();
   private final Collection<String> seeds;
   private Supplier<Map<String, List<Long>>> backlogs = Map::of;
-  private BiConsumer<String, Map<String, List<Long>>> onBacklogs = (box, backlog) -> {};
-  private final MeshLinks links;
+  private BiConsumer<String, Map<String, List<Long>>> backlogListener = (box, backlog) -> {};
+  private final MeshConnections connections;
   private final HeartbeatRelay relay;
   private final HeartbeatRoutes routes;
   private final DocumentExchange documents;
-  private final UpstreamNews upstreamNews;
+  private final UpstreamListUpdates listUpdates;
   private final HeartbeatSender sender;
-  private final LostBoxes lost;
+  private final LostBoxSelector lostBoxes;
   private final SuspectExchange suspects;
-  private final ListDoubts listDoubts;
-  private final BeatNumbers numbers;
-  private long newestConfiguration = -1;
-  private long newestUpstreams = -1;
+  private final ListTrustTracker listTrust;
+  private final HeartbeatSequence sequence;
+  private long latestConfiguration = -1;
+  private long latestUpstreams = -1;
   private boolean leaving;
 
   /**
-   * Creates the mesh; it does not speak yet.
+   * Creates the mesh without starting it.
    *
-   * @param self address of this box
-   * @param zone its availability zone
-   * @param strength how much work for others it can bear, compared with that of other boxes
-   * @param seeds addresses of some boxes, which may be stale
+   * @param weight capacity of this box for work of others, relative to other boxes
+   * @param seeds addresses of some boxes, possibly outdated
    */
   public BoxMesh(
       String self,
       String zone,
-      int strength,
+      int weight,
       Collection<String> seeds,
       PeerNetwork network,
       EventLoop loop,
-      BoxBeliefs beliefs,
+      SharedBoxState state,
       MonotonicClock clock,
       EventLog events) {
     this.self = self;
     this.zone = zone;
-    this.strength = strength;
+    this.weight = weight;
     this.network = network;
     this.loop = loop;
-    this.beliefs = beliefs;
+    this.state = state;
     this.seeds = seeds.stream().filter(seed -> !seed.equals(self)).toList();
-    this.peers = new PeerBoard(self, zone, strength, clock, events);
+    this.peers = new PeerTable(self, zone, weight, clock, events);
     this.relay = new HeartbeatRelay(self, clock);
-    this.numbers = new BeatNumbers(clock, System.currentTimeMillis());
-    this.links = new MeshLinks(network, clock);
+    this.sequence = new HeartbeatSequence(clock, System.currentTimeMillis());
+    this.connections = new MeshConnections(network, clock);
     this.routes =
-        new HeartbeatRoutes(self, zone, peers, network::connectedIds, links::isUnreachable);
-    this.listDoubts = new ListDoubts(beliefs.upstreams());
+        new HeartbeatRoutes(self, zone, peers, network::connectedIds, connections::isUnreachable);
+    this.listTrust = new ListTrustTracker(state.upstreams());
     this.documents =
-        new DocumentExchange(links, loop, beliefs.deployments(), beliefs.upstreams(), listDoubts);
-    this.upstreamNews = new UpstreamNews(routes, beliefs.upstreams(), documents, loop);
-    this.sender = new HeartbeatSender(network, loop, clock, peers, routes, relay, links, this::own);
-    this.lost = new LostBoxes(peers, known, new Random());
-    this.suspects = new SuspectExchange(beliefs.quarantine(), network, routes, sender, loop, clock);
+        new DocumentExchange(connections, loop, state.deployments(), state.upstreams(), listTrust);
+    this.listUpdates = new UpstreamListUpdates(routes, state.upstreams(), documents, loop);
+    this.sender =
+        new HeartbeatSender(
+            network, loop, clock, peers, routes, relay, connections, this::ownHeartbeat);
+    this.lostBoxes = new LostBoxSelector(peers, knownBoxes, new Random());
+    this.suspects = new SuspectExchange(state.quarantine(), network, routes, sender, loop, clock);
     MeshMessages.registerFormats(network);
-    peers.onLost(relay::forget);
-    peers.onLost(beliefs::forget);
-    peers.onLost(links::lost);
-    peers.onLost(suspects::lost);
-    peers.onLost(listDoubts::lost);
+    peers.onLost(relay::removeBox);
+    peers.onLost(state::removeBox);
+    peers.onLost(connections::removeBox);
+    peers.onLost(suspects::removeBox);
+    peers.onLost(listTrust::removeBox);
   }
 
-  /** Returns what has stage work done by one box for each service. */
-  public StageWorkClient stageWork(BatchCoordinator coordinator) {
-    StageWorkHandler handler = new StageWorkHandler(coordinator, links);
+  /** Returns the client that delegates the stage work of each service to its owner. */
+  public StageWorkClient stageWorkClient(BatchCoordinator coordinator) {
+    StageWorkHandler handler = new StageWorkHandler(coordinator, connections);
     network.register(
-        MeshMessages.STAGE_WORK, (from, group) -> onLoop(() -> work(handler, from, group)));
+        MeshMessages.STAGE_WORK, (from, group) -> supply(() -> handle(handler, from, group)));
     network.register(
         MeshMessages.STAGE_CANCEL,
-        (from, message) -> done(() -> coordinator.cancel(message.service(), message.requestId())));
+        (from, message) -> run(() -> coordinator.cancel(message.service(), message.requestId())));
     network.register(
-        MeshMessages.STAGE_FREE,
-        (from, message) -> done(() -> coordinator.free(message.handles())));
+        MeshMessages.STAGE_FREE, (from, message) -> run(() -> coordinator.free(message.handles())));
     backlogs = coordinator::backlogMillis;
     MeshStageWorkClient client =
-        new MeshStageWorkClient(self, links, peers, coordinator, loop, beliefs.toCome());
+        new MeshStageWorkClient(self, connections, peers, coordinator, loop, state.pendingPieces());
     network.register(
         MeshMessages.STAGE_INPUTS_TAKEN,
-        (from, message) -> done(() -> client.inputsTaken(from.boxId(), message)));
-    peers.onLost(client::lost);
-    onBacklogs = client::heardBacklogs;
+        (from, message) -> run(() -> client.onInputsTaken(from.boxId(), message)));
+    peers.onLost(client::onBoxLost);
+    backlogListener = client::updateBacklogs;
     return client;
   }
 
-  private Mono<StageGroupResult> work(
+  private Mono<StageGroupResult> handle(
       StageWorkHandler handler, PeerIdentity from, StageGroup group) {
-    links.use(from.boxId());
-    return handler.work(from.boxId(), group);
+    connections.markUsed(from.boxId());
+    return handler.handle(from.boxId(), group);
   }
 
-  /** Listens and starts to tell. */
+  /** Starts listening and sending heartbeats. */
   public Mono<? extends DisposableServer> start(InetSocketAddress listen) {
     network.register(
-        MeshMessages.HEARTBEAT, (from, beat) -> done(() -> heardDirectly(from.boxId(), beat)));
+        MeshMessages.HEARTBEAT, (from, message) -> run(() -> onHeartbeat(from.boxId(), message)));
     network.register(
-        MeshMessages.DIGEST, (from, digest) -> done(() -> heardDigest(from.boxId(), digest)));
+        MeshMessages.DIGEST, (from, digest) -> run(() -> onDigest(from.boxId(), digest)));
     network.register(
         MeshMessages.CONFIGURATION,
-        (from, request) -> onLoop(() -> Mono.just(documents.configuration())));
+        (from, request) -> supply(() -> Mono.just(documents.configuration())));
     network.register(
         MeshMessages.UPSTREAMS,
-        (from, request) -> onLoop(() -> Mono.just(documents.upstreamList())));
-    network.register(MeshMessages.SUSPECTS, (from, news) -> done(() -> suspects.heard(news)));
+        (from, request) -> supply(() -> Mono.just(documents.upstreamList())));
+    network.register(
+        MeshMessages.SUSPECTS, (from, message) -> run(() -> suspects.receive(message)));
     network.setIncarnation(System.currentTimeMillis());
-    return network.listen(listen).doOnNext(server -> loop.execute(this::beat));
+    return network.listen(listen).doOnNext(server -> loop.execute(this::runHeartbeat));
   }
 
-  /** Tells the others that this box takes no more work for them. */
+  /** Announces that this box accepts no more work from other boxes. */
   public void leave() {
     leaving = true;
     peers.leave();
-    sender.tell();
+    sender.sendHeartbeat();
   }
 
-  /** Tells the others at once what was just learned. */
-  public void tellNow() {
-    sender.tell();
-    sender.tellDigestsSoon();
+  /** Announces the current state to the other boxes without waiting for the next heartbeat. */
+  public void announceNow() {
+    sender.sendHeartbeat();
+    sender.scheduleDigests();
   }
 
-  /** Runs an action whenever another box has read something newer of the list of upstreams. */
-  public void onUpstreamNews(Runnable action) {
-    upstreamNews.onRead(action);
+  /** Sets the action to run when another box reports a newer list of upstreams. */
+  public void onNewUpstreamList(Runnable action) {
+    listUpdates.setReadAction(action);
   }
 
-  /** Runs an action once no other box doubts the list of upstreams any more. */
-  public void onListSettled(Runnable action) {
-    listDoubts.onSettled(action);
+  /** Sets the action to run once no other box distrusts the list of upstreams any more. */
+  public void onListConfirmed(Runnable action) {
+    listTrust.onConfirmed(action);
   }
 
-  /** Returns whether there are many boxes and this one hears of them by digests. */
-  public boolean hearsDigests() {
-    return sender.hearsDigests();
+  /** Returns whether heartbeats are relayed and this box receives them in digests. */
+  public boolean receivesDigests() {
+    return sender.receivesDigests();
   }
 
-  /** Returns whether this box is among so many that have a duty for all. */
-  public boolean hasDuty(String duty, int boxes) {
-    return routes.isAmongFirst(duty, boxes);
+  /** Returns whether this box is among the given number of boxes that perform a task for all. */
+  public boolean isAssigned(String task, int boxes) {
+    return routes.isAmongFirst(task, boxes);
   }
 
-  /** Returns how many boxes are heard, this one included. */
-  public int boxes() {
+  /** Returns the number of boxes that are alive, including this one. */
+  public int aliveCount() {
     return peers.alive().size();
   }
 
-  /** Returns where this box stands for a duty among those that may be at work, if it can know. */
-  public Optional<BoxRank> rank(String duty) {
-    return peers.rank(duty);
+  /** Returns the rank of this box for a task, empty until it has discovered its peers. */
+  public Optional<BoxRank> rank(String task) {
+    return peers.rank(task);
   }
 
-  private void beat() {
-    peers.expire(sender.silenceMillis());
-    listDoubts.beat();
-    connect();
-    sender.beat();
-    loop.schedule(this::beat, sender.intervalMillis(), TimeUnit.MILLISECONDS);
+  private void runHeartbeat() {
+    peers.expire(sender.timeoutMillis());
+    listTrust.onHeartbeatInterval();
+    maintainConnections();
+    sender.sendScheduled();
+    loop.schedule(this::runHeartbeat, sender.intervalMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /**
-   * Few boxes are all connected; among many each keeps up those that it needs. A box that has just
-   * started among many knows more than it hears: it waits to be introduced by those that it hears,
-   * as connections with all that it knows would be most of what its start costs.
-   */
-  private void connect() {
-    if (routes.many()) {
-      links.use(sender.neighbours());
+  /** A box that is starting waits to be introduced, as connecting to all boxes is expensive. */
+  private void maintainConnections() {
+    if (routes.usesRelays()) {
+      connections.markUsed(sender.requiredConnections());
     } else {
-      links.use(HeartbeatRoutes.areMany(known.size()) ? othersHeard() : known);
+      connections.markUsed(
+          HeartbeatRoutes.requiresRelays(knownBoxes.size()) ? otherAliveBoxes() : knownBoxes);
     }
-    links.keepUp(sender.hearsDigests() ? List.of() : seeds);
-    lost.next().ifPresent(sender::meet);
+    connections.maintain(sender.receivesDigests() ? List.of() : seeds);
+    lostBoxes.next().ifPresent(sender::tryReconnect);
   }
 
-  private List<String> othersHeard() {
+  private List<String> otherAliveBoxes() {
     return peers.alive().stream().filter(box -> !box.equals(self)).toList();
   }
 
-  private Heartbeat own() {
-    return beliefs.heartbeat(zone, leaving, strength, backlogs.get(), numbers.next());
+  private Heartbeat ownHeartbeat() {
+    return state.heartbeat(zone, leaving, weight, backlogs.get(), sequence.next());
   }
 
-  private void heardDirectly(String box, Heartbeat beat) {
-    relay.heard(box, beat);
-    heard(box, beat, 0);
-    suspects.compare(box, beat.suspects());
-    if (beat.isOfFew()) {
-      sender.introduce(box);
+  private void onHeartbeat(String box, Heartbeat heartbeat) {
+    relay.receive(box, heartbeat);
+    applyHeartbeat(box, heartbeat, 0);
+    suspects.compareDigest(box, heartbeat.quarantineDigest());
+    if (heartbeat.listsBoxes()) {
+      sender.sendIntroduction(box);
     }
   }
 
-  private void heardDigest(String relayBox, Digest digest) {
-    sender.heardDigest();
+  private void onDigest(String relayBox, Digest digest) {
+    sender.recordDigest();
     digest.entries().stream()
         .filter(entry -> entry.box().equals(relayBox))
-        .forEach(entry -> heardFromRelay(relayBox, entry.beat()));
-    relay.takeNewer(digest).forEach(entry -> heard(entry.box(), entry.beat(), entry.ageMillis()));
+        .forEach(entry -> onRelayHeartbeat(relayBox, entry.heartbeat()));
+    relay
+        .acceptNewer(digest)
+        .forEach(entry -> applyHeartbeat(entry.box(), entry.heartbeat(), entry.ageMillis()));
   }
 
-  private void heardFromRelay(String relayBox, Heartbeat beat) {
-    upstreamNews.heardFromRelay(relayBox, beat.upstreams());
-    suspects.compare(relayBox, beat.suspects());
+  private void onRelayHeartbeat(String relayBox, Heartbeat heartbeat) {
+    listUpdates.onRelayRevision(relayBox, heartbeat.upstreamsRevision());
+    suspects.compareDigest(relayBox, heartbeat.quarantineDigest());
   }
 
-  private void heard(String box, Heartbeat beat, long ageMillis) {
-    peers.heard(box, beat.zone(), beat.leaving(), beat.strength(), ageMillis);
-    onBacklogs.accept(box, beat.backlogMillis());
-    known.add(box);
-    beat.boxes().stream().filter(other -> !other.equals(self)).forEach(known::add);
-    documents.learnConfigurationSoon(box, beat.configuration());
-    boolean otherDoubt = listDoubts.heard(box, ListTrust.ofCode(beat.listTrust()));
-    upstreamNews.heardOf(box, beat.upstreams());
-    boolean news = beliefs.heard(box, beat, ageMillis);
-    if (isNews(beat) || news || otherDoubt) {
-      sender.tellDigestsSoon();
+  private void applyHeartbeat(String box, Heartbeat heartbeat, long ageMillis) {
+    peers.update(box, heartbeat.zone(), heartbeat.leaving(), heartbeat.weight(), ageMillis);
+    backlogListener.accept(box, heartbeat.backlogMillis());
+    knownBoxes.add(box);
+    heartbeat.aliveBoxes().stream().filter(other -> !other.equals(self)).forEach(knownBoxes::add);
+    documents.scheduleConfigurationFetch(box, heartbeat.configurationRevision());
+    boolean trustChanged = listTrust.update(box, ListTrust.ofCode(heartbeat.listTrust()));
+    listUpdates.onRevision(box, heartbeat.upstreamsRevision());
+    boolean stateChanged = state.applyHeartbeat(box, heartbeat, ageMillis);
+    if (hasNewRevision(heartbeat) || stateChanged || trustChanged) {
+      sender.scheduleDigests();
     }
   }
 
-  private boolean isNews(Heartbeat beat) {
-    boolean news = beat.configuration() > newestConfiguration || beat.upstreams() > newestUpstreams;
-    newestConfiguration = Math.max(newestConfiguration, beat.configuration());
-    newestUpstreams = Math.max(newestUpstreams, beat.upstreams());
-    return news;
+  private boolean hasNewRevision(Heartbeat heartbeat) {
+    boolean newer =
+        heartbeat.configurationRevision() > latestConfiguration
+            || heartbeat.upstreamsRevision() > latestUpstreams;
+    latestConfiguration = Math.max(latestConfiguration, heartbeat.configurationRevision());
+    latestUpstreams = Math.max(latestUpstreams, heartbeat.upstreamsRevision());
+    return newer;
   }
 
-  private <T> Mono<T> onLoop(Supplier<Mono<T>> action) {
+  private <T> Mono<T> supply(Supplier<Mono<T>> action) {
     return Mono.defer(action).subscribeOn(Schedulers.fromExecutor(loop));
   }
 
-  private Mono<Void> done(Runnable action) {
+  private Mono<Void> run(Runnable action) {
     return Mono.fromRunnable(() -> loop.execute(action));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/PlacedGroup.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DelegatedGroup.java
@@ -3,14 +3,14 @@
 import org.gradeledge.batch.StageGroup;
 import org.gradeledge.batch.StageWorkListener;
 
-/** A group and the box that has it; two with the same content are still two. Immutable. */
-final class PlacedGroup {
+/** A group delegated to a box, compared by identity. Immutable. */
+final class DelegatedGroup {
 
   private final StageGroup group;
   private final StageWorkListener listener;
   private final String box;
 
-  PlacedGroup(StageGroup group, StageWorkListener listener, String box) {
+  DelegatedGroup(StageGroup group, StageWorkListener listener, String box) {
     this.group = group;
     this.listener = listener;
     this.box = box;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
@@ -6,58 +6,58 @@
 import org.gradeledge.discovery.UpstreamRegistry;
 
 /**
- * Learns from other boxes the configuration and the list of upstreams that this one could not read
- * itself, and gives out its own. Confined to the event loop.
+ * Fetches the configuration and the list of upstreams from other boxes when this box could not read
+ * them from the platform, and provides its own to them. Confined to the event loop.
  */
 final class DocumentExchange {
 
-  /** A box that reads the platform itself needs no other one for what is new. */
-  private static final long LEARN_DELAY_MILLIS = 150;
+  /** Lets this box read a new configuration from the platform itself first. */
+  private static final long FETCH_DELAY_MILLIS = 150;
 
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final ListDoubts doubts;
-  private final DocumentLearner<DocumentAnswer> configurations;
-  private final DocumentLearner<UpstreamList> lists;
+  private final ListTrustTracker listTrust;
+  private final DocumentFetcher<DocumentAnswer> configurationFetcher;
+  private final DocumentFetcher<UpstreamList> upstreamListFetcher;
 
   DocumentExchange(
-      MeshLinks links,
+      MeshConnections connections,
       EventLoop loop,
       DeploymentRegistry deployments,
       UpstreamRegistry upstreams,
-      ListDoubts doubts) {
-    this.doubts = doubts;
+      ListTrustTracker listTrust) {
+    this.listTrust = listTrust;
     this.deployments = deployments;
     this.upstreams = upstreams;
-    this.configurations =
-        new DocumentLearner<>(
-            links,
+    this.configurationFetcher =
+        new DocumentFetcher<>(
+            connections,
             loop,
             MeshMessages.CONFIGURATION,
             DocumentAnswer.class,
             deployments::revision,
             (box, answer) -> deployments.offer(answer.document(), box));
-    this.lists =
-        new DocumentLearner<>(
-            links,
+    this.upstreamListFetcher =
+        new DocumentFetcher<>(
+            connections,
             loop,
             MeshMessages.UPSTREAMS,
             UpstreamList.class,
             upstreams::revision,
-            (box, list) -> take(list));
+            (box, list) -> applyList(list));
   }
 
-  /** A list that is doubted must be known to be before what it lacks is looked at. */
-  private void take(UpstreamList list) {
+  private void applyList(UpstreamList list) {
     if (list.doubted()) {
-      doubts.tookDoubtedList();
+      // must be known before the upstreams missing from the list are removed
+      listTrust.onUnconfirmedList();
     }
     upstreams.replaceAll(list.revision(), list.upstreams());
   }
 
   DocumentAnswer configuration() {
     return new DocumentAnswer(
-        deployments.current().map(held -> held.document()).orElse(new byte[0]));
+        deployments.current().map(deployment -> deployment.document()).orElse(new byte[0]));
   }
 
   UpstreamList upstreamList() {
@@ -65,13 +65,13 @@
         upstreams.revision(), List.copyOf(upstreams.listed()), upstreams.isDoubted());
   }
 
-  /** Asks a box for its configuration unless this box has one as new by then. */
-  void learnConfigurationSoon(String box, long revision) {
-    configurations.learnSoon(box, revision, LEARN_DELAY_MILLIS);
+  /** Requests the configuration of a box unless this box has that revision after the delay. */
+  void scheduleConfigurationFetch(String box, long revision) {
+    configurationFetcher.scheduleFetch(box, revision, FETCH_DELAY_MILLIS);
   }
 
-  /** Asks a box for its list of upstreams unless this box has one as new by then. */
-  void learnUpstreamsSoon(String box, long revision, long delayMillis) {
-    lists.learnSoon(box, revision, delayMillis);
+  /** Requests the list of upstreams of a box unless this box has that revision after the delay. */
+  void scheduleUpstreamsFetch(String box, long revision, long delayMillis) {
+    upstreamListFetcher.scheduleFetch(box, revision, delayMillis);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
@@ -8,90 +8,90 @@
 import org.gradeledge.selection.LoadShare;
 
 /**
- * What a box tells all others again and again.
+ * State that a box sends to the other boxes periodically.
  *
- * @param zone its availability zone
- * @param leaving whether it is stopping
- * @param relayAsked whether the box that hears it directly is asked to pass it on
- * @param strength how much work for others it can bear; see RelaySettings
- * @param configuration revision of the configuration that it has in force
- * @param upstreams revision at which its list of upstreams last said something new
- * @param boxes addresses of the boxes that it hears; left out where heartbeats are relayed
- * @param shares what it has under way, by upstream
- * @param backlogMillis how long the stage work that waits at it keeps each service busy, for each
- *     priority what is as urgent or more
- * @param piecesToCome pieces that its requests will want made, by service and priority
- * @param evacuations zones whose upstreams take nothing new
- * @param suspects a number that is the same where the same is known of requests that end upstreams
- * @param listTrust code of the {@link org.gradeledge.discovery.ListTrust} that it has in its list
- *     of upstreams
- * @param number rises with each heartbeat of a box, also over its lives; 0 from older boxes
- * @param limits limits that upstreams named to it or to others that told it
- * @param leavingUpstreams starts of upstreams that told it in an answer that they leave, while the
- *     list does not say so
+ * @param zone availability zone of the box
+ * @param leaving whether the box is stopping
+ * @param relayRequested whether the receiver is requested to forward the heartbeat
+ * @param weight capacity for work of others; see RelaySettings
+ * @param configurationRevision revision of the configuration in force
+ * @param upstreamsRevision revision of the last change in the list of upstreams
+ * @param aliveBoxes addresses of the boxes that are alive; empty where heartbeats are relayed
+ * @param loadShares its requests in flight, by upstream
+ * @param backlogMillis time for which its waiting stage work occupies each service; for each
+ *     priority, the work of that priority and all higher ones
+ * @param pendingPieces pieces that its requests are going to require, by service and priority
+ * @param evacuations evacuated zones
+ * @param quarantineDigest digest of its records of requests that crash upstreams
+ * @param listTrust code of its {@link org.gradeledge.discovery.ListTrust} in the list of upstreams
+ * @param sequenceNumber increases with each heartbeat of a box, also across restarts; 0 from older
+ *     versions
+ * @param limits limits that upstreams announced to it or to boxes that reported them
+ * @param leavingUpstreams ids of upstream incarnations that announced in a response that they are
+ *     leaving, while the list does not show it
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record Heartbeat(
     String zone,
     boolean leaving,
-    boolean relayAsked,
-    int strength,
-    long configuration,
-    long upstreams,
-    List<String> boxes,
-    Map<String, LoadShare> shares,
+    boolean relayRequested,
+    int weight,
+    long configurationRevision,
+    long upstreamsRevision,
+    List<String> aliveBoxes,
+    Map<String, LoadShare> loadShares,
     Map<String, List<Long>> backlogMillis,
-    Map<String, List<Long>> piecesToCome,
+    Map<String, List<Long>> pendingPieces,
     ZoneEvacuations evacuations,
-    long suspects,
+    long quarantineDigest,
     int listTrust,
-    long number,
+    long sequenceNumber,
     List<LimitReport> limits,
     List<String> leavingUpstreams) {
 
-  /** Returns whether the box knows so few others that it tells all of them what it hears. */
-  boolean isOfFew() {
-    return !boxes.isEmpty();
+  /** Returns whether the sender uses no relays and therefore lists the boxes that are alive. */
+  boolean listsBoxes() {
+    return !aliveBoxes.isEmpty();
   }
 
-  /** Returns the same with the boxes that are heard. */
-  Heartbeat withBoxes(List<String> heard) {
+  /** Returns a copy that lists the given boxes. */
+  Heartbeat withBoxes(List<String> boxes) {
     return new Heartbeat(
         zone,
         leaving,
-        relayAsked,
-        strength,
-        configuration,
-        upstreams,
-        heard,
-        shares,
+        relayRequested,
+        weight,
+        configurationRevision,
+        upstreamsRevision,
+        boxes,
+        loadShares,
         backlogMillis,
-        piecesToCome,
+        pendingPieces,
         evacuations,
-        suspects,
+        quarantineDigest,
         listTrust,
-        number,
+        sequenceNumber,
         limits,
         leavingUpstreams);
   }
 
-  /** Returns the same, to be passed on. */
-  Heartbeat askingToRelay() {
+  /** Returns a copy that requests the receiver to forward it. */
+  Heartbeat withRelayRequested() {
     return new Heartbeat(
         zone,
         leaving,
         true,
-        strength,
-        configuration,
-        upstreams,
-        boxes,
-        shares,
+        weight,
+        configurationRevision,
+        upstreamsRevision,
+        aliveBoxes,
+        loadShares,
         backlogMillis,
-        piecesToCome,
+        pendingPieces,
         evacuations,
-        suspects,
+        quarantineDigest,
         listTrust,
-        number,
+        sequenceNumber,
         limits,
         leavingUpstreams);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
@@ -10,18 +10,15 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Brings what boxes know of requests that end upstreams to all of them. What is new goes out at
- * once, the way that heartbeats go: to all among few boxes, over relays among many. What did not
- * arrive, as a box has just started or was cut off, is noticed by a number in each heartbeat that
- * differs where two boxes do not know the same, and then each tells the other all that it knows.
- * Confined to the event loop.
+ * Distributes records of requests that crash upstreams to all boxes. New records are sent at once,
+ * to all boxes or over relays like heartbeats. Records that were missed are detected by the digest
+ * in each heartbeat: boxes whose digests differ send each other all their records. Confined to the
+ * event loop.
  */
 final class SuspectExchange {
 
-  /**
-   * Two boxes that differ need one message each way; a busy one takes some hundred milliseconds.
-   */
-  private static final long TELL_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  /** Minimum time between full sets of records sent to the same box. */
+  private static final long RESEND_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   private final Quarantine quarantine;
   private final PeerNetwork network;
@@ -29,8 +26,8 @@
   private final HeartbeatSender sender;
   private final EventLoop loop;
   private final MonotonicClock clock;
-  private final Map<String, Long> toldNanos = new HashMap<>();
-  private boolean gathering;
+  private final Map<String, Long> lastSentNanos = new HashMap<>();
+  private boolean sendScheduled;
 
   SuspectExchange(
       Quarantine quarantine,
@@ -45,56 +42,57 @@
     this.sender = sender;
     this.loop = loop;
     this.clock = clock;
-    quarantine.onNews(this::tellSoon);
+    quarantine.onNews(this::scheduleSend);
   }
 
-  /** An upstream takes many requests along, and all are heard of in one turn: one message. */
-  private void tellSoon() {
-    if (!gathering) {
-      gathering = true;
-      loop.execute(this::tellGathered);
+  /**
+   * Combines the records of one event loop turn in one message, as a crash affects many requests.
+   */
+  private void scheduleSend() {
+    if (!sendScheduled) {
+      sendScheduled = true;
+      loop.execute(this::sendPending);
     }
   }
 
-  private void tellGathered() {
-    gathering = false;
-    spread(quarantine.takeNews());
+  private void sendPending() {
+    sendScheduled = false;
+    broadcast(quarantine.takeNews());
   }
 
-  /** Takes in what a box tells; among many boxes what is new is passed on. */
-  void heard(SuspectNews news) {
-    SuspectNews changed = quarantine.merge(news);
-    if (routes.many()) {
-      spread(changed);
+  /** Merges records of another box, and forwards the new ones where heartbeats are relayed. */
+  void receive(SuspectNews records) {
+    SuspectNews changed = quarantine.merge(records);
+    if (routes.usesRelays()) {
+      broadcast(changed);
     }
   }
 
-  private void spread(SuspectNews news) {
-    if (news.isEmpty()) {
+  private void broadcast(SuspectNews records) {
+    if (records.isEmpty()) {
       return;
     }
-    if (!routes.many()) {
-      network.tellAll(MeshMessages.SUSPECTS, news);
+    if (!routes.usesRelays()) {
+      network.tellAll(MeshMessages.SUSPECTS, records);
       return;
     }
-    network.tellEach(sender.nextForNews(), MeshMessages.SUSPECTS, news);
+    network.tellEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, records);
   }
 
-  /** Hears from a connected box by its own heartbeat what it knows, as a number. */
-  void compare(String box, long digest) {
+  /** Compares the digest in the heartbeat of a connected box with the own one. */
+  void compareDigest(String box, long digest) {
     if (digest == quarantine.digest()) {
       return;
     }
     long now = clock.nanos();
-    Long last = toldNanos.get(box);
-    if (last == null || now - last > TELL_AGAIN_NANOS) {
-      toldNanos.put(box, now);
+    Long last = lastSentNanos.get(box);
+    if (last == null || now - last > RESEND_INTERVAL_NANOS) {
+      lastSentNanos.put(box, now);
       network.tell(box, MeshMessages.SUSPECTS, quarantine.all());
     }
   }
 
-  /** Forgets a box that is lost. */
-  void lost(String box) {
-    toldNanos.remove(box);
+  void removeBox(String box) {
+    lastSentNanos.remove(box);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectNewsFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
@@ -9,21 +9,21 @@
 import org.gradeledge.quarantine.SuspectReport;
 import org.msgpack.core.MessagePacker;
 
-/** News of requests under which upstreams ended, as arrays. */
-final class SuspectNewsFormat implements MessageFormat<SuspectNews> {
+/** Message format of {@link SuspectNews}: arrays. */
+final class SuspectsFormat implements MessageFormat<SuspectNews> {
 
   private static final int FIELDS = 2;
   private static final int REPORT_FIELDS = 5;
   private static final int END_FIELDS = 3;
 
   @Override
-  public void write(MessagePacker packer, SuspectNews news) throws IOException {
+  public void write(MessagePacker packer, SuspectNews records) throws IOException {
     packer.packArrayHeader(FIELDS);
-    packer.packArrayHeader(news.reports().size());
-    for (SuspectReport report : news.reports()) {
+    packer.packArrayHeader(records.reports().size());
+    for (SuspectReport report : records.reports()) {
       write(packer, report);
     }
-    TextLists.write(packer, news.living());
+    TextLists.write(packer, records.living());
   }
 
   private static void write(MessagePacker packer, SuspectReport report) throws IOException {
@@ -43,29 +43,28 @@
 
   @Override
   public SuspectNews read(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(FIELDS);
-    SuspectNews news =
-        new SuspectNews(
-            reader.list(SuspectNewsFormat::readReport), reader.list(MessageReader::text));
-    reader.skip(more);
-    return news;
+    int extraFields = reader.beginRecord(FIELDS);
+    SuspectNews records =
+        new SuspectNews(reader.list(SuspectsFormat::readReport), reader.list(MessageReader::text));
+    reader.skip(extraFields);
+    return records;
   }
 
   private static SuspectReport readReport(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(REPORT_FIELDS);
+    int extraFields = reader.beginRecord(REPORT_FIELDS);
     SuspectReport report =
         new SuspectReport(
             new RequestFingerprint(reader.number(), reader.number(), reader.integer()),
-            reader.list(SuspectNewsFormat::readEnd),
+            reader.list(SuspectsFormat::readEnd),
             reader.flag());
-    reader.skip(more);
+    reader.skip(extraFields);
     return report;
   }
 
   private static EndReport readEnd(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(END_FIELDS);
+    int extraFields = reader.beginRecord(END_FIELDS);
     EndReport end = new EndReport(reader.text(), reader.number(), reader.flag());
-    reader.skip(more);
+    reader.skip(extraFields);
     return end;
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/event/RecordedEvents.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/event/RecordedEvents.java
@@ -4,26 +4,26 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** A log whose lines a test counts. */
+/** Records the lines of an event log, to be counted by tests. */
 public final class RecordedEvents {
 
-  private static final String LAST = "last-line-so-far";
+  private static final String MARKER = "last-line-so-far";
 
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
   private final EventLog log =
       new EventLog(new PrintStream(bytes, true, StandardCharsets.UTF_8), "test");
-  private int looks;
+  private int markerCount;
 
-  /** Returns the log. */
+  /** Returns the event log. */
   public EventLog log() {
     return log;
   }
 
-  /** Returns how many lines of an event were written, once all so far are. */
+  /** Returns the number of lines of an event, after all queued lines are written. */
   public long count(String event) {
-    String last = LAST + ++looks;
-    log.change(last).write();
-    while (lines(last) == 0) {
+    String marker = MARKER + ++markerCount;
+    log.change(marker).write();
+    while (lines(marker) == 0) {
       Thread.onSpinWait();
     }
     return lines(event);
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitsAmongBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitExchangeTests.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A limit that one box has heard is known to all, few or many, and each has its own place. */
+/** A limit that one box receives reaches all boxes, with and without relays. */
 @Timeout(120)
-class LimitsAmongBoxesTests {
+class LimitExchangeTests {
 
   private static final int FEW = 4;
   private static final int MANY = 18;
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("u", "service", "10.0.0.1", 1, "zone", 8, false);
 
-  private final BoxesInOneProcess boxes = new BoxesInOneProcess();
+  private final InProcessBoxes boxes = new InProcessBoxes();
 
   @AfterEach
   void stop() {
@@ -33,7 +33,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void whatOneBoxHearsAllKnowAndItsEndToo(int count) throws Exception {
+  void allBoxesLearnALimitAndItsRemoval(int count) throws Exception {
     start(count);
 
     answer(LimitStatement.named(1.3));
@@ -45,7 +45,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void aBoxThatComesLaterHearsOfIt(int count) throws Exception {
+  void aBoxThatStartsLaterLearnsTheLimit(int count) throws Exception {
     start(count);
     answer(LimitStatement.named(2));
     boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isPresent()));
@@ -61,7 +61,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
-  void eachBoxHasAPlaceOfItsOwn(int count) throws Exception {
+  void eachBoxHasADistinctRank(int count) throws Exception {
     start(count);
 
     boxes.await(() -> ranks(count).equals(IntStream.range(0, count).boxed().toList()));
@@ -84,7 +84,7 @@
     boxes.startBoxes(count);
     IntStream.range(0, count).forEach(this::list);
     if (count == MANY) {
-      boxes.awaitWholeViews(count);
+      boxes.awaitCompleteViews(count);
     }
   }
 
@@ -96,7 +96,7 @@
             return true;
           });
     } catch (Exception e) {
-      throw new AssertionError("the list was not taken on", e);
+      throw new AssertionError("failed to set the list of upstreams", e);
     }
   }
 
