--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
@@ -1,6 +1,6 @@
 package org.gradeledge.connection;
 
-import org.gradeledge.discovery.LeavingStatement;
+import org.gradeledge.discovery.LeavingSignal;
 import org.gradeledge.limit.BackoffStatement;
 import org.gradeledge.limit.LimitStatement;
 
@@ -13,10 +13,9 @@
  * @since 0.5
  */
 public record UpstreamSignals(
-    LimitStatement limit, LeavingStatement leaving, BackoffStatement backoff) {
+    LimitStatement limit, LeavingSignal leaving, BackoffStatement backoff) {
 
   /** What an answer says that another upstream gave. */
   public static final UpstreamSignals NONE =
-      new UpstreamSignals(
-          LimitStatement.NOTHING, LeavingStatement.NOTHING, BackoffStatement.NOTHING);
+      new UpstreamSignals(LimitStatement.NOTHING, LeavingSignal.NOTHING, BackoffStatement.NOTHING);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/LimitedSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/LimitedSending.java
@@ -115,7 +115,7 @@
   }
 
   private Optional<Part> part(UpstreamRecord upstream) {
-    String start = upstream.start();
+    String start = upstream.incarnationId();
     OptionalDouble limit = limits.limitOf(start);
     if (limit.isEmpty()) {
       byStart.remove(start);
@@ -136,6 +136,6 @@
   private Optional<LimitShare> share(UpstreamRecord upstream, double limit) {
     return oneBoxSends.test(upstream.service())
         ? Optional.of(LimitShare.alone(limit))
-        : rank.apply(upstream.start()).flatMap(box -> LimitShare.of(limit, box));
+        : rank.apply(upstream.incarnationId()).flatMap(box -> LimitShare.of(limit, box));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamBackoffs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamBackoffs.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLog;
 import org.gradeledge.time.MonotonicClock;
@@ -70,7 +70,7 @@
 
   private final MonotonicClock clock;
   private final EventLog events;
-  private final UnreadableSignals unreadable;
+  private final UnreadableSignalLog unreadable;
   private final Map<String, Backoff> byStart = new HashMap<>();
   private Consumer<UpstreamRecord> onBegin = upstream -> {};
   private long heldOff;
@@ -79,7 +79,7 @@
   public UpstreamBackoffs(MonotonicClock clock, EventLog events) {
     this.clock = clock;
     this.events = events;
-    this.unreadable = new UnreadableSignals(events, "upstream-backoff-unreadable");
+    this.unreadable = new UnreadableSignalLog(events, "upstream-backoff-unreadable");
   }
 
   /** Runs an action whenever an upstream wants nothing from now on. */
@@ -91,7 +91,7 @@
   public void answered(UpstreamRecord upstream, BackoffStatement statement) {
     switch (statement.kind()) {
       case REQUESTED -> requested(upstream, statement.duration());
-      case UNREADABLE -> unreadable.note(upstream, statement.text());
+      case UNREADABLE -> unreadable.report(upstream, statement.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("unknown statement " + statement.kind());
     }
@@ -110,7 +110,7 @@
       return;
     }
     byStart.values().removeIf(other -> other.isOver(now));
-    byStart.put(upstream.start(), new Backoff(now, end));
+    byStart.put(upstream.incarnationId(), new Backoff(now, end));
     events
         .change("upstream-backoff")
         .with("upstream", upstream.id())
@@ -184,12 +184,13 @@
   }
 
   private Optional<Backoff> lasting(UpstreamRecord upstream, long now) {
-    return Optional.ofNullable(byStart.get(upstream.start())).filter(each -> each.lasts(now));
+    return Optional.ofNullable(byStart.get(upstream.incarnationId()))
+        .filter(each -> each.lasts(now));
   }
 
   /** Returns the backoff of an upstream, also while its first requests after that go out. */
   private Optional<Backoff> find(UpstreamRecord upstream, long now) {
-    Backoff backoff = byStart.get(upstream.start());
+    Backoff backoff = byStart.get(upstream.incarnationId());
     if (backoff == null) {
       return Optional.empty();
     }
@@ -198,7 +199,7 @@
       tellEnd(upstream, backoff);
     }
     if (backoff.isOver(now)) {
-      byStart.remove(upstream.start());
+      byStart.remove(upstream.incarnationId());
       return Optional.empty();
     }
     return Optional.of(backoff);
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
@@ -11,7 +11,7 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLog;
 import org.gradeledge.time.MonotonicClock;
@@ -78,7 +78,7 @@
   private final Supplier<Collection<UpstreamRecord>> listed;
   private final Map<String, Known> byStart = new HashMap<>();
   private final Map<String, Known> logged = new HashMap<>();
-  private final UnreadableSignals unreadable;
+  private final UnreadableSignalLog unreadable;
   private Runnable onNews = () -> {};
 
   /**
@@ -91,7 +91,7 @@
     this.clock = clock;
     this.events = events;
     this.listed = listed;
-    this.unreadable = new UnreadableSignals(events, "upstream-limit-unreadable");
+    this.unreadable = new UnreadableSignalLog(events, "upstream-limit-unreadable");
   }
 
   /** Runs an action whenever this box itself hears a first limit of an upstream, or its end. */
@@ -121,7 +121,7 @@
     switch (statement.kind()) {
       case NAMED -> named(upstream, statement.perSecond());
       case NO_LIMIT -> lifted(upstream, sentNanos);
-      case UNREADABLE -> unreadable.note(upstream, statement.text());
+      case UNREADABLE -> unreadable.report(upstream, statement.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("unknown statement " + statement.kind());
     }
@@ -129,23 +129,23 @@
 
   private void named(UpstreamRecord upstream, double perSecond) {
     long rate = Math.round(Math.min(perSecond, MOST_PER_SECOND) * THOUSAND_SECONDS);
-    boolean news = limitOf(upstream.start()).isEmpty();
-    if (put(upstream.start(), new Known(rate, clock.nanos()), "answer") && news) {
+    boolean news = limitOf(upstream.incarnationId()).isEmpty();
+    if (put(upstream.incarnationId(), new Known(rate, clock.nanos()), "answer") && news) {
       onNews.run();
     }
   }
 
   private void lifted(UpstreamRecord upstream, long sentNanos) {
-    Known known = byStart.get(upstream.start());
+    Known known = byStart.get(upstream.incarnationId());
     if (known == null || sentNanos - known.notedNanos() <= 0) {
       return;
     }
     if (known.isLimit()) {
-      put(upstream.start(), new Known(LimitReport.LIFTED, sentNanos), "answer");
+      put(upstream.incarnationId(), new Known(LimitReport.LIFTED, sentNanos), "answer");
       onNews.run();
     } else {
       // Otherwise a word of before, which another box has heard meanwhile, would count as younger.
-      byStart.put(upstream.start(), known.shownAgain(sentNanos));
+      byStart.put(upstream.incarnationId(), known.shownAgain(sentNanos));
     }
   }
 
@@ -175,7 +175,7 @@
 
   private boolean put(String start, Known now, String from) {
     Optional<UpstreamRecord> upstream =
-        listed.get().stream().filter(each -> each.start().equals(start)).findFirst();
+        listed.get().stream().filter(each -> each.incarnationId().equals(start)).findFirst();
     upstream.ifPresent(
         record -> {
           byStart.put(start, now);
@@ -185,9 +185,9 @@
   }
 
   private void log(UpstreamRecord upstream, Known now, String from) {
-    @Nullable Known before = logged.get(upstream.start());
+    @Nullable Known before = logged.get(upstream.incarnationId());
     if (before == null || now.isFarFrom(before)) {
-      logged.put(upstream.start(), now);
+      logged.put(upstream.incarnationId(), now);
       events
           .change(now.isLimit() ? "upstream-limit" : "upstream-limit-lifted")
           .with("upstream", upstream.id())
@@ -203,7 +203,7 @@
     if (byStart.isEmpty()) {
       return List.of();
     }
-    Set<String> there = listed.get().stream().map(UpstreamRecord::start).collect(toSet());
+    Set<String> there = listed.get().stream().map(UpstreamRecord::incarnationId).collect(toSet());
     byStart.keySet().retainAll(there);
     logged.keySet().retainAll(there);
     long now = clock.nanos();
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxBeliefs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxBeliefs.java
@@ -49,10 +49,10 @@
         toCome.own(),
         upstreams.evacuations(),
         quarantine.digest(),
-        upstreams.trust().code(),
+        upstreams.listTrust().code(),
         number,
         limits.reports(),
-        upstreams.leavingAsTheySaid());
+        upstreams.announcedLeaving());
   }
 
   /** Forgets what a box told of itself, as it is lost. */
@@ -69,7 +69,7 @@
     board.setPeerShares(box, beat.shares());
     toCome.told(box, beat.piecesToCome());
     boolean limited = limits.told(box, beat.limits(), ageMillis);
-    boolean leaving = upstreams.toldLeaving(box, beat.leavingUpstreams());
-    return upstreams.evacuate(beat.evacuations()) || limited || leaving;
+    boolean leaving = upstreams.applyPeerLeavingAnnouncements(box, beat.leavingUpstreams());
+    return upstreams.applyEvacuations(beat.evacuations()) || limited || leaving;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
@@ -62,7 +62,7 @@
 
   UpstreamList upstreamList() {
     return new UpstreamList(
-        upstreams.revision(), List.copyOf(upstreams.listed()), upstreams.isDoubted());
+        upstreams.revision(), List.copyOf(upstreams.listed()), upstreams.areRemovalsUntrusted());
   }
 
   /** Asks a box for its configuration unless this box has one as new by then. */
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/ListDoubts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/ListDoubts.java
@@ -55,7 +55,7 @@
    * heartbeat of the box that has noticed the outage.
    */
   void tookDoubtedList() {
-    if (upstreams.trust() == ListTrust.UNKNOWN) {
+    if (upstreams.listTrust() == ListTrust.UNKNOWN) {
       doubt();
     }
   }
@@ -72,7 +72,7 @@
     boolean doubted =
         told.containsValue(ListTrust.DOUBTED)
             && !told.containsValue(ListTrust.TRUSTED)
-            && upstreams.trust() == ListTrust.UNKNOWN;
+            && upstreams.listTrust() == ListTrust.UNKNOWN;
     if (doubted) {
       doubt();
     } else if (inDoubt) {
@@ -86,6 +86,6 @@
       inDoubt = true;
       beatsInDoubt = 0;
     }
-    upstreams.distrustRemovalsAsTold();
+    upstreams.distrustRemovalsReportedByPeer();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -8,8 +8,8 @@
 import org.gradeledge.batch.BatchCoordinator;
 import org.gradeledge.batch.PiecesToCome;
 import org.gradeledge.batch.StageWorkClient;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.PooledUpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.Deployment;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.deployment.ServiceDefinition;
@@ -92,12 +92,12 @@
     this.followers = newFollowers(adapters, verdicts, clock);
     RetryBudget budget = newRetryBudget(clock);
     PooledUpstreamCaller caller = new PooledUpstreamCaller(loop, this::connectionLimit, clock);
-    upstreams.onEnd(caller::end);
-    upstreams.onReplaced(caller::breakOff);
+    upstreams.onRetired(caller::retire);
+    upstreams.onReplaced(caller::abort);
     sending.listen(caller, adapters.signals(), mesh);
     LimitedSending limited = sending.limited(mesh);
     sending.show(metrics, limited);
-    upstreams.onEnd(board::forget);
+    upstreams.onRetired(board::forget);
     BatchCoordinator coordinator =
         BatchCoordinator.builder()
             .box(peerName(settings), loop, clock)
@@ -120,7 +120,7 @@
             SendingRule.allOf(sending.cold(this::boxes), limited, sending.backoffs()),
             budget,
             caller,
-            new UpstreamEnds(caller, upstreams::hasLeft),
+            new LivenessChecker(caller, upstreams::hasLeft),
             quarantine,
             verdicts,
             adapters.relay(),
@@ -148,7 +148,7 @@
       handler.wokeUp();
     }
     if (jump.mayBeSuspension()) {
-      caller.closeResting();
+      caller.closeIdle();
       followers.wokeUp();
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/ColdUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/ColdUpstreams.java
@@ -82,7 +82,7 @@
 
   /** Notes that an upstream said for how long it is cold. */
   public void told(UpstreamRecord upstream) {
-    extend(upstream.start(), Duration.ofMillis(upstream.coldMillis()));
+    extend(upstream.incarnationId(), Duration.ofMillis(upstream.coldMillis()));
   }
 
   /** Takes upstreams that were out of use as if they had just started. */
@@ -91,12 +91,12 @@
         upstream ->
             limits
                 .apply(upstream.service())
-                .ifPresent(limit -> extend(upstream.start(), limit.lasts())));
+                .ifPresent(limit -> extend(upstream.incarnationId(), limit.lasts())));
   }
 
   /** Forgets an upstream that is gone. */
   public void forget(UpstreamRecord upstream) {
-    cold.remove(upstream.start());
+    cold.remove(upstream.incarnationId());
   }
 
   private void extend(String start, Duration lasts) {
@@ -115,7 +115,8 @@
 
   @Override
   public void sent(UpstreamRecord upstream) {
-    Optional.ofNullable(cold.get(upstream.start())).ifPresent(allowance -> allowance.bucket.take());
+    Optional.ofNullable(cold.get(upstream.incarnationId()))
+        .ifPresent(allowance -> allowance.bucket.take());
   }
 
   @Override
@@ -140,14 +141,14 @@
 
   /** Returns what this box may still send to an upstream, empty where that is not cold. */
   private Optional<TokenBucket> filled(UpstreamRecord upstream) {
-    Allowance allowance = cold.get(upstream.start());
+    Allowance allowance = cold.get(upstream.incarnationId());
     if (allowance == null) {
       return Optional.empty();
     }
     long now = clock.nanos();
     Optional<ColdStart> limit = limits.apply(upstream.service());
     if (limit.isEmpty() || now - allowance.endNanos >= 0) {
-      cold.remove(upstream.start());
+      cold.remove(upstream.incarnationId());
       return Optional.empty();
     }
     allowance.bucket.fill(share(limit.get()), WHOLE, now);
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
@@ -42,14 +42,14 @@
   /** One that was never used counts as fast as the fastest, so that it is tried. */
   private double fastestMillis(List<UpstreamRecord> upstreams) {
     return upstreams.stream()
-        .mapToDouble(each -> board.load(each.start()).latencyMillis())
+        .mapToDouble(each -> board.load(each.incarnationId()).latencyMillis())
         .filter(millis -> millis > 0)
         .min()
         .orElse(NOTHING_KNOWN_MILLIS);
   }
 
   private double score(UpstreamRecord upstream, Demand demand, double unknownMillis) {
-    UpstreamLoad load = board.load(upstream.start());
+    UpstreamLoad load = board.load(upstream.incarnationId());
     int slots = Math.max(1, upstream.slots());
     double queue = 1 + (double) load.totalRunning() / slots;
     double full = load.totalRunning() >= slots ? 1 + load.totalRunning() - slots : 1;
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/LoadBoard.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/LoadBoard.java
@@ -31,7 +31,7 @@
 
   /** Counts a request sent to an upstream. */
   public void started(UpstreamRecord upstream, long tokens) {
-    UpstreamLoad load = load(upstream.start());
+    UpstreamLoad load = load(upstream.incarnationId());
     if (load.own().running() == 0) {
       load.heard(clock.nanos());
     }
@@ -40,7 +40,7 @@
 
   /** Counts the end of a request, however it ended. */
   public void ended(UpstreamRecord upstream, long tokens) {
-    load(upstream.start()).ended(tokens);
+    load(upstream.incarnationId()).ended(tokens);
   }
 
   /** Counts memory that results take at a start of an upstream, negative where it is given back. */
@@ -53,17 +53,17 @@
 
   /** Returns how many requests other boxes have under way at an upstream. */
   public int runningAtPeers(UpstreamRecord upstream) {
-    return load(upstream.start()).peersRunning();
+    return load(upstream.incarnationId()).peersRunning();
   }
 
   /** Returns how much memory other boxes take at an upstream. */
   public long memoryAtPeers(UpstreamRecord upstream) {
-    return load(upstream.start()).peersTokens();
+    return load(upstream.incarnationId()).peersTokens();
   }
 
   /** Notes an answer in good order after so many milliseconds. */
   public void succeeded(UpstreamRecord upstream, double millis) {
-    load(upstream.start()).succeeded(millis);
+    load(upstream.incarnationId()).succeeded(millis);
   }
 
   /**
@@ -72,7 +72,7 @@
    * @param certain whether it alone says that the upstream cannot be used now
    */
   public void failed(UpstreamRecord upstream, boolean certain, String why) {
-    if (load(upstream.start()).failed(certain, clock.nanos())) {
+    if (load(upstream.incarnationId()).failed(certain, clock.nanos())) {
       events
           .change("upstream-avoided")
           .with("upstream", upstream.id())
@@ -84,17 +84,17 @@
 
   /** Sends nothing to an upstream for a while, as it said that it is full. */
   public void pause(UpstreamRecord upstream, long millis) {
-    load(upstream.start()).avoidFor(millis, clock.nanos());
+    load(upstream.incarnationId()).avoidFor(millis, clock.nanos());
   }
 
   /** Notes that bytes came from an upstream. */
   public void heard(UpstreamRecord upstream) {
-    load(upstream.start()).heard(clock.nanos());
+    load(upstream.incarnationId()).heard(clock.nanos());
   }
 
   /** Returns for how long an upstream has sent nothing while the box had requests there. */
   public long silentMillis(UpstreamRecord upstream) {
-    return load(upstream.start()).silentMillis(clock.nanos());
+    return load(upstream.incarnationId()).silentMillis(clock.nanos());
   }
 
   /** Takes the place of what a peer told before. */
@@ -125,16 +125,18 @@
 
   /** Forgets an upstream that has nothing under way. */
   public void forget(UpstreamRecord upstream) {
-    UpstreamLoad load = byStart.get(upstream.start());
+    UpstreamLoad load = byStart.get(upstream.incarnationId());
     if (load != null && load.own().running() == 0) {
-      byStart.remove(upstream.start());
+      byStart.remove(upstream.incarnationId());
     }
   }
 
   /** Returns those that are not avoided, or all if there are none. */
   public List<UpstreamRecord> preferred(List<UpstreamRecord> candidates) {
     List<UpstreamRecord> sound =
-        candidates.stream().filter(each -> !load(each.start()).avoided(clock.nanos())).toList();
+        candidates.stream()
+            .filter(each -> !load(each.incarnationId()).avoided(clock.nanos()))
+            .toList();
     return sound.isEmpty() ? candidates : sound;
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
@@ -75,7 +75,7 @@
 
   private Candidate candidate(UpstreamRecord upstream, String key) {
     long weight = RendezvousHash.weight(key, upstream.id());
-    return new Candidate(upstream, weight, board.load(upstream.start()).totalTokens());
+    return new Candidate(upstream, weight, board.load(upstream.incarnationId()).totalTokens());
   }
 
   private static List<UpstreamRecord> inZoneIfWorth(List<UpstreamRecord> all, Demand demand) {
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LeavingAmongBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LeavingAmongBoxesTests.java
@@ -69,7 +69,7 @@
   private void announce(int box) throws Exception {
     boxes.onLoop(
         () -> {
-          boxes.registries().get(box).announcesLeaving(UPSTREAM);
+          boxes.registries().get(box).recordLeavingAnnouncement(UPSTREAM);
           return true;
         });
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitsAmongBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitsAmongBoxesTests.java
@@ -37,10 +37,10 @@
     start(count);
 
     answer(LimitStatement.named(1.3));
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isPresent()));
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isPresent()));
 
     answer(LimitStatement.NO_LIMIT);
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isEmpty()));
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isEmpty()));
   }
 
   @ParameterizedTest
@@ -48,12 +48,12 @@
   void aBoxThatComesLaterHearsOfIt(int count) throws Exception {
     start(count);
     answer(LimitStatement.named(2));
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isPresent()));
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isPresent()));
 
     boxes.startBox();
     list(count);
 
-    boxes.await(() -> boxes.limits().get(count).limitOf(UPSTREAM.start()).isPresent());
+    boxes.await(() -> boxes.limits().get(count).limitOf(UPSTREAM.incarnationId()).isPresent());
     assertThat(boxes.onLoop(() -> boxes.limits().get(count).reports()))
         .extracting(LimitReport::perThousandSeconds)
         .containsExactly(2_000L);
@@ -69,7 +69,7 @@
 
   private List<Integer> ranks(int count) {
     return boxes.meshes().stream()
-        .flatMap(mesh -> mesh.rank(UPSTREAM.start()).stream())
+        .flatMap(mesh -> mesh.rank(UPSTREAM.incarnationId()).stream())
         .filter(rank -> rank.boxes() == count)
         .map(rank -> rank.rank())
         .sorted()
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/ListDoubtsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/ListDoubtsTests.java
@@ -54,7 +54,7 @@
 
   @Test
   void aBoxThatReadsSteadilyItselfGoesByWhatItReads() {
-    upstreams.onTrust(() -> ListTrust.TRUSTED);
+    upstreams.setTrustSupplier(() -> ListTrust.TRUSTED);
     doubts.heard("a", ListTrust.DOUBTED);
 
     assertThat(usableOnceMissing()).isFalse();
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/NewsAmongManyBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/NewsAmongManyBoxesTests.java
@@ -115,7 +115,7 @@
     boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::hearsDigests));
     ZoneEvacuations ordered = new ZoneEvacuations(REVISION, Set.of("zone-0"));
 
-    boxes.onLoop(() -> boxes.registries().get(BOXES - 1).evacuate(ordered));
+    boxes.onLoop(() -> boxes.registries().get(BOXES - 1).applyEvacuations(ordered));
 
     boxes.await(
         () -> boxes.registries().stream().allMatch(each -> each.evacuations().equals(ordered)));
