--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/DepartedUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/DepartedUpstreams.java
@@ -6,13 +6,12 @@
 import java.util.Set;
 
 /**
- * Starts of upstreams that have once said that they leave, or were seen to be gone: an older report
- * must not bring them back. A later start under the same id is another one. The oldest are
- * forgotten first. Confined to the event loop.
+ * Incarnations that have announced that they leave or were found to be gone. An outdated entry must
+ * not make them usable again; a later incarnation with the same id is not affected. The oldest
+ * entries are evicted first. Confined to the event loop.
  */
 final class DepartedUpstreams {
 
-  /** Some hours of replacing a hundred upstreams every few minutes; about 400 kB. */
   private static final int MAX_ENTRIES = 4096;
 
   private final Map<String, Long> latestStartById = new LinkedHashMap<>();
@@ -25,19 +24,19 @@
     }
   }
 
-  /** Remembers a start by its name alone, as another box tells it; returns whether it was new. */
-  boolean addIncarnation(String start) {
-    boolean added = incarnationIds.add(start);
+  /** Adds an incarnation by its id, as reported by another box; returns whether it is new. */
+  boolean addIncarnation(String incarnationId) {
+    boolean added = incarnationIds.add(incarnationId);
     if (incarnationIds.size() > MAX_ENTRIES) {
       incarnationIds.remove(incarnationIds.iterator().next());
     }
     return added;
   }
 
-  /** Returns whether a start has departed, or one after it. */
+  /** Returns whether this incarnation or a later one has departed. */
   boolean contains(UpstreamRecord upstream) {
-    Long newest = latestStartById.get(upstream.id());
-    return newest != null && upstream.startedAtMillis() <= newest
+    Long latestStart = latestStartById.get(upstream.id());
+    return latestStart != null && upstream.startedAtMillis() <= latestStart
         || incarnationIds.contains(upstream.incarnationId());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/EvacuatedZones.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/EvacuatedZones.java
@@ -5,7 +5,8 @@
 import java.util.Set;
 
 /**
- * The zones that take no new work, by the newest order that is known. Confined to the event loop.
+ * The availability zones that accept no new requests, from the evacuation order with the highest
+ * revision. Confined to the event loop.
  */
 final class EvacuatedZones {
 
@@ -25,21 +26,21 @@
   }
 
   /**
-   * Takes on which zones they are, unless something newer is known; returns the zones that take new
-   * work again, empty if all is as before.
+   * Applies an evacuation order if it is newer than the current one. Returns the zones that accept
+   * new requests again, or empty if the set of evacuated zones is unchanged.
    */
-  Optional<Set<String>> update(ZoneEvacuations told) {
+  Optional<Set<String>> update(ZoneEvacuations order) {
     Set<String> before = current.zones();
-    if (!told.isNewerThan(current)) {
+    if (!order.isNewerThan(current)) {
       return Optional.empty();
     }
-    current = told;
-    if (told.zones().equals(before)) {
+    current = order;
+    if (order.zones().equals(before)) {
       return Optional.empty();
     }
-    changes.logEvacuations(told, before);
+    changes.logEvacuations(order, before);
     Set<String> restored = new HashSet<>(before);
-    restored.removeAll(told.zones());
+    restored.removeAll(order.zones());
     return Optional.of(restored);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/KnownUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/KnownUpstreams.java
@@ -10,8 +10,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * By id the newest start of each upstream, and what a report about one changes. Confined to the
- * event loop.
+ * Holds the latest incarnation of each upstream by id and applies reports about upstreams to it.
+ * Confined to the event loop.
  */
 final class KnownUpstreams {
 
@@ -31,17 +31,17 @@
     this.log = log;
   }
 
-  /** Begins a change of the list; lines that are written from now on carry its revision. */
+  /** Starts an update of the list; log lines written from now on carry its revision. */
   void beginUpdate(long newRevision) {
     revision = newRevision;
   }
 
-  /** Returns the revision of the list that this stands at, -1 at the start. */
+  /** Returns the revision of the list that has been applied, -1 initially. */
   long revision() {
     return revision;
   }
 
-  /** Returns the revision at which the list last said something new, -1 at the start. */
+  /** Returns the revision of the last update that changed an entry, -1 initially. */
   long changedAt() {
     return changedAt;
   }
@@ -54,25 +54,25 @@
     return lapsed.contains(upstream.id());
   }
 
-  /** Returns what is known of this start of an upstream, if it is the newest one. */
+  /** Returns the entry of this incarnation, if it is the latest one of its upstream. */
   Optional<UpstreamRecord> find(UpstreamRecord upstream) {
     return Optional.ofNullable(byId.get(upstream.id()))
         .filter(known -> known.startedAtMillis() == upstream.startedAtMillis());
   }
 
-  /** Removes all but the named ones. */
+  /** Removes all upstreams whose ids are not given. */
   void retain(Set<String> ids) {
     byId.keySet().stream().filter(id -> !ids.contains(id)).toList().forEach(this::remove);
   }
 
-  /** Takes in a report of a whole reading. */
+  /** Applies an entry of a full read of the list. */
   void putFromSnapshot(UpstreamRecord upstream) {
     if (!reappeared.withholdIfReappeared(upstream)) {
       put(upstream);
     }
   }
 
-  /** Takes in what was just written. */
+  /** Applies an entry that its upstream has just written. */
   void put(UpstreamRecord upstream) {
     reappeared.recordWritten(upstream.id());
     UpstreamRecord before = byId.get(upstream.id());
@@ -97,7 +97,10 @@
     return leavingBefore || departed.contains(upstream);
   }
 
-  /** What was sent to the start before is lost with it, also where no connection says so. */
+  /**
+   * Retires the previous incarnation; requests sent to it are lost, even if its connections stay
+   * open.
+   */
   private void replace(UpstreamRecord before) {
     logChange("upstream-replaced", before);
     departed.add(before);
@@ -152,32 +155,34 @@
     }
   }
 
-  /** Entries of upstreams that had gone may be there again without having been written anew. */
+  /** Distrusts entries of removed upstreams that reappear without having been rewritten. */
   void distrustReappearedEntries() {
     reappeared.startWithholding();
   }
 
-  /** Entries that vanish from now on may only have lapsed. */
+  /** Treats entries that are removed from now on as lapsed. */
   void distrustRemovals() {
     sourceUnavailable = true;
   }
 
-  /** The same, as another box has noticed it. */
+  /** Does the same after another box has reported an outage. */
   void distrustRemovalsReportedByPeer() {
     untrustedByPeer = true;
   }
 
-  /** Returns whether this box itself has noticed that entries may only have lapsed. */
+  /** Returns whether this box has detected an outage of the list itself. */
   boolean hasDetectedOutage() {
     return sourceUnavailable;
   }
 
-  /** Returns whether entries that are missing may only have lapsed, as noticed or told. */
+  /**
+   * Returns whether removed entries may only have lapsed, as detected here or reported by a peer.
+   */
   boolean areRemovalsUntrusted() {
     return sourceUnavailable || untrustedByPeer;
   }
 
-  /** What is missing now is gone. */
+  /** Trusts removals again: removes all lapsed upstreams. */
   void trustRemovals() {
     sourceUnavailable = false;
     untrustedByPeer = false;
@@ -185,47 +190,50 @@
     reappeared.releaseWithheld().forEach(this::put);
   }
 
-  /** Ends a start for good, if it is the newest one. */
+  /** Removes an incarnation permanently, if it is the latest one. */
   void markGone(UpstreamRecord upstream) {
     departed.add(upstream);
     find(upstream).ifPresent(known -> delete(known.id()));
   }
 
   /**
-   * Takes a start's own word in an answer that it leaves. It is final: what the list says later of
-   * this start may be older, as the start cannot write there while the list's source is away. One
-   * whose entry has gone may be listed again too.
+   * Records that an incarnation has announced in a response that it leaves. This is final: a later
+   * entry of the list may be outdated, as the upstream cannot update it while the list's source is
+   * unavailable. This also covers an incarnation whose entry is gone and may be listed again.
    *
-   * @return whether it takes no new work from now on
+   * @return whether the upstream was in use and is now marked as leaving
    */
   boolean recordLeavingAnnouncement(UpstreamRecord upstream) {
     departed.add(upstream);
-    Optional<UpstreamRecord> known = find(upstream).filter(each -> !each.leaving());
-    known.ifPresent(each -> announcedLeavingIds.add(each.incarnationId()));
-    known.ifPresent(each -> markLeaving(each, "answer"));
-    return known.isPresent();
+    Optional<UpstreamRecord> inUse = find(upstream).filter(each -> !each.leaving());
+    inUse.ifPresent(each -> announcedLeavingIds.add(each.incarnationId()));
+    inUse.ifPresent(each -> markLeaving(each, "answer"));
+    return inUse.isPresent();
   }
 
-  /** Takes in that starts have said so to another box; returns whether any of it is new. */
-  boolean applyPeerLeavingAnnouncements(String box, Collection<String> starts) {
-    List<String> fresh = starts.stream().filter(departed::addIncarnation).toList();
-    List<UpstreamRecord> told =
+  /**
+   * Applies announcements that a peer has received; returns whether any of them changed an
+   * upstream.
+   */
+  boolean applyPeerLeavingAnnouncements(String peer, Collection<String> incarnationIds) {
+    List<String> newIds = incarnationIds.stream().filter(departed::addIncarnation).toList();
+    List<UpstreamRecord> affected =
         byId.values().stream()
-            .filter(each -> !each.leaving() && fresh.contains(each.incarnationId()))
+            .filter(each -> !each.leaving() && newIds.contains(each.incarnationId()))
             .toList();
-    told.forEach(each -> markLeaving(each, box));
-    return !told.isEmpty();
+    affected.forEach(each -> markLeaving(each, peer));
+    return !affected.isEmpty();
   }
 
-  private void markLeaving(UpstreamRecord known, String from) {
-    log.logLeavingAnnouncement(known, from);
+  private void markLeaving(UpstreamRecord known, String reporter) {
+    log.logLeavingAnnouncement(known, reporter);
     byId.put(known.id(), known.asLeaving());
     notifications.addRetired(known);
   }
 
   /**
-   * Returns the starts that have said so to this box and are still listed; the list does not say it
-   * of them yet.
+   * Returns the incarnations that have announced to this box that they leave, are still listed, and
+   * are not marked as leaving in the list.
    */
   List<String> announcedLeaving() {
     if (!announcedLeavingIds.isEmpty()) {
@@ -235,7 +243,7 @@
     return List.copyOf(announcedLeavingIds);
   }
 
-  /** Ends a start whose entry has vanished, until it is listed again. */
+  /** Removes an incarnation whose entry has lapsed, until it is listed again. */
   void removeIfLapsed(UpstreamRecord upstream) {
     if (find(upstream).filter(this::isLapsed).isPresent()) {
       logChange("upstream-closing", upstream);
@@ -256,11 +264,11 @@
     }
   }
 
-  private void logChange(String what, UpstreamRecord upstream) {
-    log.logChange(what, upstream, revision);
+  private void logChange(String event, UpstreamRecord upstream) {
+    log.logChange(event, upstream, revision);
   }
 
-  /** Returns what is to be told once the change is over. */
+  /** Returns the notifications to deliver after the update. */
   PendingUpstreamNotifications notifications() {
     return notifications;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/LeavingSignal.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/LeavingSignal.java
@@ -1,31 +1,31 @@
 package org.gradeledge.discovery;
 
 /**
- * What one answer of an upstream says of whether it leaves.
+ * The part of a response in which an upstream announces that it is leaving.
  *
- * @param kind what was said
- * @param text what stood there; empty but for {@link Kind#UNREADABLE}
+ * @param kind what the response says
+ * @param text the unreadable text; empty unless the kind is {@link Kind#UNREADABLE}
  * @since 0.5
  */
 public record LeavingSignal(Kind kind, String text) {
 
-  /** What may be said. */
+  /** The possible meanings. */
   public enum Kind {
-    /** It leaves and takes no new work. */
+    /** The upstream is leaving and accepts no new requests. */
     LEAVES,
-    /** It says nothing of leaving. */
+    /** The response does not say that the upstream is leaving. */
     NOTHING,
-    /** There is something that is neither yes nor no. */
+    /** The value is invalid. */
     UNREADABLE
   }
 
-  /** The upstream leaves. */
+  /** A response of an upstream that is leaving. */
   public static final LeavingSignal LEAVES = new LeavingSignal(Kind.LEAVES, "");
 
-  /** The answer says nothing of leaving. */
+  /** A response that does not say that the upstream is leaving. */
   public static final LeavingSignal NOTHING = new LeavingSignal(Kind.NOTHING, "");
 
-  /** Returns that what stood there cannot be read. */
+  /** Returns a signal with an invalid value. */
   public static LeavingSignal unreadable(String text) {
     return new LeavingSignal(Kind.UNREADABLE, text);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/ListTrust.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/ListTrust.java
@@ -1,26 +1,26 @@
 package org.gradeledge.discovery;
 
 /**
- * What a box can say of entries that are missing from its list of upstreams.
+ * How far a box trusts that upstreams missing from its list are gone.
  *
  * @since 0.3
  */
 public enum ListTrust {
-  /** It reads too seldom to have noticed an outage of the list. */
+  /** The box reads the list too rarely to detect an outage. */
   UNKNOWN,
-  /** The list was away: they may only have lapsed. */
+  /** The list was unavailable: missing entries may only have lapsed. */
   DOUBTED,
-  /** It has read the list steadily: they are gone. */
+  /** The box has read the list without interruption: missing entries are gone. */
   TRUSTED;
 
   private static final ListTrust[] ALL = values();
 
-  /** Returns the number that stands for it between boxes. */
+  /** Returns the code of this constant in messages between boxes. */
   public int code() {
     return ordinal();
   }
 
-  /** Returns what a number stands for; what is not known says nothing. */
+  /** Returns the constant for a code, {@link #UNKNOWN} for an unknown code. */
   public static ListTrust ofCode(int code) {
     return code > 0 && code < ALL.length ? ALL[code] : UNKNOWN;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/PendingUpstreamNotifications.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/PendingUpstreamNotifications.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What is to be told of upstreams once a change of the list is over. Each is taken once. Confined
- * to the event loop.
+ * Notifications that are collected during an update of the list and delivered after it. Each is
+ * taken once. Confined to the event loop.
  */
 final class PendingUpstreamNotifications {
 
@@ -13,17 +13,17 @@
   private final List<UpstreamRecord> replaced = new ArrayList<>();
   private final List<UpstreamRecord> cold = new ArrayList<>();
 
-  /** Notes one that takes no new work any more. */
+  /** Adds an upstream that accepts no new requests any more. */
   void addRetired(UpstreamRecord upstream) {
     retired.add(upstream);
   }
 
-  /** Notes a start after which another has begun. */
+  /** Adds an incarnation that was replaced by a later one. */
   void addReplaced(UpstreamRecord upstream) {
     replaced.add(upstream);
   }
 
-  /** Notes a report that one is cold. */
+  /** Adds a report that an upstream is cold. */
   void addCold(UpstreamRecord upstream) {
     cold.add(upstream);
   }
@@ -40,9 +40,9 @@
     return take(cold);
   }
 
-  private static List<UpstreamRecord> take(List<UpstreamRecord> gathered) {
-    List<UpstreamRecord> taken = List.copyOf(gathered);
-    gathered.clear();
+  private static List<UpstreamRecord> take(List<UpstreamRecord> pending) {
+    List<UpstreamRecord> taken = List.copyOf(pending);
+    pending.clear();
     return taken;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/ReappearedUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/ReappearedUpstreams.java
@@ -8,19 +8,18 @@
 import java.util.Set;
 
 /**
- * Upstreams that had gone and stand in the list again only because its source came back as an older
- * copy of itself. Confined to the event loop.
+ * Withholds entries of removed upstreams that are listed again only because the source of the list
+ * was restored from a backup. Confined to the event loop.
  */
 final class ReappearedUpstreams {
 
-  /** More than go in the seconds that a copy may be old, on any deployment; about 50 kB. */
   private static final int MAX_ENTRIES = 512;
 
   private final Set<String> goneIncarnationIds = new LinkedHashSet<>();
   private final Map<String, UpstreamRecord> withheldById = new HashMap<>();
   private boolean withholding;
 
-  /** Notes that a start has gone without saying that it leaves. */
+  /** Records that an incarnation is gone without having announced it. */
   void recordGone(UpstreamRecord upstream) {
     goneIncarnationIds.add(upstream.incarnationId());
     if (goneIncarnationIds.size() > MAX_ENTRIES) {
@@ -28,35 +27,35 @@
     }
   }
 
-  /** Notes that a start is in use. */
+  /** Records that an incarnation is in use. */
   void recordPresent(UpstreamRecord upstream) {
     goneIncarnationIds.remove(upstream.incarnationId());
   }
 
-  /** From now on a reading may hold what had gone. */
+  /** Withholds entries of removed upstreams in full reads from now on. */
   void startWithholding() {
     withholding = true;
   }
 
-  /** Returns whether an entry of a reading is not to be used yet. */
+  /** Returns whether an entry of a full read must not be used yet. */
   boolean withholdIfReappeared(UpstreamRecord upstream) {
-    boolean back = withholding && goneIncarnationIds.contains(upstream.incarnationId());
-    if (back) {
+    boolean reappeared = withholding && goneIncarnationIds.contains(upstream.incarnationId());
+    if (reappeared) {
       withheldById.put(upstream.id(), upstream);
     }
-    return back;
+    return reappeared;
   }
 
-  /** Notes that an entry was written or removed by whoever it is of. */
+  /** Records that an entry was written or removed by its owner. */
   void recordWritten(String id) {
     withheldById.remove(id);
   }
 
-  /** Returns what stood there all the time: whoever it is of must have written it. */
+  /** Stops withholding and returns the withheld entries, which their owners must have renewed. */
   Collection<UpstreamRecord> releaseWithheld() {
     withholding = false;
-    List<UpstreamRecord> trusted = List.copyOf(withheldById.values());
+    List<UpstreamRecord> released = List.copyOf(withheldById.values());
     withheldById.clear();
-    return trusted;
+    return released;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UnreadableSignalLog.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UnreadableSignalLog.java
@@ -6,14 +6,13 @@
 import org.gradeledge.event.EventLog;
 
 /**
- * Tells of what upstreams say of one matter that cannot be read: one line for each upstream and
- * text, however often it says so. Confined to the event loop.
+ * Logs signals of upstreams that cannot be parsed, one line for each upstream and text however
+ * often it is repeated. Confined to the event loop.
  *
  * @since 0.5
  */
 public final class UnreadableSignalLog {
 
-  /** Many more upstreams than say something odd at a time; about 100 kB. */
   private static final int MAX_ENTRIES = 1_024;
 
   private final EventLog events;
@@ -21,16 +20,16 @@
   private final Map<String, String> textByIncarnation = new LinkedHashMap<>();
 
   /**
-   * Creates it; nothing was read yet.
+   * Creates a log without entries.
    *
-   * @param event name of the line
+   * @param event event name of the log line
    */
   public UnreadableSignalLog(EventLog events, String event) {
     this.events = events;
     this.event = event;
   }
 
-  /** Notes a text that cannot be read. */
+  /** Logs a text that cannot be parsed, unless it was the last one of this upstream. */
   public void report(UpstreamRecord upstream, String text) {
     if (Objects.equals(textByIncarnation.put(upstream.incarnationId(), text), text)) {
       return;
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamChangeLog.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamChangeLog.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import org.gradeledge.event.EventLog;
 
-/** Writes one line for each change of what is believed of upstreams. */
+/** Writes a log line for each change of the known upstreams. */
 final class UpstreamChangeLog {
 
   private final EventLog events;
@@ -12,9 +12,9 @@
     this.events = events;
   }
 
-  void logChange(String what, UpstreamRecord upstream, long revision) {
+  void logChange(String event, UpstreamRecord upstream, long revision) {
     events
-        .change(what)
+        .change(event)
         .with("upstream", upstream.id())
         .with("born", upstream.startedAtMillis())
         .with("service", upstream.service())
@@ -23,14 +23,14 @@
         .write();
   }
 
-  /** Writes that an upstream has said that it leaves, in an answer or to another box. */
-  void logLeavingAnnouncement(UpstreamRecord upstream, String from) {
+  /** Logs that an upstream has announced that it leaves, in a response or to a peer. */
+  void logLeavingAnnouncement(UpstreamRecord upstream, String reporter) {
     events
         .change("upstream-announces-leaving")
         .with("upstream", upstream.id())
         .with("born", upstream.startedAtMillis())
         .with("service", upstream.service())
-        .with("from", from)
+        .with("from", reporter)
         .write();
   }
 
@@ -38,12 +38,12 @@
     events.problem("upstream-listener-failed").with("why", String.valueOf(failure)).write();
   }
 
-  void logEvacuations(ZoneEvacuations now, Set<String> before) {
+  void logEvacuations(ZoneEvacuations evacuations, Set<String> before) {
     events
         .change("zones-evacuated")
-        .with("zones", String.join(" ", now.zones()))
+        .with("zones", String.join(" ", evacuations.zones()))
         .with("before", String.join(" ", before))
-        .with("revision", now.revision())
+        .with("revision", evacuations.revision())
         .write();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamIndex.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamIndex.java
@@ -8,23 +8,23 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** Upstreams by what they are looked up by for each request. Confined to the event loop. */
+/** Index of the upstreams for the lookups of each request. Confined to the event loop. */
 final class UpstreamIndex {
 
   private final Map<String, List<UpstreamRecord>> usableByService = new HashMap<>();
   private final Map<String, UpstreamRecord> byAddress = new HashMap<>();
 
-  /** Returns the upstreams of a service that take new work. */
+  /** Returns the upstreams of a service that accept new requests. */
   List<UpstreamRecord> usable(String service) {
     return usableByService.getOrDefault(service, List.of());
   }
 
-  /** Returns the upstream that has an address. */
+  /** Returns the upstream that listens on an address. */
   Optional<UpstreamRecord> atAddress(String address) {
     return Optional.ofNullable(byAddress.get(address));
   }
 
-  /** Takes the place of all that was known. */
+  /** Replaces the contents of the index. */
   void rebuild(Collection<UpstreamRecord> upstreams, Predicate<UpstreamRecord> takesNewWork) {
     usableByService.clear();
     byAddress.clear();
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamListeners.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamListeners.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Who hears of changes among the upstreams. One that fails keeps no other from hearing: each has
- * its own part to give up. Confined to the event loop.
+ * Notifies listeners of changes of the known upstreams. A listener that fails does not prevent
+ * others from being called. Confined to the event loop.
  */
 final class UpstreamListeners {
 
@@ -54,10 +54,10 @@
     cold.forEach(listener -> notifySafely(() -> listener.accept(upstream)));
   }
 
-  /** Tells of zones that take new work again before it tells that there are other zones now. */
-  void notifyZonesChanged(Set<String> zonesRestored) {
-    if (!zonesRestored.isEmpty()) {
-      restored.forEach(listener -> notifySafely(() -> listener.accept(zonesRestored)));
+  /** Notifies of restored zones first, then of the change of the evacuated zones. */
+  void notifyZonesChanged(Set<String> restoredZones) {
+    if (!restoredZones.isEmpty()) {
+      restored.forEach(listener -> notifySafely(() -> listener.accept(restoredZones)));
     }
     zonesChanged.forEach(this::notifySafely);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRecord.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRecord.java
@@ -3,19 +3,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One start of an upstream as the list of upstreams tells it. An upstream that starts again may do
- * so under the same id; it then holds and knows nothing of before.
+ * An incarnation of an upstream as its list entry describes it: one lifetime of its process. A
+ * restarted upstream may reuse the id; it has none of the state of the previous incarnation.
  *
- * @param id name that it is listed under
- * @param startedAtMillis when it started, in milliseconds since 1970; 0 if that is not told, and
- *     then no other start has its id
- * @param service name of its service
- * @param host IP number
+ * @param id name in the list
+ * @param startedAtMillis start time in milliseconds since the epoch; 0 if not reported, in which
+ *     case no other incarnation has this id
+ * @param service name of the service
+ * @param host IP address
  * @param port TCP port
  * @param zone availability zone
- * @param slots requests that it works on at once
- * @param leaving whether it takes no new work
- * @param coldMillis how much longer it is cold, as it last told; no part of what makes two equal
+ * @param slots number of requests that it processes concurrently
+ * @param leaving whether it accepts no new requests
+ * @param coldMillis remaining cold start time as last reported; not part of equality
  * @since 0.2
  */
 public record UpstreamRecord(
@@ -29,15 +29,15 @@
     boolean leaving,
     long coldMillis) {
 
-  /** Creates one that does not tell when it started and is not cold. */
+  /** Creates a record of an upstream that does not report its start time and is not cold. */
   public UpstreamRecord(
       String id, String service, String host, int port, String zone, int slots, boolean leaving) {
     this(id, 0, service, host, port, zone, slots, leaving, 0);
   }
 
   /**
-   * Returns what names this start, and none before or after it, in all that a box or its peers know
-   * of it: load, room, connections, what it was sent. The id alone where no birth is told.
+   * Returns the identifier of this incarnation, which a box and its peers use as the key of its
+   * load, memory, connections and requests. It is the id alone if no start time is reported.
    */
   public String incarnationId() {
     return startedAtMillis == 0
@@ -45,18 +45,18 @@
         : id + "*" + Long.toString(startedAtMillis, Character.MAX_RADIX);
   }
 
-  /** Returns the same start, taking no new work. */
+  /** Returns a copy that is marked as leaving. */
   UpstreamRecord asLeaving() {
     return new UpstreamRecord(
         id, startedAtMillis, service, host, port, zone, slots, true, coldMillis);
   }
 
-  /** Returns host and port. */
+  /** Returns the address as {@code host:port}. */
   public String address() {
     return host + ":" + port;
   }
 
-  /** Written out, as the one that a record makes costs each young process some 30 milliseconds. */
+  // Explicit, as the generated method is slow to initialize in a starting process.
   @Override
   public boolean equals(@Nullable Object other) {
     return other instanceof UpstreamRecord that
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRegistry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRegistry.java
@@ -10,10 +10,10 @@
 import org.gradeledge.event.EventLog;
 
 /**
- * All upstreams that are known to the box, by id the newest start of each. A start that has once
- * been leaving takes no new work again, whatever an older report says; one whose entry only lapsed
- * may come back. A newer start under the same id ends the one before, and what is heard of that one
- * later changes nothing.
+ * Registry of all upstreams known to the box, with the latest incarnation for each id. An
+ * incarnation that has announced that it leaves never accepts new requests again, even if an
+ * outdated entry says so; one whose entry only lapsed may return. A later incarnation with the same
+ * id retires the previous one, and reports about the previous one are ignored from then on.
  *
  * <p>Confined to the event loop.
  *
@@ -36,44 +36,44 @@
     this.known = new KnownUpstreams(changes);
   }
 
-  /** Tells a listener of each upstream that takes no new work any more. */
+  /** Registers a listener for upstreams that accept no new requests any more. */
   public void onRetired(Consumer<UpstreamRecord> listener) {
     listeners.onRetired(listener);
   }
 
-  /** Tells a listener of each start after which another one has begun under the same id. */
+  /** Registers a listener for incarnations that were replaced by a later one with the same id. */
   public void onReplaced(Consumer<UpstreamRecord> listener) {
     listeners.onReplaced(listener);
   }
 
-  /** Tells a listener whenever other zones than before take no new work. */
+  /** Registers a listener for changes of the set of evacuated zones. */
   public void onZonesChanged(Runnable listener) {
     listeners.onZonesChanged(listener);
   }
 
-  /** Tells a listener of zones that take new work again. */
+  /** Registers a listener for zones that accept new requests again. */
   public void onRestored(Consumer<Set<String>> listener) {
     listeners.onRestored(listener);
   }
 
-  /** Tells a listener of each report that an upstream is cold. */
+  /** Registers a listener for reports that an upstream is cold. */
   public void onCold(Consumer<UpstreamRecord> listener) {
     listeners.onCold(listener);
   }
 
-  /** Returns the zones that take no new work. */
+  /** Returns the zones that accept no new requests. */
   public ZoneEvacuations evacuations() {
     return evacuated.current();
   }
 
   /**
-   * Takes on which zones take no new work, unless something newer is known. What their upstreams
-   * work on goes on.
+   * Applies an evacuation order if it is newer than the current one. Requests in flight in the
+   * evacuated zones continue.
    *
-   * @return whether the zones are others than before
+   * @return whether the set of evacuated zones has changed
    */
-  public boolean applyEvacuations(ZoneEvacuations told) {
-    Optional<Set<String>> restored = evacuated.update(told);
+  public boolean applyEvacuations(ZoneEvacuations order) {
+    Optional<Set<String>> restored = evacuated.update(order);
     restored.ifPresent(
         zones -> {
           rebuild();
@@ -82,42 +82,42 @@
     return restored.isPresent();
   }
 
-  /** Returns the revision of the list that the registry stands at, -1 at the start. */
+  /** Returns the revision of the list that has been applied, -1 initially. */
   public long revision() {
     return known.revision();
   }
 
-  /** Returns the revision at which the list last said something new, -1 at the start. */
+  /** Returns the revision of the last update that changed an entry, -1 initially. */
   public long changedAt() {
     return known.changedAt();
   }
 
-  /** Returns all upstreams that are known. */
+  /** Returns all known upstreams. */
   public Collection<UpstreamRecord> all() {
     return known.all();
   }
 
-  /** Returns the upstreams of some zones. */
+  /** Returns the upstreams of the given zones. */
   public List<UpstreamRecord> inZones(Set<String> zones) {
     return known.all().stream().filter(upstream -> zones.contains(upstream.zone())).toList();
   }
 
-  /** Returns the upstreams that the list names now, without those whose entry may have lapsed. */
+  /** Returns the upstreams in the list, without those whose entry may have lapsed. */
   public Collection<UpstreamRecord> listed() {
     return known.all().stream().filter(upstream -> !known.isLapsed(upstream)).toList();
   }
 
-  /** Returns the upstreams of a service that take new work. */
+  /** Returns the upstreams of a service that accept new requests. */
   public List<UpstreamRecord> usable(String service) {
     return index.usable(service);
   }
 
-  /** Returns whether a start of an upstream leaves, or is listed no more. */
+  /** Returns whether an incarnation is leaving or no longer listed. */
   public boolean hasLeft(UpstreamRecord upstream) {
     return known.find(upstream).map(UpstreamRecord::leaving).orElse(true);
   }
 
-  /** Returns whether new work may still be sent to an upstream. */
+  /** Returns whether an upstream accepts new requests. */
   public boolean isUsable(UpstreamRecord upstream) {
     return known.find(upstream).filter(this::acceptsNewRequests).isPresent();
   }
@@ -126,19 +126,17 @@
     return !upstream.leaving() && !isEvacuated(upstream);
   }
 
-  /**
-   * Returns whether the zone of an upstream is evacuated, so that nothing new may be sent to it.
-   */
+  /** Returns whether the zone of an upstream is evacuated. */
   public boolean isEvacuated(UpstreamRecord upstream) {
     return evacuated.contains(upstream);
   }
 
-  /** Returns the upstream that has an address. */
+  /** Returns the upstream that listens on an address. */
   public Optional<UpstreamRecord> atAddress(String address) {
     return index.atAddress(address);
   }
 
-  /** Takes a whole list on where it is not older than what is held. */
+  /** Replaces the list, unless the given one is older. */
   public void replaceAll(long newRevision, Collection<UpstreamRecord> records) {
     if (newRevision >= known.revision()) {
       known.beginUpdate(newRevision);
@@ -148,71 +146,74 @@
     }
   }
 
-  /** Takes changes on that lead to a revision. */
-  public void update(long newRevision, Collection<UpstreamRecord> put, Collection<String> gone) {
+  /** Applies changes that lead to a revision. */
+  public void update(
+      long newRevision, Collection<UpstreamRecord> put, Collection<String> removedIds) {
     if (newRevision >= known.revision()) {
       known.beginUpdate(newRevision);
       put.forEach(known::put);
-      gone.forEach(known::remove);
+      removedIds.forEach(known::remove);
       publishChanges();
     }
   }
 
   /**
-   * Notes that the list's source does not answer: an entry that vanishes from now on may only have
-   * lapsed, as the upstream could not renew it, and stays in use until the list can be trusted.
+   * Records that the source of the list does not respond. Entries that are removed from now on may
+   * only have lapsed, as their upstreams could not renew them, and stay in use until removals are
+   * trusted.
    */
   public void distrustRemovals() {
     known.distrustRemovals();
   }
 
   /**
-   * Notes that the list's source came back as an older copy of itself: an entry of an upstream that
-   * had gone may be there again only for that, and is not used until it is written anew or the list
-   * can be trusted.
+   * Records that the source of the list was restored from a backup. Entries of removed upstreams
+   * may have reappeared and are not used until they are rewritten or removals are trusted.
    */
   public void distrustReappearedEntries() {
     known.distrustReappearedEntries();
   }
 
   /**
-   * Notes that another box has noticed that the list's source did not answer: this one may not
-   * have, as it seldom reads, and what it is told or reads next lacks entries that only lapsed.
+   * Records that a peer has detected an outage of the list's source. This box may have missed it,
+   * as it reads rarely, and its next update may lack entries that only lapsed.
    */
   public void distrustRemovalsReportedByPeer() {
     known.distrustRemovalsReportedByPeer();
   }
 
-  /** Returns what this box can say itself of entries that are missing. */
+  /** Returns how far this box trusts that missing upstreams are gone. */
   public ListTrust listTrust() {
     return known.hasDetectedOutage() ? ListTrust.DOUBTED : trustSupplier.get();
   }
 
-  /** Returns whether entries that are missing may only have lapsed, as noticed or told. */
+  /**
+   * Returns whether removed entries may only have lapsed, as detected here or reported by a peer.
+   */
   public boolean areRemovalsUntrusted() {
     return known.areRemovalsUntrusted();
   }
 
-  /** Sets whether this box reads the list so steadily that it would have noticed an outage. */
-  public void setTrustSupplier(Supplier<ListTrust> reading) {
-    trustSupplier = reading;
+  /** Sets the source of the trust that this box has in its reads of the list. */
+  public void setTrustSupplier(Supplier<ListTrust> supplier) {
+    trustSupplier = supplier;
   }
 
-  /** Notes that the upstreams have had the time to renew their entries: what is missing is gone. */
+  /** Records that all upstreams had time to renew their entries, so that missing ones are gone. */
   public void trustRemovals() {
     known.trustRemovals();
     publishChanges();
   }
 
-  /** Notes that an upstream was seen to be gone, for instance since another has its address. */
+  /** Records that an upstream is gone, for instance because another one has its address. */
   public void markGone(UpstreamRecord upstream) {
     known.markGone(upstream);
     publishChanges();
   }
 
   /**
-   * Notes that an upstream said in an answer that it leaves: this start takes no new work any more,
-   * whatever the list says of it.
+   * Records that an upstream has announced in a response that it leaves: this incarnation accepts
+   * no new requests any more, whatever its list entry says.
    */
   public void recordLeavingAnnouncement(UpstreamRecord upstream) {
     if (known.recordLeavingAnnouncement(upstream)) {
@@ -221,34 +222,35 @@
     }
   }
 
-  /** Runs an action whenever an upstream has said to this box that it leaves, and that is news. */
+  /** Sets the action to run after an upstream in use has announced to this box that it leaves. */
   public void onLeavingAnnounced(Runnable action) {
     onLeavingAnnounced = action;
   }
 
   /**
-   * Takes in the starts that have said to another box that they leave; returns whether any of it is
-   * news.
+   * Applies announcements that a peer has received from leaving upstreams; returns whether any of
+   * them changed an upstream.
    */
-  public boolean applyPeerLeavingAnnouncements(String box, Collection<String> starts) {
-    boolean news = !starts.isEmpty() && known.applyPeerLeavingAnnouncements(box, starts);
-    if (news) {
+  public boolean applyPeerLeavingAnnouncements(String peer, Collection<String> incarnationIds) {
+    boolean changed =
+        !incarnationIds.isEmpty() && known.applyPeerLeavingAnnouncements(peer, incarnationIds);
+    if (changed) {
       publishChanges();
     }
-    return news;
+    return changed;
   }
 
   /**
-   * Returns the starts that have said to this box that they leave, as long as they are listed and
-   * the list does not say so.
+   * Returns the incarnations that have announced to this box that they leave, as long as they are
+   * listed and not marked as leaving in the list.
    */
   public List<String> announcedLeaving() {
     return known.announcedLeaving();
   }
 
   /**
-   * Notes that an upstream closes connections as one that leaves does. Others do so at times; one
-   * whose entry has vanished as well is out of use until it renews that.
+   * Records that an upstream closes connections, as a leaving one does. Others may do so too; only
+   * one whose entry has lapsed is taken out of use, until it renews the entry.
    */
   public void recordConnectionClose(UpstreamRecord upstream) {
     if (known.isLapsed(upstream)) {
@@ -258,8 +260,8 @@
   }
 
   /**
-   * Ends a change. Listeners look for other upstreams at once, so that they must not be told before
-   * those that have just ended are out of the index.
+   * Completes an update. The index is rebuilt before listeners are notified, as they select other
+   * upstreams immediately.
    */
   private void publishChanges() {
     rebuild();
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/ZoneEvacuations.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/ZoneEvacuations.java
@@ -7,27 +7,26 @@
 import java.util.TreeSet;
 
 /**
- * The availability zones whose upstreams take nothing new, as the operator has ordered it. Of two
- * states the one of the higher revision holds, whoever told it.
+ * An evacuation order: the availability zones that accept no new requests. The order with the
+ * highest revision applies, whichever box reported it.
  *
- * @param revision revision of the platform's table of orders at which they were read; -1 where
- *     nothing is known yet
- * @param zones the zones, in the order of their names
+ * @param revision revision of the order table at which the order was read; -1 if none was read
+ * @param zones evacuated zones, sorted by name
  * @since 0.3
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record ZoneEvacuations(long revision, Set<String> zones) {
 
-  /** What a box knows before it has read or heard anything. */
+  /** The state before any order is received. */
   public static final ZoneEvacuations UNKNOWN = new ZoneEvacuations(-1, Set.of());
 
-  /** Checks the parts. */
+  /** Copies and sorts the zones. */
   public ZoneEvacuations {
     Objects.requireNonNull(zones, "zones must be given");
     zones = Collections.unmodifiableSet(new TreeSet<>(zones));
   }
 
-  /** Returns whether this state holds against another one. */
+  /** Returns whether this order replaces another one. */
   public boolean isNewerThan(ZoneEvacuations other) {
     return revision > other.revision;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/package-info.java
@@ -1,4 +1,4 @@
-/** Which upstreams there are, which are leaving, and how that is learned. */
+/** Discovery of upstreams, their restarts, and their leaving. */
 @NullMarked
 package org.gradeledge.discovery;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/AnnouncedLeavingTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/AnnouncedLeavingTests.java
@@ -13,202 +13,207 @@
 import org.gradeledge.event.EventLogs;
 import org.junit.jupiter.api.Test;
 
-/** An upstream says in an answer that it leaves; what the list says of it comes in any order. */
+/**
+ * Guards against new requests to upstreams that have announced in a response that they leave,
+ * whatever the order of the updates of the list.
+ */
 class AnnouncedLeavingTests {
 
   private final UpstreamRegistry registry = new UpstreamRegistry(EventLogs.silent());
-  private final List<String> ended = new ArrayList<>();
+  private final List<String> retired = new ArrayList<>();
 
   AnnouncedLeavingTests() {
-    registry.onRetired(upstream -> ended.add(upstream.incarnationId()));
-    registry.replaceAll(1, List.of(start(10), other()));
+    registry.onRetired(upstream -> retired.add(upstream.incarnationId()));
+    registry.replaceAll(1, List.of(incarnation(10), otherUpstream()));
   }
 
   @Test
-  void itTakesNoNewWorkAndListenersHearOnce() {
-    registry.recordLeavingAnnouncement(start(10));
-    registry.recordLeavingAnnouncement(start(10));
-
-    assertThat(registry.usable("service")).containsExactly(other());
-    assertThat(registry.isUsable(start(10))).isFalse();
-    assertThat(registry.hasLeft(start(10))).isTrue();
-    assertThat(ended).containsExactly(start(10).incarnationId());
-    assertThat(registry.announcedLeaving()).containsExactly(start(10).incarnationId());
+  void leavingUpstreamAcceptsNoRequestsAndListenersAreNotifiedOnce() {
+    registry.recordLeavingAnnouncement(incarnation(10));
+    registry.recordLeavingAnnouncement(incarnation(10));
+
+    assertThat(registry.usable("service")).containsExactly(otherUpstream());
+    assertThat(registry.isUsable(incarnation(10))).isFalse();
+    assertThat(registry.hasLeft(incarnation(10))).isTrue();
+    assertThat(retired).containsExactly(incarnation(10).incarnationId());
+    assertThat(registry.announcedLeaving()).containsExactly(incarnation(10).incarnationId());
   }
 
   @Test
-  void whoeverHearsOfItFindsItOutOfUse() {
-    List<UpstreamRecord> found = new ArrayList<>();
-    registry.onRetired(upstream -> found.addAll(registry.usable("service")));
+  void listenersSeeTheUpstreamAlreadyOutOfUse() {
+    List<UpstreamRecord> usable = new ArrayList<>();
+    registry.onRetired(upstream -> usable.addAll(registry.usable("service")));
 
-    registry.recordLeavingAnnouncement(start(10));
+    registry.recordLeavingAnnouncement(incarnation(10));
 
-    assertThat(found).containsExactly(other());
+    assertThat(usable).containsExactly(otherUpstream());
   }
 
   @Test
-  void aListThatStillSaysReadyChangesNothing() {
-    registry.recordLeavingAnnouncement(start(10));
+  void outdatedListEntryDoesNotRevertLeaving() {
+    registry.recordLeavingAnnouncement(incarnation(10));
 
-    registry.update(2, List.of(start(10)), List.of());
-    registry.replaceAll(3, List.of(start(10), other()));
+    registry.update(2, List.of(incarnation(10)), List.of());
+    registry.replaceAll(3, List.of(incarnation(10), otherUpstream()));
 
-    assertThat(registry.usable("service")).containsExactly(other());
+    assertThat(registry.usable("service")).containsExactly(otherUpstream());
   }
 
   @Test
-  void anEntryThatLapsedAndCameBackChangesNothing() {
-    registry.recordLeavingAnnouncement(start(10));
+  void lapsedAndRenewedEntryDoesNotRevertLeaving() {
+    registry.recordLeavingAnnouncement(incarnation(10));
     registry.distrustRemovals();
     registry.update(2, List.of(), List.of("id"));
     registry.trustRemovals();
 
-    registry.update(3, List.of(start(10)), List.of());
+    registry.update(3, List.of(incarnation(10)), List.of());
 
-    assertThat(registry.usable("service")).containsExactly(other());
+    assertThat(registry.usable("service")).containsExactly(otherUpstream());
   }
 
   @Test
-  void anOlderCopyOfTheListChangesNothing() {
-    registry.recordLeavingAnnouncement(start(10));
+  void restoredBackupOfTheListDoesNotRevertLeaving() {
+    registry.recordLeavingAnnouncement(incarnation(10));
     registry.distrustRemovals();
     registry.distrustReappearedEntries();
-    registry.replaceAll(2, List.of(start(10), other()));
+    registry.replaceAll(2, List.of(incarnation(10), otherUpstream()));
     registry.trustRemovals();
 
-    assertThat(registry.usable("service")).containsExactly(other());
+    assertThat(registry.usable("service")).containsExactly(otherUpstream());
   }
 
   @Test
-  void theNextStartUnderItsIdIsUsed() {
-    registry.recordLeavingAnnouncement(start(10));
+  void nextIncarnationWithTheSameIdIsUsed() {
+    registry.recordLeavingAnnouncement(incarnation(10));
 
-    registry.update(2, List.of(start(20)), List.of());
+    registry.update(2, List.of(incarnation(20)), List.of());
 
-    assertThat(registry.usable("service")).contains(start(20));
+    assertThat(registry.usable("service")).contains(incarnation(20));
   }
 
   @Test
-  void theWordOfAnEarlierStartIsNotThatOfTheNext() {
-    registry.update(2, List.of(start(20)), List.of());
+  void announcementOfAnEarlierIncarnationDoesNotAffectTheNext() {
+    registry.update(2, List.of(incarnation(20)), List.of());
 
-    registry.recordLeavingAnnouncement(start(10));
+    registry.recordLeavingAnnouncement(incarnation(10));
 
-    assertThat(registry.usable("service")).contains(start(20));
+    assertThat(registry.usable("service")).contains(incarnation(20));
     assertThat(registry.announcedLeaving()).isEmpty();
   }
 
   @Test
-  void itIsStillFoundAtItsAddressUntilItsEntryGoes() {
-    registry.recordLeavingAnnouncement(start(10));
+  void leavingUpstreamIsFoundByAddressWhileListed() {
+    registry.recordLeavingAnnouncement(incarnation(10));
 
-    assertThat(registry.atAddress(start(10).address())).isPresent();
+    assertThat(registry.atAddress(incarnation(10).address())).isPresent();
   }
 
   @Test
-  void whatItSaidToAnotherBoxCountsTheSameAndIsNotHandedOnAsHeardHere() {
+  void announcementReportedByAPeerAppliesAndIsNotForwarded() {
     assertThat(
             registry.applyPeerLeavingAnnouncements(
-                "box", List.of(start(10).incarnationId(), "unknown")))
+                "box", List.of(incarnation(10).incarnationId(), "unknown")))
         .isTrue();
     assertThat(
             registry.applyPeerLeavingAnnouncements(
-                "box", List.of(start(10).incarnationId(), "unknown")))
+                "box", List.of(incarnation(10).incarnationId(), "unknown")))
         .isFalse();
 
-    assertThat(registry.usable("service")).containsExactly(other());
-    assertThat(ended).containsExactly(start(10).incarnationId());
+    assertThat(registry.usable("service")).containsExactly(otherUpstream());
+    assertThat(retired).containsExactly(incarnation(10).incarnationId());
     assertThat(registry.announcedLeaving()).isEmpty();
   }
 
   @Test
-  void whatWasToldOfOneThatIsNotListedYetCountsOnceItIs() {
-    registry.applyPeerLeavingAnnouncements("box", List.of(start(20).incarnationId()));
+  void announcementOfAnUnlistedIncarnationAppliesOnceItIsListed() {
+    registry.applyPeerLeavingAnnouncements("box", List.of(incarnation(20).incarnationId()));
 
-    registry.update(2, List.of(start(20)), List.of());
+    registry.update(2, List.of(incarnation(20)), List.of());
 
-    assertThat(registry.usable("service")).containsExactly(other());
+    assertThat(registry.usable("service")).containsExactly(otherUpstream());
   }
 
   @Test
-  void onceTheListSaysItItIsNotToldAnyMore() {
-    registry.recordLeavingAnnouncement(start(10));
-    registry.update(2, List.of(start(10).asLeaving()), List.of());
+  void announcementIsNotReportedOnceTheListShowsIt() {
+    registry.recordLeavingAnnouncement(incarnation(10));
+    registry.update(2, List.of(incarnation(10).asLeaving()), List.of());
 
     assertThat(registry.announcedLeaving()).isEmpty();
-    assertThat(ended).containsExactly(start(10).incarnationId());
+    assertThat(retired).containsExactly(incarnation(10).incarnationId());
   }
 
   /**
-   * Steps in any order: readings of the list, entries that go and come, outages, older copies, new
-   * starts, answers. What has said that it leaves is never used again, and what has not, nor was
-   * said to leave or gone, always is; what had gone and stands in an older copy is not used yet.
+   * Applies full reads, updates, outages, restored backups, restarts and announcements in random
+   * order. An incarnation that has announced its leaving is never used again; one that is listed
+   * and has not announced it is always used.
    */
   @Property(tries = 1_000)
-  void nothingThatSaidSoIsUsedAgainAndNothingElseIsLost(
+  void onlyIncarnationsThatAnnouncedLeavingStayUnused(
       @ForAll @Size(max = 40) List<@IntRange(max = 7) Integer> steps) {
-    UpstreamRegistry told = new UpstreamRegistry(EventLogs.silent());
-    Set<Long> left = new HashSet<>();
+    UpstreamRegistry tested = new UpstreamRegistry(EventLogs.silent());
+    Set<Long> announced = new HashSet<>();
     long revision = 1;
-    long born = 1;
+    long startedAtMillis = 1;
     boolean listed = true;
     boolean removed = false;
-    boolean olderCopy = false;
-    told.replaceAll(revision, List.of(start(born), other()));
+    boolean backupRestored = false;
+    tested.replaceAll(revision, List.of(incarnation(startedAtMillis), otherUpstream()));
     for (int step : steps) {
       revision++;
       switch (step) {
         case 0 -> {
-          told.recordLeavingAnnouncement(start(born));
-          left.add(born);
+          tested.recordLeavingAnnouncement(incarnation(startedAtMillis));
+          announced.add(startedAtMillis);
         }
         case 1 -> {
-          told.update(revision, List.of(start(born)), List.of());
+          tested.update(revision, List.of(incarnation(startedAtMillis)), List.of());
           listed = true;
           removed = false;
         }
         case 2 -> {
-          told.replaceAll(revision, List.of(start(born), other()));
-          listed |= !olderCopy;
+          tested.replaceAll(revision, List.of(incarnation(startedAtMillis), otherUpstream()));
+          listed |= !backupRestored;
           removed &= !listed;
         }
         case 3 -> {
-          told.distrustRemovals();
-          told.update(revision, List.of(), List.of("id"));
+          tested.distrustRemovals();
+          tested.update(revision, List.of(), List.of("id"));
           removed = true;
         }
         case 4 -> {
-          told.trustRemovals();
+          tested.trustRemovals();
           listed &= !removed;
-          olderCopy = false;
+          backupRestored = false;
         }
         case 5 -> {
-          told.distrustReappearedEntries();
-          olderCopy = true;
+          tested.distrustReappearedEntries();
+          backupRestored = true;
         }
         case 6 -> {
-          born++;
-          told.update(revision, List.of(start(born)), List.of());
+          startedAtMillis++;
+          tested.update(revision, List.of(incarnation(startedAtMillis)), List.of());
           listed = true;
           removed = false;
         }
-        default -> told.recordLeavingAnnouncement(start(born - 1));
+        default -> tested.recordLeavingAnnouncement(incarnation(startedAtMillis - 1));
       }
       if (listed) {
-        assertThat(told.isUsable(start(born))).isEqualTo(!left.contains(born));
+        assertThat(tested.isUsable(incarnation(startedAtMillis)))
+            .isEqualTo(!announced.contains(startedAtMillis));
       }
-      assertThat(told.usable("service"))
+      assertThat(tested.usable("service"))
           .noneMatch(
-              upstream -> upstream.id().equals("id") && left.contains(upstream.startedAtMillis()))
-          .contains(other());
+              upstream ->
+                  upstream.id().equals("id") && announced.contains(upstream.startedAtMillis()))
+          .contains(otherUpstream());
     }
   }
 
-  private static UpstreamRecord start(long born) {
-    return new UpstreamRecord("id", born, "service", "10.0.0.1", 1, "zone", 1, false, 0);
+  private static UpstreamRecord incarnation(long startedAtMillis) {
+    return new UpstreamRecord("id", startedAtMillis, "service", "10.0.0.1", 1, "zone", 1, false, 0);
   }
 
-  private static UpstreamRecord other() {
+  private static UpstreamRecord otherUpstream() {
     return new UpstreamRecord("other", 1, "service", "10.0.0.2", 1, "zone", 1, false, 0);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/UpstreamRecordTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/UpstreamRecordTests.java
@@ -12,14 +12,14 @@
       new UpstreamRecord("id", "service", "10.0.0.1", 1, "zone", 2, false);
 
   @Test
-  void twoAreEqualWhereAllThatTheySayIs() {
+  void recordsWithEqualComponentsAreEqual() {
     assertThat(new UpstreamRecord("id", "service", "10.0.0.1", 1, "zone", 2, false))
         .isEqualTo(UPSTREAM)
         .hasSameHashCodeAs(UPSTREAM);
   }
 
   @Test
-  void anyDifferenceMakesThemDiffer() {
+  void recordsThatDifferInAnyComponentAreNotEqual() {
     assertThat(
             List.of(
                 new UpstreamRecord("other", "service", "10.0.0.1", 1, "zone", 2, false),
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void startsUnderOneIdHaveNamesOfTheirOwn() {
+  void incarnationsWithTheSameIdHaveDistinctIncarnationIds() {
     UpstreamRecord first = new UpstreamRecord("id", 7, "s", "10.0.0.1", 1, "z", 2, false, 0);
     UpstreamRecord second = new UpstreamRecord("id", 8, "s", "10.0.0.1", 1, "z", 2, false, 0);
 
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void addressesOfPeersCompareAlike() {
+  void peerAddressesAreEqualIfAllComponentsAreEqual() {
     PeerAddress address = new PeerAddress("box", 1, "10.0.0.1", 1);
 
     assertThat(new PeerAddress("box", 1, "10.0.0.1", 1))
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/UpstreamRegistryTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/UpstreamRegistryTests.java
@@ -12,37 +12,37 @@
   private final UpstreamRegistry registry = new UpstreamRegistry(EventLogs.silent());
 
   @Test
-  void aLeavingUpstreamTakesNoNewWorkAndAnOlderReportDoesNotUndoThat() {
-    List<String> ended = new ArrayList<>();
-    registry.onRetired(upstream -> ended.add(upstream.id()));
+  void leavingUpstreamAcceptsNoRequestsDespiteAnOutdatedEntry() {
+    List<String> retired = new ArrayList<>();
+    registry.onRetired(upstream -> retired.add(upstream.id()));
     registry.replaceAll(1, List.of(upstream("a", false), upstream("b", false)));
 
     registry.update(2, List.of(upstream("a", true)), List.of());
     registry.update(3, List.of(upstream("a", false)), List.of());
 
     assertThat(registry.usable("service")).extracting(UpstreamRecord::id).containsExactly("b");
-    assertThat(ended).containsExactly("a");
+    assertThat(retired).containsExactly("a");
   }
 
-  /** Each listener gives up its own part of what an upstream held; one must not stand for all. */
+  /** Guards against resources that stay allocated because another listener failed. */
   @Test
-  void aListenerThatFailsKeepsNoOtherFromHearing() {
-    List<String> ended = new ArrayList<>();
+  void failingListenerDoesNotPreventOthersFromBeingNotified() {
+    List<String> retired = new ArrayList<>();
     registry.onRetired(
         upstream -> {
-          throw new IllegalStateException("a listener that fails");
+          throw new IllegalStateException("simulated listener failure");
         });
-    registry.onRetired(upstream -> ended.add(upstream.id()));
+    registry.onRetired(upstream -> retired.add(upstream.id()));
     registry.replaceAll(1, List.of(upstream("a", false), upstream("b", false)));
 
     registry.replaceAll(2, List.of());
 
-    assertThat(ended).containsExactlyInAnyOrder("a", "b");
+    assertThat(retired).containsExactlyInAnyOrder("a", "b");
     assertThat(registry.usable("service")).isEmpty();
   }
 
   @Test
-  void anUpstreamWhoseEntryLapsedMayComeBack() {
+  void upstreamWhoseEntryLapsedMayReturn() {
     registry.replaceAll(1, List.of(upstream("a", false)));
     registry.update(2, List.of(), List.of("a"));
     assertThat(registry.usable("service")).isEmpty();
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void anEntryThatVanishesWhileTheSourceIsAwayStaysInUseUntilTheListCanBeTrusted() {
+  void entryRemovedDuringAnOutageStaysInUseUntilRemovalsAreTrusted() {
     registry.replaceAll(1, List.of(upstream("a", false), upstream("b", false)));
     registry.distrustRemovals();
     registry.replaceAll(5, List.of(upstream("b", false)));
@@ -67,9 +67,9 @@
   }
 
   @Test
-  void anEntryThatLapsedAndIsBackInTimeIsNeverGone() {
-    List<String> ended = new ArrayList<>();
-    registry.onRetired(upstream -> ended.add(upstream.id()));
+  void lapsedEntryThatIsRenewedInTimeIsNotRemoved() {
+    List<String> retired = new ArrayList<>();
+    registry.onRetired(upstream -> retired.add(upstream.id()));
     registry.replaceAll(1, List.of(upstream("a", false)));
     registry.distrustRemovals();
     registry.update(4, List.of(), List.of("a"));
@@ -78,11 +78,11 @@
     registry.trustRemovals();
 
     assertThat(isUsable("a")).isTrue();
-    assertThat(ended).isEmpty();
+    assertThat(retired).isEmpty();
   }
 
   @Test
-  void whatHasSaidThatItLeavesIsGoneAtOnceAlsoWhileTheSourceIsAway() {
+  void leavingUpstreamIsRemovedImmediatelyDuringAnOutage() {
     registry.replaceAll(1, List.of(upstream("a", false)));
     registry.distrustRemovals();
     registry.update(4, List.of(upstream("a", true)), List.of());
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void oneThatClosesConnectionsAndWhoseEntryHasVanishedIsOutOfUseUntilItRenewsThat() {
+  void lapsedUpstreamThatClosesConnectionsIsUnusedUntilItsEntryIsRenewed() {
     registry.replaceAll(1, List.of(upstream("a", false), upstream("b", false)));
     registry.distrustRemovals();
     registry.update(2, List.of(), List.of("a"));
@@ -108,19 +108,19 @@
   }
 
   @Test
-  void whoeverHearsOfAnEndFindsTheUpstreamOutOfTheChoice() {
-    List<Integer> left = new ArrayList<>();
-    registry.onRetired(upstream -> left.add(registry.usable("service").size()));
+  void listenersSeeARetiredUpstreamAlreadyOutOfUse() {
+    List<Integer> usableCounts = new ArrayList<>();
+    registry.onRetired(upstream -> usableCounts.add(registry.usable("service").size()));
     registry.replaceAll(1, List.of(upstream("a", false), upstream("b", false)));
 
     registry.update(2, List.of(upstream("a", true)), List.of());
     registry.update(3, List.of(), List.of("b"));
 
-    assertThat(left).containsExactly(1, 0);
+    assertThat(usableCounts).containsExactly(1, 0);
   }
 
   @Test
-  void anOlderListIsPassedOver() {
+  void outdatedListIsIgnored() {
     registry.replaceAll(5, List.of(upstream("a", false)));
     registry.replaceAll(4, List.of(upstream("b", false)));
 
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void oneWhoseAddressAnotherHasIsGoneForGood() {
+  void upstreamMarkedAsGoneDoesNotReturn() {
     registry.replaceAll(1, List.of(upstream("a", false)));
     registry.markGone(upstream("a", false));
     registry.update(2, List.of(upstream("a", false)), List.of());
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/ZoneEvacuationsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/ZoneEvacuationsTests.java
@@ -14,7 +14,7 @@
 import org.gradeledge.event.EventLogs;
 import org.junit.jupiter.api.Test;
 
-/** A zone is emptied and taken back, and news of it comes late, twice and in any order. */
+/** Guards against evacuation orders that are applied out of order or twice. */
 class ZoneEvacuationsTests {
 
   private final UpstreamRegistry registry = new UpstreamRegistry(EventLogs.silent());
@@ -24,20 +24,20 @@
   }
 
   @Test
-  void upstreamsOfAnEvacuatedZoneTakeNoNewWorkAndAreNotGone() {
-    List<String> ended = new ArrayList<>();
-    registry.onRetired(upstream -> ended.add(upstream.id()));
+  void upstreamsOfAnEvacuatedZoneAcceptNoRequestsAndStayKnown() {
+    List<String> retired = new ArrayList<>();
+    registry.onRetired(upstream -> retired.add(upstream.id()));
 
     assertThat(registry.applyEvacuations(new ZoneEvacuations(5, Set.of("east")))).isTrue();
 
     assertThat(registry.usable("service")).extracting(UpstreamRecord::id).containsExactly("b");
     assertThat(registry.isUsable(upstream("a", "east"))).isFalse();
     assertThat(registry.all()).hasSize(2);
-    assertThat(ended).isEmpty();
+    assertThat(retired).isEmpty();
   }
 
   @Test
-  void anUpstreamThatStartsInAnEvacuatedZoneTakesNoWork() {
+  void upstreamThatStartsInAnEvacuatedZoneAcceptsNoRequests() {
     registry.applyEvacuations(new ZoneEvacuations(5, Set.of("east")));
 
     registry.update(2, List.of(upstream("c", "east")), List.of());
@@ -46,46 +46,46 @@
   }
 
   @Test
-  void bothZonesEvacuatedLeaveNoUpstream() {
+  void evacuatingAllZonesLeavesNoUsableUpstream() {
     registry.applyEvacuations(new ZoneEvacuations(5, Set.of("east", "west")));
 
     assertThat(registry.usable("service")).isEmpty();
   }
 
   @Test
-  void listenersHearOfWhatIsEvacuatedAndRestored() {
+  void listenersAreNotifiedOfEvacuatedAndRestoredZones() {
     List<Set<String>> restored = new ArrayList<>();
-    List<String> looks = new ArrayList<>();
+    List<String> changes = new ArrayList<>();
     registry.onRestored(restored::add);
-    registry.onZonesChanged(() -> looks.add("look"));
+    registry.onZonesChanged(() -> changes.add("changed"));
 
     registry.applyEvacuations(new ZoneEvacuations(5, Set.of("east", "west")));
     registry.applyEvacuations(new ZoneEvacuations(6, Set.of("east", "west")));
     registry.applyEvacuations(new ZoneEvacuations(7, Set.of("east")));
 
     assertThat(restored).containsExactly(Set.of("west"));
-    assertThat(looks).hasSize(2);
+    assertThat(changes).hasSize(2);
     assertThat(registry.isUsable(upstream("b", "west"))).isTrue();
   }
 
   @Property(tries = 300)
-  void theNewestOrderHoldsInWhateverOrderNewsComes(
+  void orderWithTheHighestRevisionApplies(
       @ForAll @Size(min = 1, max = 12) List<@IntRange(max = 30) Integer> revisions) {
-    UpstreamRegistry told = new UpstreamRegistry(EventLogs.silent());
-    told.replaceAll(1, List.of(upstream("a", "east"), upstream("b", "west")));
-    revisions.forEach(revision -> told.applyEvacuations(orderAt(revision)));
+    UpstreamRegistry tested = new UpstreamRegistry(EventLogs.silent());
+    tested.replaceAll(1, List.of(upstream("a", "east"), upstream("b", "west")));
+    revisions.forEach(revision -> tested.applyEvacuations(orderAt(revision)));
 
     int newest = revisions.stream().max(Comparator.naturalOrder()).orElseThrow();
-    assertThat(told.evacuations()).isEqualTo(orderAt(newest));
+    assertThat(tested.evacuations()).isEqualTo(orderAt(newest));
     List<String> usable =
         Stream.of(upstream("a", "east"), upstream("b", "west"))
-            .filter(told::isUsable)
+            .filter(tested::isUsable)
             .map(UpstreamRecord::id)
             .toList();
-    assertThat(told.usable("service"))
+    assertThat(tested.usable("service"))
         .extracting(UpstreamRecord::id)
         .containsExactlyInAnyOrderElementsOf(usable);
-    assertThat(told.isUsable(upstream("a", "east")))
+    assertThat(tested.isUsable(upstream("a", "east")))
         .isEqualTo(!orderAt(newest).zones().contains("east"));
   }
 
