--- a/gradeledge-core/src/main/java/org/gradeledge/routing/RoundRobinRouting.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/RoundRobinRouting.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Baseline: takes the candidates one after another. */
+/** Baseline strategy: selects the candidates in turn. */
 final class RoundRobinRouting implements RoutingStrategy {
 
   private final AtomicInteger next = new AtomicInteger();
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/Router.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/Router.java
@@ -7,10 +7,11 @@
 import org.gradeledge.configuration.StageDefinition;
 
 /**
- * Finds the upstreams that may serve a stage and lets the strategy choose one, at dispatch.
+ * Determines the upstreams that may serve a stage and lets the routing strategy select one at
+ * dispatch.
  *
- * <p>Leaving upstreams are never chosen. Ejected ones are left out, but not below half of those
- * that are not leaving: past that floor, ejection is disregarded. Thread-safe.
+ * <p>Leaving upstreams are never selected. Ejected ones are excluded unless more than half of the
+ * upstreams that are not leaving are ejected; in that case ejection is ignored. Thread-safe.
  *
  * @since 0.1
  */
@@ -21,7 +22,7 @@
   private final UpstreamDirectory directory;
   private final RoutingStrategy strategy;
 
-  /** Creates a router. */
+  /** Creates a router that applies a strategy to the upstreams of a directory. */
   public Router(UpstreamDirectory directory, RoutingStrategy strategy) {
     this.directory = directory;
     this.strategy = strategy;
@@ -30,25 +31,25 @@
   /**
    * Returns the upstream for a call, if there is any.
    *
-   * @param tried ids not to choose again while there is another
+   * @param tried ids that are selected again only if there is no other candidate
    */
   public Optional<UpstreamState> route(
       PipelineFile file, StageDefinition stage, Set<String> tried) {
-    List<UpstreamState> staying =
+    List<UpstreamState> notLeaving =
         stage.upstreams().stream()
             .flatMap(id -> file.upstream(id).stream())
             .map(directory::state)
             .filter(state -> !state.isLeaving())
             .toList();
-    List<UpstreamState> healthy = withoutEjected(staying);
-    List<UpstreamState> fresh =
+    List<UpstreamState> healthy = withoutEjected(notLeaving);
+    List<UpstreamState> untried =
         healthy.stream().filter(state -> !tried.contains(state.definition().id())).toList();
-    List<UpstreamState> candidates = fresh.isEmpty() ? healthy : fresh;
+    List<UpstreamState> candidates = untried.isEmpty() ? healthy : untried;
     return candidates.isEmpty() ? Optional.empty() : Optional.of(strategy.choose(candidates));
   }
 
-  private static List<UpstreamState> withoutEjected(List<UpstreamState> staying) {
-    List<UpstreamState> healthy = staying.stream().filter(state -> !state.isEjected()).toList();
-    return healthy.size() * MIN_HEALTHY_DIVISOR >= staying.size() ? healthy : staying;
+  private static List<UpstreamState> withoutEjected(List<UpstreamState> notLeaving) {
+    List<UpstreamState> healthy = notLeaving.stream().filter(state -> !state.isEjected()).toList();
+    return healthy.size() * MIN_HEALTHY_DIVISOR >= notLeaving.size() ? healthy : notLeaving;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/RoutingPolicy.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/RoutingPolicy.java
@@ -4,26 +4,26 @@
 import java.util.Locale;
 
 /**
- * The routing strategies that settings can name.
+ * The routing strategies that can be configured in the box settings.
  *
  * @since 0.1
  */
 public enum RoutingPolicy {
-  /** Two random choices over load and zone. */
+  /** The better of two random candidates by expected wait and availability zone. */
   TWO_CHOICES {
     @Override
     public RoutingStrategy strategy(String availabilityZone) {
       return new TwoChoicesRouting(availabilityZone);
     }
   },
-  /** Baseline: one after another. */
+  /** Baseline: round robin. */
   ROUND_ROBIN {
     @Override
     public RoutingStrategy strategy(String availabilityZone) {
       return new RoundRobinRouting();
     }
   },
-  /** Baseline: the fewest own calls in progress. */
+  /** Baseline: the fewest calls in flight from this box. */
   LEAST_IN_FLIGHT {
     @Override
     public RoutingStrategy strategy(String availabilityZone) {
@@ -44,6 +44,6 @@
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** Returns a new strategy for a box in the given zone. */
+  /** Creates a strategy for a box in the given availability zone. */
   public abstract RoutingStrategy strategy(String availabilityZone);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/RoutingStrategy.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/RoutingStrategy.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Chooses one of the upstreams that may serve a call.
+ * Selects one of the upstreams that may serve a call.
  *
  * @since 0.1
  */
 public interface RoutingStrategy {
 
   /**
-   * Returns the choice. Must not block; called from many threads.
+   * Returns the selected upstream. Must not block; called from many threads.
    *
-   * @param candidates at least one, none leaving or ejected
+   * @param candidates at least one upstream; none is leaving
    */
   UpstreamState choose(List<UpstreamState> candidates);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/TwoChoicesRouting.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/TwoChoicesRouting.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Takes the less loaded of two random candidates.
+ * Selects the better of two random candidates by expected wait.
  *
- * <p>Load is the expected wait: own calls plus what the aged report shows of others', over the
- * slots, times the usual time of a call there. An upstream in another zone must be better by a
- * margin.
+ * <p>The expected wait is the number of calls in flight, from this box and by the decayed load
+ * report from others, divided by the slots and multiplied by the average call latency. Upstreams in
+ * other zones are penalized by a constant factor.
  */
 final class TwoChoicesRouting implements RoutingStrategy {
 
@@ -30,15 +30,15 @@
     ThreadLocalRandom random = ThreadLocalRandom.current();
     int first = random.nextInt(candidates.size());
     int second = (first + 1 + random.nextInt(candidates.size() - 1)) % candidates.size();
-    UpstreamState one = candidates.get(first);
-    UpstreamState other = candidates.get(second);
-    return cost(one) <= cost(other) ? one : other;
+    UpstreamState firstCandidate = candidates.get(first);
+    UpstreamState secondCandidate = candidates.get(second);
+    return cost(firstCandidate) <= cost(secondCandidate) ? firstCandidate : secondCandidate;
   }
 
   private double cost(UpstreamState state) {
-    boolean near = state.definition().availabilityZone().equals(availabilityZone);
+    boolean sameZone = state.definition().availabilityZone().equals(availabilityZone);
     double latency = Math.max(1, state.latencyNanos());
-    return occupancy(state) * latency * (near ? 1 : OTHER_ZONE_FACTOR);
+    return occupancy(state) * latency * (sameZone ? 1 : OTHER_ZONE_FACTOR);
   }
 
   private static double occupancy(UpstreamState state) {
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamDirectory.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamDirectory.java
@@ -10,7 +10,7 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * The states of all upstreams that this box knows, by address. Thread-safe.
+ * Holds the state of each upstream by address. Thread-safe.
  *
  * @since 0.1
  */
@@ -24,19 +24,19 @@
     this.clock = clock;
   }
 
-  /** Returns the state of an upstream, a new one where it was not known. */
+  /** Returns the state of an upstream; creates it if there is none. */
   public UpstreamState state(UpstreamDefinition definition) {
     return states.computeIfAbsent(
         definition.address(), address -> new UpstreamState(definition, clock));
   }
 
-  /** Takes over the upstreams that are in force; states of all others are dropped. */
+  /** Updates the states of the given upstreams and removes all others. */
   public void retain(List<UpstreamDefinition> definitions) {
     definitions.forEach(definition -> state(definition).updateDefinition(definition));
     states.keySet().retainAll(definitions.stream().map(UpstreamDefinition::address).toList());
   }
 
-  /** Returns the state of the upstream at an address, if it is known. */
+  /** Returns the state of the upstream at an address, if there is one. */
   public Optional<UpstreamState> findByAddress(String host, int port) {
     return Optional.ofNullable(states.get(new InetSocketAddress(host, port)));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamState.java
@@ -10,10 +10,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What this box knows of one upstream: its own calls there, the last report, whether it is leaving
- * or ejected.
+ * State of one upstream as seen by this box: calls in flight, latest load report, leaving, and
+ * ejection after failures.
  *
- * <p>Kept by address, so that all pipelines that name an upstream share it. Thread-safe.
+ * <p>Keyed by address, so that all pipelines that use an upstream share it. Thread-safe.
  *
  * @since 0.1
  */
@@ -46,7 +46,7 @@
     this.clock = clock;
   }
 
-  /** Returns the upstream as the newest pipeline file gives it. */
+  /** Returns the definition from the latest pipeline file. */
   public UpstreamDefinition definition() {
     return definition;
   }
@@ -55,12 +55,12 @@
     definition = value;
   }
 
-  /** Notes that a call starts. */
+  /** Records the start of a call. */
   public void recordCallStarted() {
     inFlight.incrementAndGet();
   }
 
-  /** Notes that a call ended with a usable answer after some time. */
+  /** Records a successful call and its duration; ends an ejection. */
   public void recordCallSucceeded(long nanos) {
     inFlight.decrementAndGet();
     consecutiveFailures.set(0);
@@ -72,7 +72,10 @@
             : latencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - latencyNanos);
   }
 
-  /** Notes that a call failed through the upstream's fault; several in a row eject it. */
+  /**
+   * Records a call that failed due to the upstream; consecutive failures eject the upstream, for
+   * exponentially increasing times.
+   */
   public void recordCallFailed() {
     inFlight.decrementAndGet();
     if (consecutiveFailures.incrementAndGet() >= FAILURES_TO_EJECT) {
@@ -82,41 +85,49 @@
     }
   }
 
-  /** Notes that a call was cancelled, which says nothing of the upstream. */
+  /** Records a cancelled call, which does not count as a failure. */
   public void recordCallCancelled() {
     inFlight.decrementAndGet();
   }
 
-  /** Takes in a report unless a newer one is known. An explicit leave outlives older reports. */
+  /**
+   * Applies a load report unless a newer one is known. Leaving is not reverted by later reports of
+   * the same incarnation.
+   */
   public void applyReport(LoadReport report) {
-    ReceivedReport next = new ReceivedReport(report, inFlight.get(), clock.nanos());
-    ReceivedReport kept =
+    ReceivedReport received = new ReceivedReport(report, inFlight.get(), clock.nanos());
+    ReceivedReport latest =
         latestReport.accumulateAndGet(
-            next,
-            (old, given) -> old == null || given.report().isAfter(old.report()) ? given : old);
-    if (kept == next && report.leaving()) {
+            received,
+            (known, candidate) ->
+                known == null || candidate.report().isAfter(known.report()) ? candidate : known);
+    if (latest == received && report.leaving()) {
       markLeaving(report.incarnation());
     }
   }
 
-  /** Notes that the upstream leaves; holds until it starts anew. */
+  /** Marks the current incarnation as leaving. */
   public void markLeaving() {
     markLeaving(latestIncarnation());
   }
 
-  /** Notes whether the platform's list says that it leaves; follows the list either way. */
+  /**
+   * Sets whether the platform's list shows the upstream as leaving; unlike an announcement, this
+   * can be reverted.
+   */
   public void setListedLeaving(boolean value) {
     listedLeaving = value;
   }
 
-  /** Notes that a given incarnation of the upstream leaves. */
+  /** Marks an incarnation as leaving. */
   public void markLeaving(long incarnation) {
     latestLeaving.accumulateAndGet(
         new LeavingIncarnation(incarnation),
-        (old, given) -> old == null || given.incarnation() > old.incarnation() ? given : old);
+        (known, candidate) ->
+            known == null || candidate.incarnation() > known.incarnation() ? candidate : known);
   }
 
-  /** Returns the incarnation that said that it leaves, if the newest one did. */
+  /** Returns the incarnation that is leaving, if no later one is known. */
   public OptionalLong leavingIncarnation() {
     LeavingIncarnation current = latestLeaving.get();
     return current != null && current.incarnation() >= latestIncarnation()
@@ -124,35 +135,35 @@
         : OptionalLong.empty();
   }
 
-  /** Returns whether it is to be given no new work. */
+  /** Returns whether the upstream accepts no new requests. */
   public boolean isLeaving() {
     return listedLeaving || leavingIncarnation().isPresent();
   }
 
-  /** Returns the newest incarnation heard of, 0 for none. */
+  /** Returns the latest incarnation that has sent a load report, 0 if none has. */
   public long latestIncarnation() {
     ReceivedReport last = latestReport.get();
     return last == null ? 0 : last.report().incarnation();
   }
 
-  /** Returns whether its failures keep it from being chosen just now. */
+  /** Returns whether the upstream is currently ejected after failures. */
   public boolean isEjected() {
     return ejected && clock.nanos() - ejectedUntilNanos < 0;
   }
 
-  /** Returns this box's own calls in progress there. */
+  /** Returns the number of calls in flight from this box. */
   public int inFlight() {
     return inFlight.get();
   }
 
-  /** Returns the usual time of a call in nanoseconds, 0 while unknown. */
+  /** Returns the moving average of the call latency in nanoseconds, 0 if there is none yet. */
   public double latencyNanos() {
     return latencyNanos;
   }
 
   /**
-   * Returns the calls that others are thought to have there: what the last report showed beyond
-   * this box's own, counting for less as the report ages.
+   * Returns the estimated number of calls of other boxes: those in the latest report beyond the
+   * calls of this box, decayed exponentially by the age of the report.
    *
    * @param halfLife age at which a report counts half
    */
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/package-info.java
@@ -1,4 +1,4 @@
-/** The choice of an upstream for a stage call. */
+/** Selection of an upstream for a stage call. */
 @NullMarked
 package org.gradeledge.routing;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/routing/UpstreamStateTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/routing/UpstreamStateTests.java
@@ -20,7 +20,7 @@
   private final UpstreamState state = directory.state(definition);
 
   @Test
-  void anOlderReportDoesNotUndoALeave() {
+  void outdatedReportDoesNotRevertLeaving() {
     state.applyReport(report(1, 5, true));
     state.applyReport(report(1, 4, false));
     state.applyReport(report(1, 6, false));
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aPeersWordOfAnOldIncarnationDoesNotCount() {
+  void leavingOfAnEarlierIncarnationIsIgnored() {
     state.applyReport(report(4, 1, false));
     state.markLeaving(3);
     assertThat(state.isLeaving()).isFalse();
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aLeavingUpstreamIsNeverChosen() {
+  void leavingUpstreamIsNeverSelected() {
     Router router = new Router(directory, RoutingPolicy.TWO_CHOICES.strategy("sofia-1"));
     assertThat(router.route(file, file.stages().get(0), Set.of())).contains(state);
     state.markLeaving();
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void failuresInARowEjectForAWhileButNotTheLastOne() {
+  void consecutiveFailuresEjectTemporarilyButTheOnlyUpstreamStaysSelectable() {
     fail(3);
     assertThat(state.isEjected()).isTrue();
     Router router = new Router(directory, RoutingPolicy.LEAST_IN_FLIGHT.strategy("sofia-1"));
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void othersLoadCountsForLessAsTheReportAges() {
+  void loadOfOtherBoxesDecaysWithTheAgeOfTheReport() {
     state.applyReport(report(1, 1, false));
     Duration halfLife = Duration.ofNanos(100);
     assertThat(state.otherBoxesInFlight(halfLife)).isEqualTo(8);
