--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/BoundedBytes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/BoundedBytes.java
@@ -4,7 +4,7 @@
 import org.gradeledge.verdict.RefusalReason;
 import org.gradeledge.verdict.Verdict;
 
-/** Collects the bytes of one answer up to a bound. Not thread-safe. */
+/** Buffers the bytes of one response up to a maximum size. Not thread-safe. */
 final class BoundedBytes {
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/CompletionStream.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/CompletionStream.java
@@ -11,8 +11,8 @@
 import reactor.netty.ByteBufFlux;
 
 /**
- * Reads a stream of completion chunks. The stream is whole only where the upstream gave a finish
- * reason; anything that ends sooner, repeats an offset or leaves one out fails as incomplete.
+ * Reads a stream of completion chunks. The stream is complete only if the upstream sent a finish
+ * reason; an early end and repeated or missing offsets are reported as incomplete.
  */
 final class CompletionStream {
 
@@ -36,9 +36,9 @@
                 .concatMapIterable(stream.events::accept)
                 .<UpstreamEvent>handle(
                     (event, sink) -> {
-                      UpstreamEvent next = stream.accept(event);
-                      if (next != null) {
-                        sink.next(next);
+                      UpstreamEvent upstreamEvent = stream.accept(event);
+                      if (upstreamEvent != null) {
+                        sink.next(upstreamEvent);
                       }
                     })
                 .concatWith(Flux.defer(stream::checkFinished)),
@@ -81,11 +81,11 @@
     }
   }
 
-  private UpstreamException incomplete(String what) {
+  private UpstreamException incomplete(String problem) {
     return new UpstreamException(
         Verdict.MAY_HAVE_RUN,
         RefusalReason.ANSWER_INCOMPLETE,
-        call.upstream().id() + " " + what,
+        call.upstream().id() + " " + problem,
         null);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/HttpUpstreamProtocol.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/HttpUpstreamProtocol.java
@@ -20,8 +20,8 @@
 import reactor.netty.http.client.HttpClientResponse;
 
 /**
- * Upstream calls over HTTP/1.1: the OpenAI-compatible shapes with server-sent events, JSON for the
- * rest. Thread-safe.
+ * Calls upstreams over HTTP/1.1, with OpenAI-compatible messages and server-sent events for
+ * streams, and JSON otherwise. Thread-safe.
  *
  * @since 0.1
  */
@@ -31,50 +31,53 @@
   private static final Duration LOAD_REPORT_TIMEOUT = Duration.ofSeconds(1);
 
   private final HttpClient client;
-  private final int maxAnswerBytes;
+  private final int maxResponseBytes;
   private final BoxMetrics metrics;
   private final LeavingListener leavingListener;
 
   /**
    * Creates the protocol.
    *
-   * @param client client with the pool of connections to use
-   * @param maxAnswerBytes largest answer taken in
-   * @param leaving told when an answer says that its upstream is leaving
+   * @param client HTTP client with the connection pool to use
+   * @param maxResponseBytes maximum size of a response
+   * @param leavingListener notified when a response announces that its upstream is leaving
    */
   public HttpUpstreamProtocol(
-      HttpClient client, int maxAnswerBytes, BoxMetrics metrics, LeavingListener leaving) {
+      HttpClient client,
+      int maxResponseBytes,
+      BoxMetrics metrics,
+      LeavingListener leavingListener) {
     this.client = client;
-    this.maxAnswerBytes = maxAnswerBytes;
+    this.maxResponseBytes = maxResponseBytes;
     this.metrics = metrics;
-    this.leavingListener = leaving;
+    this.leavingListener = leavingListener;
   }
 
   @Override
   public Flux<UpstreamEvent> call(UpstreamCall call) {
     return Flux.defer(
         () -> {
-          AtomicBoolean handedOver = new AtomicBoolean();
-          return send(call, handedOver)
-              .onErrorMap(e -> toUpstreamException(call, handedOver.get(), e));
+          AtomicBoolean requestSent = new AtomicBoolean();
+          return send(call, requestSent)
+              .onErrorMap(e -> toUpstreamException(call, requestSent.get(), e));
         });
   }
 
-  private Flux<UpstreamEvent> send(UpstreamCall call, AtomicBoolean handedOver) {
-    StageMessageFormat shape = StageMessageFormat.of(call.stage().kind());
-    byte[] body = encode(shape.body(call));
+  private Flux<UpstreamEvent> send(UpstreamCall call, AtomicBoolean requestSent) {
+    StageMessageFormat format = StageMessageFormat.of(call.stage().kind());
+    byte[] body = encode(format.body(call));
     return client
         .headers(headers -> addHeaders(headers, call))
-        .doOnRequest((request, connection) -> handedOver.set(true))
+        .doOnRequest((request, connection) -> requestSent.set(true))
         .post()
-        .uri(uri(call.upstream(), shape.path(call)))
+        .uri(uri(call.upstream(), format.path(call)))
         .send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(body)))
-        .response((response, content) -> receive(call, shape, response, content));
+        .response((response, content) -> receive(call, format, response, content));
   }
 
   private Flux<UpstreamEvent> receive(
       UpstreamCall call,
-      StageMessageFormat shape,
+      StageMessageFormat format,
       HttpClientResponse response,
       ByteBufFlux content) {
     HttpHeaders headers = response.responseHeaders();
@@ -95,19 +98,19 @@
     }
     return call.stage().kind().streams()
         ? CompletionStream.read(call, content)
-        : readWhole(shape, content).flux();
+        : readWhole(format, content).flux();
   }
 
-  private Mono<UpstreamEvent> readWhole(StageMessageFormat shape, ByteBufFlux content) {
+  private Mono<UpstreamEvent> readWhole(StageMessageFormat format, ByteBufFlux content) {
     return content
         .asByteArray()
-        .collect(() -> new BoundedBytes(maxAnswerBytes), BoundedBytes::append)
+        .collect(() -> new BoundedBytes(maxResponseBytes), BoundedBytes::append)
         .map(
             bytes -> {
-              JsonNode answer = decode(bytes.toByteArray());
-              JsonNode usage = answer.path("usage");
+              JsonNode responseBody = decode(bytes.toByteArray());
+              JsonNode usage = responseBody.path("usage");
               return new UpstreamEvent.Answer(
-                  shape.extractOutput(answer),
+                  format.extractOutput(responseBody),
                   usage.path("prompt_tokens").asLong(),
                   usage.path("completion_tokens").asLong());
             });
@@ -126,7 +129,7 @@
                 failure(
                     Verdict.NOT_RUN,
                     RefusalReason.UPSTREAM_FAILED,
-                    upstream.id() + " gave no load report",
+                    upstream.id() + " did not return a load report",
                     e));
   }
 
@@ -149,21 +152,23 @@
   }
 
   private static UpstreamException toRefusal(UpstreamCall call, HttpClientResponse response) {
-    String said = response.responseHeaders().get(UpstreamHeaders.VERDICT);
+    String reportedVerdict = response.responseHeaders().get(UpstreamHeaders.VERDICT);
     boolean trusted = call.upstream().tellsWhetherItRan();
     Verdict verdict =
-        trusted && Verdict.NOT_RUN.wireName().equals(said) ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN;
+        trusted && Verdict.NOT_RUN.wireName().equals(reportedVerdict)
+            ? Verdict.NOT_RUN
+            : Verdict.MAY_HAVE_RUN;
     String message = call.upstream().id() + " refused with status " + response.status().code();
     return failure(verdict, RefusalReason.UPSTREAM_FAILED, message, null);
   }
 
   private static UpstreamException toUpstreamException(
-      UpstreamCall call, boolean handedOver, Throwable e) {
-    if (e instanceof UpstreamException known) {
-      return known;
+      UpstreamCall call, boolean requestSent, Throwable e) {
+    if (e instanceof UpstreamException upstreamFailure) {
+      return upstreamFailure;
     }
-    Verdict verdict = handedOver ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
-    String message = call.upstream().id() + (handedOver ? " broke off" : " could not be reached");
+    Verdict verdict = requestSent ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
+    String message = call.upstream().id() + (requestSent ? " broke off" : " could not be reached");
     return failure(verdict, RefusalReason.UPSTREAM_FAILED, message, e);
   }
 
@@ -181,7 +186,7 @@
     try {
       return JsonMappers.json().writeValueAsBytes(body);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a JSON tree can always be written", e);
+      throw new IllegalStateException("cannot serialize a JSON tree", e);
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/LeavingListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/LeavingListener.java
@@ -3,13 +3,13 @@
 import org.gradeledge.configuration.UpstreamDefinition;
 
 /**
- * Told when an upstream says in an answer that it is leaving.
+ * Listener for upstreams that announce in a response that they are leaving.
  *
  * @since 0.1
  */
 @FunctionalInterface
 public interface LeavingListener {
 
-  /** Called on an event loop; must not block. */
+  /** Called on an event loop when an upstream announces that it is leaving; must not block. */
   void onLeaving(UpstreamDefinition upstream);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/LoadReport.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/LoadReport.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What an upstream says of itself, late by the time it takes to arrive.
+ * Load report of an upstream.
  *
- * @param incarnation counts up with each start of the upstream
- * @param sequence counts up with each report of one incarnation
- * @param inFlight calls that it works on
- * @param queued calls that wait
- * @param leaving whether it is to be given no new work
- * @param models models that it holds
+ * @param incarnation increases with each start of the upstream
+ * @param sequence increases with each report of one incarnation
+ * @param inFlight number of calls that are being processed
+ * @param queued number of calls that are queued
+ * @param leaving whether the upstream accepts no new requests
+ * @param models loaded models
  * @since 0.1
  */
 public record LoadReport(
@@ -21,12 +21,12 @@
     boolean leaving,
     List<String> models) {
 
-  /** Copies the list. */
+  /** Copies the list of models. */
   public LoadReport {
     models = List.copyOf(models);
   }
 
-  /** Returns whether this report is newer than another of the same upstream. */
+  /** Returns whether this report is newer than another one of the same upstream. */
   public boolean isAfter(LoadReport other) {
     return incarnation == other.incarnation
         ? sequence > other.sequence
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/ServerSentEvents.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/ServerSentEvents.java
@@ -10,16 +10,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Puts server-sent events together from the bytes of one stream; lines are split by Netty. Not
- * thread-safe; one instance a stream.
+ * Parses the server-sent events of one stream. Netty splits the lines. Not thread-safe; each stream
+ * requires its own instance.
  */
 final class ServerSentEvents {
 
   /**
-   * One event.
+   * A server-sent event.
    *
-   * @param id its id, empty where it has none
-   * @param data its data
+   * @param id event id, empty if there is none
+   * @param data event data
    */
   record Event(String id, String data) {}
 
@@ -33,7 +33,7 @@
   private String id = "";
   private final StringBuilder data = new StringBuilder();
 
-  /** Takes some bytes and returns the events that they complete. */
+  /** Appends bytes and returns the events that they complete. */
   List<Event> accept(ByteBuf bytes) {
     lines.writeInbound(bytes.retain());
     List<Event> events = new ArrayList<>();
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/StageMessageFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/StageMessageFormat.java
@@ -8,7 +8,7 @@
 import java.util.stream.StreamSupport;
 import org.gradeledge.configuration.StageKind;
 
-/** The HTTP path and JSON bodies of each stage kind, after the OpenAI-compatible shapes. */
+/** Path and JSON bodies of the HTTP messages for each stage kind, following the OpenAI API. */
 enum StageMessageFormat {
   ENCODE("/v1/embeddings") {
     @Override
@@ -18,8 +18,8 @@
     }
 
     @Override
-    JsonNode extractOutput(JsonNode answer) {
-      return object("vector", answer.path("data").path(0).path("embedding"));
+    JsonNode extractOutput(JsonNode response) {
+      return object("vector", response.path("data").path(0).path("embedding"));
     }
   },
   RETRIEVE("/v1/retrieve") {
@@ -30,8 +30,8 @@
     }
 
     @Override
-    JsonNode extractOutput(JsonNode answer) {
-      return object("documents", answer.path("documents"));
+    JsonNode extractOutput(JsonNode response) {
+      return object("documents", response.path("documents"));
     }
   },
   RERANK("/v1/rerank") {
@@ -42,8 +42,8 @@
     }
 
     @Override
-    JsonNode extractOutput(JsonNode answer) {
-      return object("documents", answer.path("results"));
+    JsonNode extractOutput(JsonNode response) {
+      return object("documents", response.path("results"));
     }
   },
   GENERATE("/v1/completions") {
@@ -55,7 +55,7 @@
     }
 
     @Override
-    JsonNode extractOutput(JsonNode answer) {
+    JsonNode extractOutput(JsonNode response) {
       return JsonNodeFactory.instance.objectNode();
     }
   },
@@ -66,8 +66,8 @@
     }
 
     @Override
-    JsonNode extractOutput(JsonNode answer) {
-      return answer;
+    JsonNode extractOutput(JsonNode response) {
+      return response;
     }
   };
 
@@ -81,11 +81,11 @@
     return valueOf(kind.name());
   }
 
-  /** Adds what the kind needs to the body of a call. */
+  /** Adds the fields of the stage kind to a request body. */
   abstract void fillBody(ObjectNode body, UpstreamCall call);
 
-  /** Returns the stage's output from the upstream's answer. */
-  abstract JsonNode extractOutput(JsonNode answer);
+  /** Returns the output of the stage from a response body. */
+  abstract JsonNode extractOutput(JsonNode response);
 
   String path(UpstreamCall call) {
     return call.stage().path().orElse(path);
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamCall.java
@@ -7,16 +7,16 @@
 import org.gradeledge.configuration.UpstreamDefinition;
 
 /**
- * One attempt of one stage at one upstream.
+ * One attempt to run a stage on an upstream.
  *
- * @param requestId the request it belongs to
- * @param stage what to do
- * @param attempt counts up from 1 for each stage of a request
- * @param upstream where to do it
- * @param input what the stage takes in, see {@code StageInput}
- * @param timeLeft time left to the request's deadline; told to the upstream
+ * @param requestId id of the request
+ * @param stage stage to run
+ * @param attempt number of the attempt, starting at 1 for each stage of a request
+ * @param upstream upstream to call
+ * @param input input of the stage, see {@code StageInput}
+ * @param timeLeft time until the deadline of the request; sent to the upstream
  * @param idempotencyKey key of a request that must run at most once, empty for others
- * @param resumeAfter offset of the last token already received of a broken stream
+ * @param resumeAfter offset of the last token received from an interrupted stream
  * @since 0.1
  */
 public record UpstreamCall(
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamEvent.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamEvent.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What an upstream sends for a call: tokens, for kinds that stream, then one answer.
+ * Part of the response to a call: tokens for streaming stage kinds, then one answer.
  *
  * @since 0.1
  */
@@ -12,17 +12,17 @@
   /**
    * One token of a stream.
    *
-   * @param offset counts up from 0 without gaps
-   * @param text the token
+   * @param offset position in the stream, from 0 without gaps
+   * @param text text of the token
    */
   record Token(long offset, String text) implements UpstreamEvent {}
 
   /**
-   * The whole answer.
+   * The complete answer.
    *
-   * @param output the result in the shape of the stage's kind; for a stream, without its text
-   * @param tokensIn tokens read, 0 where the upstream does not say
-   * @param tokensOut tokens generated
+   * @param output result in the format of the stage kind; for a stream, without its text
+   * @param tokensIn number of tokens read, 0 if the upstream does not report it
+   * @param tokensOut number of tokens generated
    */
   record Answer(JsonNode output, long tokensIn, long tokensOut) implements UpstreamEvent {}
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamException.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamException.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call to an upstream that gave no usable answer, with whether it may have run there.
+ * Thrown when an upstream call returns no usable response; states whether the call may have run.
  *
  * @since 0.1
  */
@@ -15,7 +15,7 @@
   private final transient Verdict verdict;
   private final transient RefusalReason reason;
 
-  /** Creates an exception that names the upstream and what went wrong. */
+  /** Creates an exception whose message names the upstream and the failure. */
   public UpstreamException(
       Verdict verdict, RefusalReason reason, String message, @Nullable Throwable cause) {
     super(message, cause);
@@ -28,7 +28,7 @@
     return verdict;
   }
 
-  /** Returns what to tell the caller if nobody else can do it. */
+  /** Returns the reason to report to the caller if no other upstream can serve the request. */
   public RefusalReason reason() {
     return reason;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamHeaders.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamHeaders.java
@@ -1,31 +1,31 @@
 package org.gradeledge.upstream;
 
 /**
- * Header names between boxes and upstreams.
+ * Names of the HTTP headers between boxes and upstreams.
  *
  * @since 0.1
  */
 public abstract class UpstreamHeaders {
 
-  /** Request that a call belongs to; must come back. */
+  /** Id of the request; returned in the response. */
   public static final String REQUEST_ID = "Gradeledge-Request-Id";
 
-  /** Stage that a call is of; must come back. */
+  /** Name of the stage; returned in the response. */
   public static final String STAGE = "Gradeledge-Stage";
 
-  /** Number of the attempt; must come back. */
+  /** Number of the attempt; returned in the response. */
   public static final String ATTEMPT = "Gradeledge-Attempt";
 
-  /** Milliseconds left to the request's deadline. */
+  /** Milliseconds until the deadline of the request. */
   public static final String TIME_LEFT = "Gradeledge-Time-Left-Ms";
 
-  /** On a refusal: {@code not-run} where the call did not run. */
+  /** In an error response: {@code not-run} if the call did not run. */
   public static final String VERDICT = "Gradeledge-Verdict";
 
-  /** On an answer: {@code true} where the upstream is to be given no new work. */
+  /** In a response: {@code true} if the upstream accepts no new requests. */
   public static final String LEAVING = "Gradeledge-Leaving";
 
-  /** Offset of the last token received, as in the HTML standard's server-sent events. */
+  /** Offset of the last token received, as defined for server-sent events in the HTML standard. */
   public static final String LAST_EVENT_ID = "Last-Event-ID";
 
   private UpstreamHeaders() {}
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/package-info.java
@@ -1,4 +1,4 @@
-/** Calls to model engines and plain services, behind one interface for their protocols. */
+/** Calls to model engines and plain services through a common protocol interface. */
 @NullMarked
 package org.gradeledge.upstream;
 
