--- a/gradeledge-core/src/main/java/org/gradeledge/connection/CallFailure.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CallFailure.java
@@ -1,22 +1,22 @@
 package org.gradeledge.connection;
 
 /**
- * Why a call got no whole answer.
+ * The reason why a call received no complete response.
  *
  * @since 0.2
  */
 public enum CallFailure {
-  /** The box has as many connections to the upstream as it may have. */
+  /** The box has reached its connection limit for the upstream. */
   NO_CONNECTION_FREE(false),
-  /** The upstream could not be connected to. */
+  /** The connection to the upstream could not be established. */
   NOT_CONNECTED(false),
-  /** The upstream has ended since it was chosen; nothing was sent. */
+  /** The upstream was retired after it was selected; nothing was sent. */
   ENDED(false),
-  /** The upstream has asked for no requests for a while since it was chosen; nothing was sent. */
+  /** The upstream requested a backoff after it was selected; nothing was sent. */
   HELD_OFF(false),
-  /** The connection ended after the request was written. */
+  /** The connection was closed after the request was sent. */
   BROKEN(true),
-  /** The upstream sent bytes that are no answer. */
+  /** The response could not be decoded. */
   GARBLED(true);
 
   private final boolean requestSent;
@@ -25,12 +25,12 @@
     this.requestSent = sent;
   }
 
-  /** Returns whether it speaks against the upstream's health. */
+  /** Returns whether the failure counts against the health of the upstream. */
   public boolean isUpstreamFault() {
     return this != NO_CONNECTION_FREE && this != ENDED && this != HELD_OFF;
   }
 
-  /** Returns whether the upstream may have got the request. */
+  /** Returns whether the upstream may have received the request. */
   public boolean isRequestSent() {
     return requestSent;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/CallInProgress.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CallInProgress.java
@@ -3,7 +3,10 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** A call and what is left to tell its listener. Confined to the event loop. */
+/**
+ * A call in flight; forwards events to its listener until it is finished or cancelled. Confined to
+ * the event loop.
+ */
 final class CallInProgress implements CancellableCall {
 
   private final OutgoingRequest request;
@@ -36,7 +39,7 @@
     }
   }
 
-  /** Fails a call that was not sent, and closes what it waits for. */
+  /** Fails a call that was not sent and closes the connection that is being established for it. */
   void abandon(CallFailure failure) {
     fail(failure);
     onCancel.run();
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/CallListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CallListener.java
@@ -4,26 +4,26 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Hears of one call, on the event loop: that it was sent, a head, contents, and then exactly one of
- * {@link #onComplete} and {@link #onFailure}; a failure may come at any moment. Nothing is heard
- * after a cancellation.
+ * Receives the events of one call on the event loop: request sent, response head, body parts, and
+ * then exactly one of {@link #onComplete} and {@link #onFailure}. A failure may occur at any time.
+ * No events follow a cancellation.
  *
  * @since 0.2
  */
 public interface CallListener {
 
-  /** The request was handed to an open connection. */
+  /** Called when the request is handed to an open connection. */
   default void onSent() {}
 
-  /** The head of the answer has arrived. */
+  /** Called when the response head is received. */
   void onHead(int status, HttpHeaders headers);
 
-  /** A part of the body has arrived; the buffer is released after the call. */
+  /** Called for each part of the response body; the buffer is released after the call. */
   void onContent(ByteBuf content);
 
-  /** The answer is whole. */
+  /** Called when the response is complete. */
   void onComplete();
 
-  /** There is no whole answer. */
+  /** Called when the call fails without a complete response. */
   void onFailure(CallFailure failure);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/CancellableCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CancellableCall.java
@@ -1,13 +1,13 @@
 package org.gradeledge.connection;
 
 /**
- * A call that is under way.
+ * Handle of a call in flight.
  *
  * @since 0.2
  */
 @FunctionalInterface
 public interface CancellableCall {
 
-  /** Gives the call up; its connection is closed so that the upstream stops working on it. */
+  /** Cancels the call and closes its connection, so that the upstream stops processing it. */
   void cancel();
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/ConnectionReuse.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/ConnectionReuse.java
@@ -1,17 +1,17 @@
 package org.gradeledge.connection;
 
 /**
- * Which kept connections may carry a request. A kept connection may have been forgotten by the
- * upstream, and what is sent on it is then lost without a word on whether it ran.
+ * Selects the pooled connections that may carry a request. An idle connection may have been dropped
+ * by the upstream without notice; it is then unknown whether a request sent on it has run.
  *
  * @since 0.2
  */
 public enum ConnectionReuse {
-  /** Any kept connection. */
+  /** Any idle connection. */
   ANY(Long.MAX_VALUE),
-  /** Only one that was in use a moment ago. */
+  /** Only a connection that has been idle for a short time. */
   RECENT(300),
-  /** None. */
+  /** Only a new connection. */
   NONE(-1);
 
   private final long maxIdleMillis;
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/CorrelationHeader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CorrelationHeader.java
@@ -1,10 +1,10 @@
 package org.gradeledge.connection;
 
 /**
- * What an answer carries back so that it can be told from answers of other calls.
+ * Response header that identifies the call to which a response belongs.
  *
  * @param header name of the header
- * @param value its value in the answer that belongs to the call
+ * @param value expected value
  * @since 0.2
  */
 public record CorrelationHeader(String header, String value) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/LivenessChecker.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/LivenessChecker.java
@@ -10,9 +10,9 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * Tells whether an upstream has ended or only a connection to it was lost. A process that ends is
- * the one that refuses the next connection; a network that resets connections, or an upstream that
- * does, mostly lets new ones through. All calls that an upstream took along share one question.
+ * Determines whether an upstream has crashed or only a connection to it was lost. A crashed process
+ * refuses a new connection, whereas after a network reset a new connection usually succeeds.
+ * Concurrent checks of one upstream share a single probe.
  *
  * <p>Confined to the event loop.
  *
@@ -25,16 +25,16 @@
   private final Map<String, List<Consumer<LivenessResult>>> pendingChecks = new HashMap<>();
 
   /**
-   * Creates one that asks over a caller.
+   * Creates a checker that probes upstreams with a caller.
    *
-   * @param left whether an upstream has left, so that its end is no crash
+   * @param hasLeft whether an upstream has left, so that its end is not a crash
    */
   public LivenessChecker(UpstreamCaller caller, Predicate<UpstreamRecord> left) {
     this.caller = caller;
     this.hasLeft = left;
   }
 
-  /** Asks; the listener hears once, also before this returns. */
+  /** Checks an upstream; the listener is called once, possibly before this method returns. */
   public void check(UpstreamRecord upstream, Consumer<LivenessResult> listener) {
     if (hasLeft.test(upstream)) {
       listener.accept(LivenessResult.LEFT);
@@ -46,11 +46,11 @@
       return;
     }
     pendingChecks.put(upstream.incarnationId(), new ArrayList<>(List.of(listener)));
-    caller.probe(upstream, proof -> completeCheck(upstream, proof));
+    caller.probe(upstream, result -> completeCheck(upstream, result));
   }
 
-  private void completeCheck(UpstreamRecord upstream, LivenessResult proof) {
+  private void completeCheck(UpstreamRecord upstream, LivenessResult result) {
     Optional.ofNullable(pendingChecks.remove(upstream.incarnationId()))
-        .ifPresent(listeners -> listeners.forEach(listener -> listener.accept(proof)));
+        .ifPresent(listeners -> listeners.forEach(listener -> listener.accept(result)));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/LivenessResult.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/LivenessResult.java
@@ -1,18 +1,19 @@
 package org.gradeledge.connection;
 
 /**
- * What is shown of an upstream right after a connection with a call on it was lost, mostly by a new
- * connection.
+ * Result of the liveness check of an upstream after a connection with a call in flight was lost.
  *
  * @since 0.3
  */
 public enum LivenessResult {
-  /** It was opened: the upstream is there, and only the connection was lost. */
+  /** A new connection was established: only the previous connection was lost. */
   THERE,
-  /** It was refused: nobody listens there any more. */
+  /** A new connection was refused: no process listens on the address. */
   REFUSED,
-  /** It had left before, as it had said or its entry was gone: it ends as planned. */
+  /**
+   * The upstream had announced that it leaves or was removed from the list: its end was planned.
+   */
   LEFT,
-  /** There was no answer: the upstream may have ended, or cannot be reached from here. */
+  /** The connection attempt failed otherwise: the upstream may have crashed or be unreachable. */
   SILENT
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/OutgoingRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/OutgoingRequest.java
@@ -7,12 +7,12 @@
 /**
  * A request to an upstream.
  *
- * @param method its method
+ * @param method HTTP method
  * @param uri path and query, unchanged
- * @param headers its headers without those of one connection
- * @param body its whole body
- * @param correlationHeader what the answer must carry to be the answer of this request
- * @param reuse which kept connections may carry it
+ * @param headers headers without connection-specific ones
+ * @param body complete body
+ * @param correlationHeader header that the response must contain to be accepted
+ * @param reuse pooled connections that may carry the request
  * @since 0.2
  */
 public record OutgoingRequest(
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/PooledUpstreamCaller.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/PooledUpstreamCaller.java
@@ -25,7 +25,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps connections to upstreams and uses them again, newest first.
+ * Pools connections to upstreams and reuses the most recently used one first.
  *
  * <p>Confined to the event loop.
  *
@@ -47,9 +47,9 @@
   private BiConsumer<UpstreamRecord, ResponseHead> responseListener = (upstream, head) -> {};
 
   /**
-   * Creates a caller without connections.
+   * Creates a caller without open connections.
    *
-   * @param connectionLimit most connections that this box may have to an upstream
+   * @param connectionLimit maximum number of connections of this box to an upstream
    */
   public PooledUpstreamCaller(
       EventLoop loop, ToIntFunction<UpstreamRecord> connectionLimit, MonotonicClock clock) {
@@ -69,16 +69,16 @@
   public CancellableCall call(
       UpstreamRecord target, OutgoingRequest request, CallListener listener) {
     CallInProgress call = new CallInProgress(request, listener);
-    UpstreamConnectionPool connections =
+    UpstreamConnectionPool pool =
         poolsByIncarnation.computeIfAbsent(
-            target.incarnationId(), start -> new UpstreamConnectionPool());
-    UpstreamConnection kept = connections.takeIdle(request.reuse());
-    if (kept != null) {
-      loop.execute(() -> kept.send(call));
-    } else if (!connections.ensureCapacity(connectionLimit.applyAsInt(target))) {
+            target.incarnationId(), id -> new UpstreamConnectionPool());
+    UpstreamConnection idle = pool.takeIdle(request.reuse());
+    if (idle != null) {
+      loop.execute(() -> idle.send(call));
+    } else if (!pool.ensureCapacity(connectionLimit.applyAsInt(target))) {
       loop.execute(() -> call.fail(CallFailure.NO_CONNECTION_FREE));
     } else {
-      connect(target, connections, call);
+      connect(target, pool, call);
     }
     return call;
   }
@@ -90,20 +90,20 @@
 
   @Override
   public void retire(UpstreamRecord target) {
-    removePool(target).ifPresent(connections -> connections.failConnecting(CallFailure.ENDED));
+    removePool(target).ifPresent(pool -> pool.failConnecting(CallFailure.ENDED));
   }
 
   @Override
   public void backOff(UpstreamRecord target) {
     Optional.ofNullable(poolsByIncarnation.get(target.incarnationId()))
-        .ifPresent(connections -> connections.failConnecting(CallFailure.HELD_OFF));
+        .ifPresent(pool -> pool.failConnecting(CallFailure.HELD_OFF));
   }
 
   private Optional<UpstreamConnectionPool> removePool(UpstreamRecord target) {
-    Optional<UpstreamConnectionPool> retired =
+    Optional<UpstreamConnectionPool> removed =
         Optional.ofNullable(poolsByIncarnation.remove(target.incarnationId()));
-    retired.ifPresent(UpstreamConnectionPool::close);
-    return retired;
+    removed.ifPresent(UpstreamConnectionPool::close);
+    return removed;
   }
 
   @Override
@@ -113,7 +113,9 @@
         .forEach(UpstreamConnection::abort);
   }
 
-  /** Closes all connections on which no call is under way: others may have closed them unheard. */
+  /**
+   * Closes all idle connections; after a suspension the upstreams may have closed them unnoticed.
+   */
   public void closeIdle() {
     poolsByIncarnation.values().forEach(UpstreamConnectionPool::closeIdle);
   }
@@ -140,18 +142,17 @@
     return refused ? LivenessResult.REFUSED : LivenessResult.SILENT;
   }
 
-  /** Tells a listener of the head of each answer to any call. */
+  /** Sets the listener for the response heads of all calls. */
   public void onResponse(BiConsumer<UpstreamRecord, ResponseHead> listener) {
     this.responseListener = listener;
   }
 
-  private void connect(
-      UpstreamRecord target, UpstreamConnectionPool connections, CallInProgress call) {
+  private void connect(UpstreamRecord target, UpstreamConnectionPool pool, CallInProgress call) {
     UpstreamConnection connection =
-        new UpstreamConnection(connections, head -> responseListener.accept(target, head), clock);
-    connections.connectionOpened();
-    connections.addConnecting(call);
-    ChannelFuture connecting =
+        new UpstreamConnection(pool, head -> responseListener.accept(target, head), clock);
+    pool.connectionOpened();
+    pool.addConnecting(call);
+    ChannelFuture connectFuture =
         bootstrap
             .clone()
             .handler(
@@ -162,29 +163,29 @@
                   }
                 })
             .connect(target.host(), target.port());
-    call.onCancel(() -> connecting.channel().close());
+    call.onCancel(() -> connectFuture.channel().close());
     openByIncarnation
-        .computeIfAbsent(target.incarnationId(), start -> new HashSet<>())
+        .computeIfAbsent(target.incarnationId(), id -> new HashSet<>())
         .add(connection);
-    connecting
+    connectFuture
         .channel()
         .closeFuture()
         .addListener(
             closed -> {
-              connections.connectionClosed(connection);
-              forget(target, connection);
+              pool.connectionClosed(connection);
+              removeConnection(target, connection);
             });
-    connecting.addListener(
+    connectFuture.addListener(
         done -> {
-          connections.removeConnecting(call);
+          pool.removeConnecting(call);
           onConnected(done.cause(), connection, call);
         });
   }
 
-  private void forget(UpstreamRecord target, UpstreamConnection connection) {
+  private void removeConnection(UpstreamRecord target, UpstreamConnection connection) {
     openByIncarnation.computeIfPresent(
         target.incarnationId(),
-        (start, open) -> {
+        (id, open) -> {
           open.remove(connection);
           return open.isEmpty() ? null : open;
         });
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/ResponseBuffer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/ResponseBuffer.java
@@ -4,7 +4,7 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Gathers the body of an answer up to a bound. Confined to the event loop.
+ * Buffers the body of a response up to a maximum size. Confined to the event loop.
  *
  * @since 0.2
  */
@@ -14,15 +14,18 @@
   private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
 
   /**
-   * Creates an empty body.
+   * Creates an empty buffer.
    *
-   * @param mostBytes most bytes that it may have
+   * @param maxBytes maximum size of the body
    */
   public ResponseBuffer(int mostBytes) {
     this.maxBytes = mostBytes;
   }
 
-  /** Adds bytes, unless the body would pass its bound; returns whether they were added. */
+  /**
+   * Appends bytes unless the body would exceed the maximum size; returns whether they were
+   * appended.
+   */
   public boolean add(ByteBuf content) {
     if (buffer.size() + content.readableBytes() > maxBytes) {
       return false;
@@ -33,7 +36,7 @@
     return true;
   }
 
-  /** Returns what was gathered. */
+  /** Returns the buffered bytes. */
   public byte[] toByteArray() {
     return buffer.toByteArray();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/ResponseHead.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/ResponseHead.java
@@ -5,10 +5,10 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * The head of an answer, for those that learn of the upstream from all answers alike.
+ * Status and headers of a response to any call.
  *
- * @param request what it answers
- * @param sentAtNanos when that was sent, by the monotonic clock
+ * @param request request that was answered
+ * @param sentAtNanos monotonic time at which the request was sent
  * @param response status and headers
  * @since 0.4
  */
@@ -19,12 +19,12 @@
     return response.status().code();
   }
 
-  /** Returns the headers. */
+  /** Returns the response headers. */
   public HttpHeaders headers() {
     return response.headers();
   }
 
-  /** Returns whether the upstream closes the connection after this answer. */
+  /** Returns whether the upstream closes the connection after this response. */
   public boolean closesConnection() {
     return !HttpUtil.isKeepAlive(response);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/SignalReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/SignalReader.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * How upstreams say on the wire what the head of an answer tells of themselves.
+ * Parses what an upstream reports about itself in the head of a response.
  *
  * @since 0.5
  */
@@ -11,9 +11,9 @@
 public interface SignalReader {
 
   /**
-   * Returns what an answer says; never fails, whatever stands in it.
+   * Returns the signals in a response; never throws, even if the headers are invalid.
    *
-   * @param uri path and query of the request that it answers
+   * @param uri path and query of the request
    */
   UpstreamSignals read(String uri, int status, HttpHeaders headers);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamCaller.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamCaller.java
@@ -10,37 +10,37 @@
  */
 public interface UpstreamCaller {
 
-  /** Sends a request; the listener is never called before this returns. */
+  /** Sends a request; the listener is never called before this method returns. */
   CancellableCall call(UpstreamRecord target, OutgoingRequest request, CallListener listener);
 
   /**
-   * Uses no connection again that is open now to an upstream, as one of them went silent, and what
-   * makes one go silent without a reset does so to all of that age. New ones are opened beside
-   * those on which a call is under way.
+   * Stops reusing all connections that are open to an upstream, after one of them stopped
+   * responding: the others are likely to be affected too. Calls in flight continue; new connections
+   * are opened.
    */
   void discardConnections(UpstreamRecord target);
 
   /**
-   * Sends an upstream nothing more, as it takes no new work: calls that still wait for a connection
-   * fail with {@link CallFailure#ENDED}; those that were sent go on.
+   * Stops sending requests to an upstream that accepts no new ones. Calls that wait for a
+   * connection fail with {@link CallFailure#ENDED}; calls that were sent continue.
    */
   void retire(UpstreamRecord target);
 
   /**
-   * Sends an upstream nothing that still waits for a connection, as it wants nothing for a while:
-   * such calls fail with {@link CallFailure#HELD_OFF}.
+   * Cancels the calls that wait for a connection to an upstream that requested a backoff; they fail
+   * with {@link CallFailure#HELD_OFF}.
    */
   void backOff(UpstreamRecord target);
 
   /**
-   * Breaks off all calls to a start of an upstream, as another one has begun under its id: they are
-   * lost, and a connection whose other end is no more may stay silent.
+   * Aborts all calls to an incarnation that was replaced by a later one. They are lost, and their
+   * connections may never be reset.
    */
   void abort(UpstreamRecord target);
 
   /**
-   * Opens a connection to an upstream and closes it at once, for what that shows; the listener is
-   * called on the event loop, never before this returns.
+   * Opens a connection to an upstream and closes it immediately, to check that the upstream is
+   * alive. The listener is called on the event loop, never before this method returns.
    */
   void probe(UpstreamRecord target, Consumer<LivenessResult> listener);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamConnection.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamConnection.java
@@ -21,10 +21,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to an upstream, which carries one call at a time.
+ * A connection to an upstream that carries one call at a time.
  *
- * <p>An answer with another call's id is passed over and the connection is not used again; bytes
- * that arrive while no call is under way close it. Confined to the event loop.
+ * <p>A response to another call is skipped and the connection is not reused; data that arrives
+ * while no call is in flight closes it. Confined to the event loop.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
 
@@ -51,7 +51,7 @@
   /**
    * Creates a connection that is not open yet.
    *
-   * @param onHead hears of the head of each answer, also where its call was given up
+   * @param onHead called with the head of each response, even if its call was cancelled
    */
   UpstreamConnection(
       UpstreamConnectionPool owner, Consumer<ResponseHead> onHead, MonotonicClock clock) {
@@ -62,28 +62,28 @@
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext added) {
-    context = added;
+  public void handlerAdded(ChannelHandlerContext handlerContext) {
+    context = handlerContext;
   }
 
   /** Sends the request of a call. */
-  void send(CallInProgress next) {
+  void send(CallInProgress newCall) {
     ChannelHandlerContext channel = Optional.ofNullable(context).orElseThrow();
-    if (next.isFinished()) {
+    if (newCall.isFinished()) {
       finishCall();
       return;
     }
     if (!channel.channel().isActive()) {
-      next.fail(CallFailure.NOT_CONNECTED);
+      newCall.fail(CallFailure.NOT_CONNECTED);
       return;
     }
-    call = next;
+    call = newCall;
     headReceived = false;
-    reusable &= next.request().reuse() != ConnectionReuse.NONE;
-    next.onCancel(this::close);
+    reusable &= newCall.request().reuse() != ConnectionReuse.NONE;
+    newCall.onCancel(this::close);
     sentAtNanos = clock.nanos();
-    writeFuture = channel.writeAndFlush(encode(next.request()));
-    next.notifySent();
+    writeFuture = channel.writeAndFlush(encode(newCall.request()));
+    newCall.notifySent();
   }
 
   boolean isReusable() {
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Closes the connection; a call under way on it has no answer to wait for. */
+  /** Closes the connection and fails the call in flight. */
   void abort() {
     fail(CallFailure.BROKEN);
   }
@@ -153,7 +153,7 @@
       return;
     }
     if (connectionReset && last) {
-      // Netty ends an answer without length also when the connection is reset.
+      // Netty also completes a response without a length when the connection is reset.
       fail(CallFailure.BROKEN);
       return;
     }
@@ -172,7 +172,7 @@
     return current
         .request()
         .correlationHeader()
-        .map(own -> !own.value().equals(response.headers().get(own.header())))
+        .map(expected -> !expected.value().equals(response.headers().get(expected.header())))
         .orElse(false);
   }
 
@@ -189,7 +189,7 @@
     }
   }
 
-  /** Keeps the connection once all bytes that came together with the answer have been looked at. */
+  /** Returns the connection to the pool after all data received with the response is processed. */
   private void finishCall() {
     idleSinceNanos = clock.nanos();
     reusable &= writeFuture == null || writeFuture.isSuccess();
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamConnectionPool.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamConnectionPool.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** The connections to one upstream. Confined to the event loop. */
+/** Connection pool of one upstream. Confined to the event loop. */
 final class UpstreamConnectionPool {
 
   private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
@@ -19,7 +19,7 @@
     return openCount;
   }
 
-  /** Returns whether one more may be opened; a kept one that rests is closed for it. */
+  /** Returns whether another connection may be opened; closes the longest idle one if necessary. */
   boolean ensureCapacity(int limit) {
     if (openCount >= limit && !idle.isEmpty()) {
       idle.removeFirst().close();
@@ -31,7 +31,7 @@
     openCount++;
   }
 
-  /** Notes a call that waits for a connection of its own. */
+  /** Adds a call that waits for its own new connection. */
   void addConnecting(CallInProgress call) {
     connecting.add(call);
   }
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Fails the calls that were not sent yet: a dial may take as long as a third of the bound within
-   * which an upstream that leaves must get nothing new.
+   * Fails the calls that wait for a connection, so that they are not sent to an upstream that
+   * accepts no new requests once it is established.
    */
   void failConnecting(CallFailure failure) {
     List.copyOf(connecting).forEach(call -> call.abandon(failure));
@@ -53,7 +53,7 @@
     idle.remove(connection);
   }
 
-  /** Returns the kept connection that was used last, if it may carry the request. */
+  /** Returns the most recently used idle connection, if it may carry the request. */
   @Nullable UpstreamConnection takeIdle(ConnectionReuse reuse) {
     while (!idle.isEmpty()) {
       UpstreamConnection newest = idle.peekLast();
@@ -69,7 +69,7 @@
     return null;
   }
 
-  /** Keeps a connection whose call is over, and closes those that have rested too long. */
+  /** Returns a connection to the pool after its call, and closes expired idle connections. */
   void release(UpstreamConnection connection) {
     if (closed) {
       connection.close();
@@ -86,7 +86,7 @@
     closeIdle();
   }
 
-  /** Closes those that rest; those in use may be kept again. */
+  /** Closes all idle connections; those in use may return to the pool. */
   void closeIdle() {
     List.copyOf(idle).forEach(UpstreamConnection::close);
     idle.clear();
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
@@ -5,17 +5,17 @@
 import org.gradeledge.limit.LimitStatement;
 
 /**
- * What the head of one answer says of the upstream that gave it, whatever the request was.
+ * What the head of a response reports about the upstream, independent of the request.
  *
- * @param limit how many requests it takes from all boxes together
- * @param leaving whether it leaves
- * @param backoff for how long it wants nothing from this box
+ * @param limit request limit of the upstream for all boxes together
+ * @param leaving whether the upstream is leaving
+ * @param backoff backoff requested from this box
  * @since 0.5
  */
 public record UpstreamSignals(
     LimitStatement limit, LeavingSignal leaving, BackoffStatement backoff) {
 
-  /** What an answer says that another upstream gave. */
+  /** Signals of a response that was sent by another upstream. */
   public static final UpstreamSignals NONE =
       new UpstreamSignals(LimitStatement.NOTHING, LeavingSignal.NOTHING, BackoffStatement.NOTHING);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Connections to upstreams: kept ones are used again, and an answer is taken only for its own call.
- * What the head of each answer says of its upstream is told once, whatever the call was for.
+ * Pooled connections to upstreams. A response is accepted only for its own call, and the signals in
+ * each response head are reported once, whatever the call.
  */
 @NullMarked
 package org.gradeledge.connection;
--- a/gradeledge-core/src/test/java/org/gradeledge/connection/FakeUpstreamCaller.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/connection/FakeUpstreamCaller.java
@@ -14,10 +14,10 @@
 import java.util.function.Consumer;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** Calls nobody; a test answers in the upstreams' place. */
+/** Records calls without sending them; tests provide the responses. */
 public final class FakeUpstreamCaller implements UpstreamCaller {
 
-  /** A call as it was made. */
+  /** A recorded call. */
   public static final class Call implements CancellableCall {
 
     private final UpstreamRecord target;
@@ -31,39 +31,39 @@
       this.listener = listener;
     }
 
-    /** Returns where it went. */
+    /** Returns the upstream that was called. */
     public UpstreamRecord target() {
       return target;
     }
 
-    /** Returns its body as text. */
+    /** Returns the request body as text. */
     public String body() {
       return new String(request.body(), StandardCharsets.UTF_8);
     }
 
-    /** Returns its path. */
+    /** Returns the request path. */
     public String uri() {
       return request.uri();
     }
 
-    /** Returns whether it was given up. */
+    /** Returns whether the call was cancelled. */
     public boolean isCancelled() {
       return cancelled;
     }
 
-    /** Says that it was handed to an open connection; must be called on the event loop. */
+    /** Reports the call as sent; must be called on the event loop. */
     public void notifySent() {
       listener.onSent();
     }
 
-    /** Answers it; must be called on the event loop. */
+    /** Completes the call with a response; must be called on the event loop. */
     public void respond(int status, String body) {
       listener.onHead(status, new DefaultHttpHeaders());
       listener.onContent(Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
       listener.onComplete();
     }
 
-    /** Breaks it off; must be called on the event loop. */
+    /** Fails the call; must be called on the event loop. */
     public void fail(CallFailure failure) {
       listener.onFailure(failure);
     }
@@ -87,40 +87,39 @@
     return call;
   }
 
-  /** Does nothing, as there are no connections. */
   @Override
   public void discardConnections(UpstreamRecord target) {}
 
-  /** Does nothing, as there are no connections. */
   @Override
   public void retire(UpstreamRecord target) {}
 
-  /** Does nothing, as there are no connections. */
   @Override
   public void backOff(UpstreamRecord target) {}
 
-  /** Does nothing, as there are no connections. */
   @Override
   public void abort(UpstreamRecord target) {}
 
-  /** Answers with what the test has set for the upstream; refused where it set nothing. */
+  /**
+   * Records a probe; its result is the one set for the upstream, or a refused connection by
+   * default.
+   */
   @Override
   public void probe(UpstreamRecord target, Consumer<LivenessResult> listener) {
     probed.add(target);
-    LivenessResult proof =
+    LivenessResult result =
         probeResults.getOrDefault(target.incarnationId(), LivenessResult.REFUSED);
-    pendingProbes.add(() -> listener.accept(proof));
+    pendingProbes.add(() -> listener.accept(result));
   }
 
-  /** Sets what a probe of an upstream shows. */
-  public void setProbeResult(UpstreamRecord target, LivenessResult proof) {
-    probeResults.put(target.incarnationId(), proof);
+  /** Sets the result of the probes of an upstream. */
+  public void setProbeResult(UpstreamRecord target, LivenessResult result) {
+    probeResults.put(target.incarnationId(), result);
   }
 
-  /** Answers all probes; must be called on the event loop. */
+  /** Completes all pending probes; must be called on the event loop. */
   public void completeProbes() {
-    for (Runnable proof = pendingProbes.poll(); proof != null; proof = pendingProbes.poll()) {
-      proof.run();
+    for (Runnable probe = pendingProbes.poll(); probe != null; probe = pendingProbes.poll()) {
+      probe.run();
     }
   }
 
@@ -129,7 +128,7 @@
     return probed;
   }
 
-  /** Returns the next call, waiting for it. */
+  /** Returns the next call; waits until there is one. */
   public Call nextCall() throws InterruptedException {
     Call call = calls.poll(10, TimeUnit.SECONDS);
     if (call == null) {
@@ -138,7 +137,7 @@
     return call;
   }
 
-  /** Returns whether no call is waiting to be looked at. */
+  /** Returns whether no call is pending. */
   public boolean hasNoCalls() {
     return calls.isEmpty();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/connection/LivenessCheckerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/connection/LivenessCheckerTests.java
@@ -10,39 +10,41 @@
 class LivenessCheckerTests {
 
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
-  private final LivenessChecker ends = new LivenessChecker(caller, upstream -> upstream.leaving());
-  private final List<LivenessResult> heard = new ArrayList<>();
+  private final LivenessChecker checker =
+      new LivenessChecker(caller, upstream -> upstream.leaving());
+  private final List<LivenessResult> results = new ArrayList<>();
 
   @Test
-  void allThatAnUpstreamTookAlongShareOneQuestion() {
-    ends.check(upstream(1), heard::add);
-    ends.check(upstream(1), heard::add);
-    assertThat(heard).isEmpty();
+  void concurrentChecksOfAnUpstreamShareOneProbe() {
+    checker.check(upstream(1), results::add);
+    checker.check(upstream(1), results::add);
+    assertThat(results).isEmpty();
 
     caller.completeProbes();
 
-    assertThat(heard).containsExactly(LivenessResult.REFUSED, LivenessResult.REFUSED);
+    assertThat(results).containsExactly(LivenessResult.REFUSED, LivenessResult.REFUSED);
     assertThat(caller.probed()).containsExactly(upstream(1));
   }
 
   @Test
-  void othersAreAskedAboutForThemselvesAndTheSameOneAnewLater() {
-    ends.check(upstream(1), heard::add);
-    ends.check(upstream(2), heard::add);
+  void otherUpstreamsAndLaterChecksAreProbedSeparately() {
+    checker.check(upstream(1), results::add);
+    checker.check(upstream(2), results::add);
     caller.completeProbes();
     caller.setProbeResult(upstream(1), LivenessResult.THERE);
-    ends.check(upstream(1), heard::add);
+    checker.check(upstream(1), results::add);
     caller.completeProbes();
 
-    assertThat(heard)
+    assertThat(results)
         .containsExactly(LivenessResult.REFUSED, LivenessResult.REFUSED, LivenessResult.THERE);
   }
 
   @Test
-  void oneThatHasLeftIsNotAsked() {
-    ends.check(new UpstreamRecord("u1", "service", "10.0.0.1", 1, "zone", 1, true), heard::add);
+  void upstreamThatHasLeftIsNotProbed() {
+    checker.check(
+        new UpstreamRecord("u1", "service", "10.0.0.1", 1, "zone", 1, true), results::add);
 
-    assertThat(heard).containsExactly(LivenessResult.LEFT);
+    assertThat(results).containsExactly(LivenessResult.LEFT);
     assertThat(caller.probed()).isEmpty();
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/connection/PooledUpstreamCallerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/connection/PooledUpstreamCallerTests.java
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aKeptConnectionIsUsedAgain() throws Exception {
+  void reusesIdleConnections() throws Exception {
     for (int i = 0; i < 5; i++) {
       assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     }
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void connectionsThatWereOpenWhenOneWentSilentAreNotUsedAgain() throws Exception {
+  void discardedConnectionsAreNotReused() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
 
     loop.submit(() -> caller.discardConnections(upstream())).get();
@@ -87,9 +87,11 @@
     assertThat(connections).hasSize(2);
   }
 
-  /** The upstream has closed it meanwhile; that it did may not have been read yet. */
+  /**
+   * Guards against requests on connections that the upstream closed during a suspension of the box.
+   */
   @Test
-  void aConnectionThatRestedThroughASuspensionIsNotUsedAgain() throws Exception {
+  void connectionThatWasIdleDuringASuspensionIsNotReused() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     suspendedNanos.set(TimeUnit.SECONDS.toNanos(10));
 
@@ -99,7 +101,7 @@
   }
 
   @Test
-  void whereTimeMayHavePassedUnheardRestingConnectionsAreClosed() throws Exception {
+  void idleConnectionsAreClosedOnRequest() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     loop.submit(caller::closeIdle).sync();
 
@@ -110,7 +112,7 @@
   }
 
   @Test
-  void callsThatWantConnectionsOfTheirOwnDoNotUseUpTheLimit() throws Exception {
+  void callsWithoutReuseDoNotExhaustTheConnectionLimit() throws Exception {
     for (int i = 0; i < 5 * LIMIT; i++) {
       assertThat(call("/a", ConnectionReuse.NONE)).isEqualTo("ok");
     }
@@ -118,7 +120,7 @@
   }
 
   @Test
-  void aRestingConnectionGivesWayToOneThatIsNeeded() throws Exception {
+  void idleConnectionIsClosedForANewOneAtTheLimit() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     start("/never", ConnectionReuse.NONE);
 
@@ -126,7 +128,7 @@
   }
 
   @Test
-  void aboveTheLimitACallFailsWithoutHavingBeenSent() throws Exception {
+  void callAboveTheConnectionLimitFailsUnsent() throws Exception {
     for (int i = 0; i < LIMIT; i++) {
       start("/never", ConnectionReuse.ANY);
     }
@@ -135,18 +137,15 @@
   }
 
   @Test
-  void aDeadPortFailsWithoutHavingBeenSent() throws Exception {
+  void callToAClosedPortFailsUnsent() throws Exception {
     server.disposeNow();
 
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo(CallFailure.NOT_CONNECTED.name());
   }
 
-  /**
-   * Seen on reading, after new work had reached an upstream that leaves: a call that waits for its
-   * connection, for 700 ms at most, was sent once that stood, whatever had been learned meanwhile.
-   */
+  /** Guards against requests to a retired upstream after a slow connection attempt. */
   @Test
-  void whatStillDialsIsNotSentToAnUpstreamThatHasEnded() throws Exception {
+  void waitingCallIsNotSentToARetiredUpstream() throws Exception {
     loop.submit(
             () -> {
               caller.call(upstream(), request("/late", ConnectionReuse.ANY), new Recorder());
@@ -159,9 +158,9 @@
     assertThat(received).containsExactly("/next");
   }
 
-  // Guards against a request that arrives, after a long dial, within a time without requests.
+  /** Guards against requests during a backoff after a slow connection attempt. */
   @Test
-  void whatStillDialsIsNotSentToAnUpstreamThatWantsNothingForAWhile() throws Exception {
+  void waitingCallIsNotSentDuringABackoff() throws Exception {
     loop.submit(
             () -> {
               caller.call(upstream(), request("/late", ConnectionReuse.ANY), new Recorder());
@@ -175,7 +174,7 @@
   }
 
   @Test
-  void whatWasSentToAnUpstreamThatHasEndedGoesOn() throws Exception {
+  void callInFlightToARetiredUpstreamContinues() throws Exception {
     start("/never", ConnectionReuse.ANY);
     assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("/never");
 
@@ -186,7 +185,7 @@
   }
 
   @Test
-  void callsToAStartThatAnotherHasReplacedAreBrokenOff() throws Exception {
+  void callsToAReplacedIncarnationAreAborted() throws Exception {
     start("/never", ConnectionReuse.ANY);
     assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("/never");
 
@@ -197,7 +196,7 @@
   }
 
   @Test
-  void tellsOfAnswersAfterWhichTheUpstreamClosesItsConnection() throws Exception {
+  void responseHeadShowsThatTheUpstreamClosesTheConnection() throws Exception {
     BlockingQueue<String> closing = new LinkedBlockingQueue<>();
     caller.onResponse(
         (upstream, head) -> {
@@ -213,7 +212,7 @@
   }
 
   @Test
-  void aNewConnectionShowsWhetherAnUpstreamIsThere() throws Exception {
+  void probeShowsWhetherAnUpstreamIsAlive() throws Exception {
     assertThat(probe()).isEqualTo(LivenessResult.THERE);
 
     server.disposeNow();
@@ -223,9 +222,9 @@
   }
 
   private LivenessResult probe() throws InterruptedException {
-    BlockingQueue<LivenessResult> heard = new LinkedBlockingQueue<>();
-    loop.submit(() -> caller.probe(upstream(), heard::add)).sync();
-    return heard.poll(20, TimeUnit.SECONDS);
+    BlockingQueue<LivenessResult> results = new LinkedBlockingQueue<>();
+    loop.submit(() -> caller.probe(upstream(), results::add)).sync();
+    return results.poll(20, TimeUnit.SECONDS);
   }
 
   private String call(String uri, ConnectionReuse reuse) throws InterruptedException {
