--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamConnectionPool.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamConnectionPool.java
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Fails the calls that wait for a connection, so that they are not sent to an upstream that
-   * accepts no new requests once it is established.
+   * Fails the calls that wait for a connection, so that they are not sent later to an upstream that
+   * accepts no new requests.
    */
   void failConnecting(CallFailure failure) {
     List.copyOf(connecting).forEach(call -> call.abandon(failure));
@@ -56,15 +56,15 @@
   /** Returns the most recently used idle connection, if it may carry the request. */
   @Nullable UpstreamConnection takeIdle(ConnectionReuse reuse) {
     while (!idle.isEmpty()) {
-      UpstreamConnection newest = idle.peekLast();
-      if (!reuse.allows(newest.idleMillis())) {
+      UpstreamConnection mostRecent = idle.peekLast();
+      if (!reuse.allows(mostRecent.idleMillis())) {
         return null;
       }
       idle.removeLast();
-      if (newest.isReusable()) {
-        return newest;
+      if (mostRecent.isReusable()) {
+        return mostRecent;
       }
-      newest.close();
+      mostRecent.close();
     }
     return null;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/HttpUpstreamProtocol.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/HttpUpstreamProtocol.java
@@ -98,10 +98,10 @@
     }
     return call.stage().kind().streams()
         ? CompletionStream.read(call, content)
-        : readWhole(format, content).flux();
+        : readCompleteResponse(format, content).flux();
   }
 
-  private Mono<UpstreamEvent> readWhole(StageMessageFormat format, ByteBufFlux content) {
+  private Mono<UpstreamEvent> readCompleteResponse(StageMessageFormat format, ByteBufFlux content) {
     return content
         .asByteArray()
         .collect(() -> new BoundedBytes(maxResponseBytes), BoundedBytes::append)
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/StageMessageFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/StageMessageFormat.java
@@ -19,7 +19,7 @@
 
     @Override
     JsonNode extractOutput(JsonNode response) {
-      return object("vector", response.path("data").path(0).path("embedding"));
+      return singleFieldObject("vector", response.path("data").path(0).path("embedding"));
     }
   },
   RETRIEVE("/v1/retrieve") {
@@ -31,7 +31,7 @@
 
     @Override
     JsonNode extractOutput(JsonNode response) {
-      return object("documents", response.path("documents"));
+      return singleFieldObject("documents", response.path("documents"));
     }
   },
   RERANK("/v1/rerank") {
@@ -43,7 +43,7 @@
 
     @Override
     JsonNode extractOutput(JsonNode response) {
-      return object("documents", response.path("results"));
+      return singleFieldObject("documents", response.path("results"));
     }
   },
   GENERATE("/v1/completions") {
@@ -100,7 +100,7 @@
     return body;
   }
 
-  private static ObjectNode object(String key, JsonNode value) {
+  private static ObjectNode singleFieldObject(String key, JsonNode value) {
     ObjectNode node = JsonNodeFactory.instance.objectNode();
     node.set(key, value.isMissingNode() ? JsonNodeFactory.instance.nullNode() : value);
     return node;
--- a/gradeledge-core/src/test/java/org/gradeledge/connection/PooledUpstreamCallerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/connection/PooledUpstreamCallerTests.java
@@ -42,7 +42,7 @@
   private DisposableServer server;
 
   @BeforeEach
-  void start() {
+  void startServer() {
     server =
         HttpServer.create()
             .host("127.0.0.1")
@@ -51,12 +51,12 @@
             .handle(
                 (request, response) -> {
                   received.add(request.uri());
-                  return answer(request.uri(), response);
+                  return respond(request.uri(), response);
                 })
             .bindNow();
   }
 
-  private static Publisher<Void> answer(String uri, HttpServerResponse response) {
+  private static Publisher<Void> respond(String uri, HttpServerResponse response) {
     if (uri.equals("/closing")) {
       response.header("Connection", "close");
     }
@@ -64,7 +64,7 @@
   }
 
   @AfterEach
-  void stop() {
+  void stopServer() {
     server.disposeNow();
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
@@ -122,7 +122,7 @@
   @Test
   void idleConnectionIsClosedForANewOneAtTheLimit() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
-    start("/never", ConnectionReuse.NONE);
+    send("/never", ConnectionReuse.NONE);
 
     assertThat(call("/a", ConnectionReuse.NONE)).isEqualTo("ok");
   }
@@ -130,7 +130,7 @@
   @Test
   void callAboveTheConnectionLimitFailsUnsent() throws Exception {
     for (int i = 0; i < LIMIT; i++) {
-      start("/never", ConnectionReuse.ANY);
+      send("/never", ConnectionReuse.ANY);
     }
 
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo(CallFailure.NO_CONNECTION_FREE.name());
@@ -175,7 +175,7 @@
 
   @Test
   void callInFlightToARetiredUpstreamContinues() throws Exception {
-    start("/never", ConnectionReuse.ANY);
+    send("/never", ConnectionReuse.ANY);
     assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("/never");
 
     loop.submit(() -> caller.retire(upstream())).sync();
@@ -186,7 +186,7 @@
 
   @Test
   void callsToAReplacedIncarnationAreAborted() throws Exception {
-    start("/never", ConnectionReuse.ANY);
+    send("/never", ConnectionReuse.ANY);
     assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("/never");
 
     loop.submit(() -> caller.abort(upstream())).sync();
@@ -228,7 +228,7 @@
   }
 
   private String call(String uri, ConnectionReuse reuse) throws InterruptedException {
-    start(uri, reuse);
+    send(uri, reuse);
     return outcomes.poll(20, TimeUnit.SECONDS);
   }
 
@@ -236,7 +236,7 @@
     return new UpstreamRecord("id", "service", "127.0.0.1", server.port(), "zone", 1, false);
   }
 
-  private void start(String uri, ConnectionReuse reuse) throws InterruptedException {
+  private void send(String uri, ConnectionReuse reuse) throws InterruptedException {
     loop.submit(() -> caller.call(upstream(), request(uri, reuse), new Recorder())).sync();
   }
 
