--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
@@ -1,6 +1,6 @@
 package org.gradeledge.connection;
 
-import org.gradeledge.discovery.LeavingSignal;
+import org.gradeledge.discovery.LeavingAnnouncement;
 import org.gradeledge.limit.BackoffStatement;
 import org.gradeledge.limit.LimitStatement;
 
@@ -13,9 +13,10 @@
  * @since 0.5
  */
 public record UpstreamSignals(
-    LimitStatement limit, LeavingSignal leaving, BackoffStatement backoff) {
+    LimitStatement limit, LeavingAnnouncement leaving, BackoffStatement backoff) {
 
   /** Signals of a response that was sent by another upstream. */
   public static final UpstreamSignals NONE =
-      new UpstreamSignals(LimitStatement.NOTHING, LeavingSignal.NOTHING, BackoffStatement.NOTHING);
+      new UpstreamSignals(
+          LimitStatement.NOTHING, LeavingAnnouncement.NOTHING, BackoffStatement.NOTHING);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
@@ -8,7 +8,7 @@
 import org.gradeledge.connection.SignalReader;
 import org.gradeledge.connection.UpstreamSignals;
 import org.gradeledge.deployment.ServiceDefinition;
-import org.gradeledge.discovery.LeavingSignal;
+import org.gradeledge.discovery.LeavingAnnouncement;
 import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
@@ -78,7 +78,7 @@
     backoffs.onBegin(caller::backOff);
   }
 
-  private void leaving(UpstreamRecord upstream, LeavingSignal statement) {
+  private void leaving(UpstreamRecord upstream, LeavingAnnouncement statement) {
     switch (statement.kind()) {
       case LEAVES -> upstreams.recordLeavingAnnouncement(upstream);
       case UNREADABLE -> unreadableLeaving.report(upstream, statement.text());
