--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectNewsFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
@@ -10,7 +10,7 @@
 import org.msgpack.core.MessagePacker;
 
 /** News of requests under which upstreams ended, as arrays. */
-final class SuspectNewsFormat implements MessageFormat<SuspectNews> {
+final class SuspectsFormat implements MessageFormat<SuspectNews> {
 
   private static final int FIELDS = 2;
   private static final int REPORT_FIELDS = 5;
@@ -45,8 +45,7 @@
   public SuspectNews read(MessageReader reader) throws IOException {
     int more = reader.beginRecord(FIELDS);
     SuspectNews news =
-        new SuspectNews(
-            reader.list(SuspectNewsFormat::readReport), reader.list(MessageReader::text));
+        new SuspectNews(reader.list(SuspectsFormat::readReport), reader.list(MessageReader::text));
     reader.skip(more);
     return news;
   }
@@ -56,7 +55,7 @@
     SuspectReport report =
         new SuspectReport(
             new RequestFingerprint(reader.number(), reader.number(), reader.integer()),
-            reader.list(SuspectNewsFormat::readEnd),
+            reader.list(SuspectsFormat::readEnd),
             reader.flag());
     reader.skip(more);
     return report;
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -18,8 +18,8 @@
 import org.gradeledge.event.EventLog;
 import org.gradeledge.limit.LimitedSending;
 import org.gradeledge.limit.SendingRule;
-import org.gradeledge.mesh.BoxBeliefs;
 import org.gradeledge.mesh.BoxMesh;
+import org.gradeledge.mesh.SharedBoxState;
 import org.gradeledge.metrics.BoxMetrics;
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.peer.PeerSecret;
@@ -86,7 +86,7 @@
     UpstreamSending sending = new UpstreamSending(clock, events, upstreams, this::service);
     this.mesh =
         newMesh(
-            new BoxBeliefs(deployments, upstreams, board, toCome, quarantine, sending.limits()),
+            new SharedBoxState(deployments, upstreams, board, toCome, quarantine, sending.limits()),
             clock);
     VerdictKeeper verdicts = newVerdictKeeper(quarantine, adapters);
     this.followers = newFollowers(adapters, verdicts, clock);
@@ -107,7 +107,7 @@
             .toCome(toCome)
             .sending(SendingRule.allOf(limited, sending.backoffs()))
             .build();
-    StageWorkClient stageWork = mesh.stageWork(coordinator);
+    StageWorkClient stageWork = mesh.stageWorkClient(coordinator);
     RelayServices services =
         new RelayServices(
             settings.zone(),
@@ -164,7 +164,7 @@
         adapters.verdictTable(),
         loop,
         System::currentTimeMillis,
-        () -> mesh.hasDuty(VERDICT_DUTY, VERDICT_WRITERS),
+        () -> mesh.isAssigned(VERDICT_DUTY, VERDICT_WRITERS),
         events);
   }
 
@@ -192,7 +192,7 @@
         metrics::unreadableRow);
   }
 
-  private BoxMesh newMesh(BoxBeliefs beliefs, MonotonicClock clock) {
+  private BoxMesh newMesh(SharedBoxState beliefs, MonotonicClock clock) {
     PeerTransport transport =
         new PeerTransport(Optional.empty(), Optional.empty(), Optional.of(loops));
     PeerNetwork network =
@@ -239,7 +239,7 @@
   }
 
   private int boxes() {
-    return Math.max(FEWEST_BOXES, mesh.boxes());
+    return Math.max(FEWEST_BOXES, mesh.aliveCount());
   }
 
   private Optional<ServiceDefinition> service(String name) {
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
@@ -73,8 +73,8 @@
             upstreams.recordConnectionClose(upstream);
           }
         });
-    limits.onNews(mesh::tellNow);
-    upstreams.onLeavingAnnounced(mesh::tellNow);
+    limits.onNews(mesh::announceNow);
+    upstreams.onLeavingAnnounced(mesh::announceNow);
     backoffs.onBegin(caller::backOff);
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitsAmongBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitExchangeTests.java
@@ -17,14 +17,14 @@
 
 /** A limit that one box has heard is known to all, few or many, and each has its own place. */
 @Timeout(120)
-class LimitsAmongBoxesTests {
+class LimitExchangeTests {
 
   private static final int FEW = 4;
   private static final int MANY = 18;
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("u", "service", "10.0.0.1", 1, "zone", 8, false);
 
-  private final BoxesInOneProcess boxes = new BoxesInOneProcess();
+  private final InProcessBoxes boxes = new InProcessBoxes();
 
   @AfterEach
   void stop() {
@@ -84,7 +84,7 @@
     boxes.startBoxes(count);
     IntStream.range(0, count).forEach(this::list);
     if (count == MANY) {
-      boxes.awaitWholeViews(count);
+      boxes.awaitCompleteViews(count);
     }
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
@@ -147,7 +147,7 @@
               random.nextBoolean()));
     }
     SuspectNews news = new SuspectNews(reports, RandomMessages.texts(random));
-    SuspectNewsFormat format = new SuspectNewsFormat();
+    SuspectsFormat format = new SuspectsFormat();
 
     assertThat(MessageFormats.read(format, MessageFormats.write(format, news))).isEqualTo(news);
   }
