--- a/gradeledge-core/src/main/java/org/gradeledge/connection/PooledUpstreamCaller.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/PooledUpstreamCaller.java
@@ -25,7 +25,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps connections to upstreams and uses them again, newest first.
+ * Pools connections to upstreams and reuses the most recently used one first.
  *
  * <p>Confined to the event loop.
  *
@@ -33,23 +33,23 @@
  */
 public final class PooledUpstreamCaller implements UpstreamCaller {
 
-  private static final int CONNECT_MILLIS = 700;
-  private static final int LINE_BYTES = 8 * 1024;
-  private static final int HEADER_BYTES = 64 * 1024;
-  private static final int CHUNK_BYTES = 64 * 1024;
+  private static final int CONNECT_TIMEOUT_MILLIS = 700;
+  private static final int MAX_INITIAL_LINE_BYTES = 8 * 1024;
+  private static final int MAX_HEADER_BYTES = 64 * 1024;
+  private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
   private final EventLoop loop;
   private final MonotonicClock clock;
   private final Bootstrap bootstrap;
   private final ToIntFunction<UpstreamRecord> connectionLimit;
-  private final Map<String, UpstreamConnections> byUpstream = new HashMap<>();
-  private final Map<String, Set<UpstreamConnection>> openByStart = new HashMap<>();
-  private BiConsumer<UpstreamRecord, AnswerHead> answers = (upstream, head) -> {};
+  private final Map<String, UpstreamConnectionPool> poolsByIncarnation = new HashMap<>();
+  private final Map<String, Set<UpstreamConnection>> openByIncarnation = new HashMap<>();
+  private BiConsumer<UpstreamRecord, ResponseHead> responseListener = (upstream, head) -> {};
 
   /**
-   * Creates a caller without connections.
+   * Creates a caller without open connections.
    *
-   * @param connectionLimit most connections that this box may have to an upstream
+   * @param connectionLimit maximum number of connections of this box to an upstream
    */
   public PooledUpstreamCaller(
       EventLoop loop, ToIntFunction<UpstreamRecord> connectionLimit, MonotonicClock clock) {
@@ -61,62 +61,67 @@
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.ALLOCATOR, PooledByteBufAllocator.DEFAULT)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .option(ChannelOption.TCP_NODELAY, true);
   }
 
   @Override
-  public UpstreamCall call(UpstreamRecord target, OutgoingRequest request, CallListener listener) {
+  public CancellableCall call(
+      UpstreamRecord target, OutgoingRequest request, CallListener listener) {
     CallInProgress call = new CallInProgress(request, listener);
-    UpstreamConnections connections =
-        byUpstream.computeIfAbsent(target.start(), start -> new UpstreamConnections());
-    UpstreamConnection kept = connections.takeKept(request.reuse());
-    if (kept != null) {
-      loop.execute(() -> kept.start(call));
-    } else if (!connections.makeRoom(connectionLimit.applyAsInt(target))) {
+    UpstreamConnectionPool pool =
+        poolsByIncarnation.computeIfAbsent(
+            target.incarnationId(), id -> new UpstreamConnectionPool());
+    UpstreamConnection idle = pool.takeIdle(request.reuse());
+    if (idle != null) {
+      loop.execute(() -> idle.send(call));
+    } else if (!pool.ensureCapacity(connectionLimit.applyAsInt(target))) {
       loop.execute(() -> call.fail(CallFailure.NO_CONNECTION_FREE));
     } else {
-      connect(target, connections, call);
+      connect(target, pool, call);
     }
     return call;
   }
 
   @Override
-  public void forget(UpstreamRecord target) {
-    retire(target);
+  public void discardConnections(UpstreamRecord target) {
+    removePool(target);
   }
 
   @Override
-  public void end(UpstreamRecord target) {
-    retire(target).ifPresent(connections -> connections.failDialling(CallFailure.ENDED));
+  public void retire(UpstreamRecord target) {
+    removePool(target).ifPresent(pool -> pool.failConnecting(CallFailure.ENDED));
   }
 
   @Override
-  public void holdOff(UpstreamRecord target) {
-    Optional.ofNullable(byUpstream.get(target.start()))
-        .ifPresent(connections -> connections.failDialling(CallFailure.HELD_OFF));
+  public void backOff(UpstreamRecord target) {
+    Optional.ofNullable(poolsByIncarnation.get(target.incarnationId()))
+        .ifPresent(pool -> pool.failConnecting(CallFailure.HELD_OFF));
   }
 
-  private Optional<UpstreamConnections> retire(UpstreamRecord target) {
-    Optional<UpstreamConnections> retired = Optional.ofNullable(byUpstream.remove(target.start()));
-    retired.ifPresent(UpstreamConnections::closeKept);
-    return retired;
+  private Optional<UpstreamConnectionPool> removePool(UpstreamRecord target) {
+    Optional<UpstreamConnectionPool> removed =
+        Optional.ofNullable(poolsByIncarnation.remove(target.incarnationId()));
+    removed.ifPresent(UpstreamConnectionPool::close);
+    return removed;
   }
 
   @Override
-  public void breakOff(UpstreamRecord target) {
-    end(target);
-    Set.copyOf(openByStart.getOrDefault(target.start(), Set.of()))
-        .forEach(UpstreamConnection::breakOff);
+  public void abort(UpstreamRecord target) {
+    retire(target);
+    Set.copyOf(openByIncarnation.getOrDefault(target.incarnationId(), Set.of()))
+        .forEach(UpstreamConnection::abort);
   }
 
-  /** Closes all connections on which no call is under way: others may have closed them unheard. */
-  public void closeResting() {
-    byUpstream.values().forEach(UpstreamConnections::closeResting);
+  /**
+   * Closes all idle connections; after a suspension the upstreams may have closed them unnoticed.
+   */
+  public void closeIdle() {
+    poolsByIncarnation.values().forEach(UpstreamConnectionPool::closeIdle);
   }
 
   @Override
-  public void probe(UpstreamRecord target, Consumer<UpstreamProof> listener) {
+  public void probe(UpstreamRecord target, Consumer<LivenessResult> listener) {
     bootstrap
         .clone()
         .handler(new ChannelInboundHandlerAdapter())
@@ -124,31 +129,30 @@
         .addListener(
             (ChannelFuture opened) -> {
               opened.channel().close();
-              loop.execute(() -> listener.accept(proof(opened.cause())));
+              loop.execute(() -> listener.accept(toResult(opened.cause())));
             });
   }
 
-  private static UpstreamProof proof(@Nullable Throwable cause) {
+  private static LivenessResult toResult(@Nullable Throwable cause) {
     if (cause == null) {
-      return UpstreamProof.THERE;
+      return LivenessResult.THERE;
     }
     boolean refused =
         cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-    return refused ? UpstreamProof.REFUSED : UpstreamProof.SILENT;
+    return refused ? LivenessResult.REFUSED : LivenessResult.SILENT;
   }
 
-  /** Tells a listener of the head of each answer to any call. */
-  public void onAnswer(BiConsumer<UpstreamRecord, AnswerHead> listener) {
-    this.answers = listener;
+  /** Sets the listener for the response heads of all calls. */
+  public void onResponse(BiConsumer<UpstreamRecord, ResponseHead> listener) {
+    this.responseListener = listener;
   }
 
-  private void connect(
-      UpstreamRecord target, UpstreamConnections connections, CallInProgress call) {
+  private void connect(UpstreamRecord target, UpstreamConnectionPool pool, CallInProgress call) {
     UpstreamConnection connection =
-        new UpstreamConnection(connections, head -> answers.accept(target, head), clock);
-    connections.opened();
-    connections.dialling(call);
-    ChannelFuture connecting =
+        new UpstreamConnection(pool, head -> responseListener.accept(target, head), clock);
+    pool.connectionOpened();
+    pool.addConnecting(call);
+    ChannelFuture connectFuture =
         bootstrap
             .clone()
             .handler(
@@ -159,42 +163,44 @@
                   }
                 })
             .connect(target.host(), target.port());
-    call.onCancel(() -> connecting.channel().close());
-    openByStart.computeIfAbsent(target.start(), start -> new HashSet<>()).add(connection);
-    connecting
+    call.onCancel(() -> connectFuture.channel().close());
+    openByIncarnation
+        .computeIfAbsent(target.incarnationId(), id -> new HashSet<>())
+        .add(connection);
+    connectFuture
         .channel()
         .closeFuture()
         .addListener(
             closed -> {
-              connections.closed(connection);
-              forget(target, connection);
+              pool.connectionClosed(connection);
+              removeConnection(target, connection);
             });
-    connecting.addListener(
+    connectFuture.addListener(
         done -> {
-          connections.dialled(call);
-          connected(done.cause(), connection, call);
+          pool.removeConnecting(call);
+          onConnected(done.cause(), connection, call);
         });
   }
 
-  private void forget(UpstreamRecord target, UpstreamConnection connection) {
-    openByStart.computeIfPresent(
-        target.start(),
-        (start, open) -> {
+  private void removeConnection(UpstreamRecord target, UpstreamConnection connection) {
+    openByIncarnation.computeIfPresent(
+        target.incarnationId(),
+        (id, open) -> {
           open.remove(connection);
           return open.isEmpty() ? null : open;
         });
   }
 
-  private static void connected(
+  private static void onConnected(
       @Nullable Throwable cause, UpstreamConnection connection, CallInProgress call) {
     if (cause == null) {
-      connection.start(call);
+      connection.send(call);
     } else {
       call.fail(CallFailure.NOT_CONNECTED);
     }
   }
 
   private static HttpClientCodec newCodec() {
-    return new HttpClientCodec(LINE_BYTES, HEADER_BYTES, CHUNK_BYTES);
+    return new HttpClientCodec(MAX_INITIAL_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/AnswerHead.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/ResponseHead.java
@@ -5,27 +5,27 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * The head of an answer, for those that learn of the upstream from all answers alike.
+ * Status and headers of a response to any call.
  *
- * @param request what it answers
- * @param sentNanos when that was sent, by the monotonic clock
+ * @param request request that was answered
+ * @param sentAtNanos monotonic time at which the request was sent
  * @param response status and headers
  * @since 0.4
  */
-public record AnswerHead(OutgoingRequest request, long sentNanos, HttpResponse response) {
+public record ResponseHead(OutgoingRequest request, long sentAtNanos, HttpResponse response) {
 
   /** Returns the status code. */
   public int status() {
     return response.status().code();
   }
 
-  /** Returns the headers. */
+  /** Returns the response headers. */
   public HttpHeaders headers() {
     return response.headers();
   }
 
-  /** Returns whether the upstream closes the connection after this answer. */
-  public boolean closes() {
+  /** Returns whether the upstream closes the connection after this response. */
+  public boolean closesConnection() {
     return !HttpUtil.isKeepAlive(response);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/DepartedUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/DepartedUpstreams.java
@@ -6,37 +6,37 @@
 import java.util.Set;
 
 /**
- * Starts of upstreams that have once said that they leave, or were seen to be gone: an older report
- * must not bring them back. A later start under the same id is another one. The oldest are
- * forgotten first. Confined to the event loop.
+ * Incarnations that have announced that they leave or were found to be gone. An outdated entry must
+ * not make them usable again; a later incarnation with the same id is not affected. The oldest
+ * entries are evicted first. Confined to the event loop.
  */
 final class DepartedUpstreams {
 
-  /** Some hours of replacing a hundred upstreams every few minutes; about 400 kB. */
-  private static final int KEPT = 4096;
+  private static final int MAX_ENTRIES = 4096;
 
-  private final Map<String, Long> newestBirthById = new LinkedHashMap<>();
-  private final Set<String> starts = new LinkedHashSet<>();
+  private final Map<String, Long> latestStartById = new LinkedHashMap<>();
+  private final Set<String> incarnationIds = new LinkedHashSet<>();
 
-  void remember(UpstreamRecord upstream) {
-    newestBirthById.merge(upstream.id(), upstream.born(), Math::max);
-    if (newestBirthById.size() > KEPT) {
-      newestBirthById.remove(newestBirthById.keySet().iterator().next());
+  void add(UpstreamRecord upstream) {
+    latestStartById.merge(upstream.id(), upstream.startedAtMillis(), Math::max);
+    if (latestStartById.size() > MAX_ENTRIES) {
+      latestStartById.remove(latestStartById.keySet().iterator().next());
     }
   }
 
-  /** Remembers a start by its name alone, as another box tells it; returns whether it was new. */
-  boolean rememberStart(String start) {
-    boolean added = starts.add(start);
-    if (starts.size() > KEPT) {
-      starts.remove(starts.iterator().next());
+  /** Adds an incarnation by its id, as reported by another box; returns whether it is new. */
+  boolean addIncarnation(String incarnationId) {
+    boolean added = incarnationIds.add(incarnationId);
+    if (incarnationIds.size() > MAX_ENTRIES) {
+      incarnationIds.remove(incarnationIds.iterator().next());
     }
     return added;
   }
 
-  /** Returns whether a start has departed, or one after it. */
+  /** Returns whether this incarnation or a later one has departed. */
   boolean contains(UpstreamRecord upstream) {
-    Long newest = newestBirthById.get(upstream.id());
-    return newest != null && upstream.born() <= newest || starts.contains(upstream.start());
+    Long latestStart = latestStartById.get(upstream.id());
+    return latestStart != null && upstream.startedAtMillis() <= latestStart
+        || incarnationIds.contains(upstream.incarnationId());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/KnownUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/KnownUpstreams.java
@@ -10,20 +10,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * By id the newest start of each upstream, and what a report about one changes. Confined to the
- * event loop.
+ * Holds the latest incarnation of each upstream by id and applies reports about upstreams to it.
+ * Confined to the event loop.
  */
 final class KnownUpstreams {
 
   private final UpstreamChangeLog log;
   private final Map<String, UpstreamRecord> byId = new HashMap<>();
   private final DepartedUpstreams departed = new DepartedUpstreams();
-  private final ReturnedUpstreams returned = new ReturnedUpstreams();
+  private final ReappearedUpstreams reappeared = new ReappearedUpstreams();
   private final Set<String> lapsed = new HashSet<>();
-  private final Set<String> announced = new HashSet<>();
-  private final UpstreamNotices notices = new UpstreamNotices();
-  private boolean sourceAway;
-  private boolean doubtTold;
+  private final Set<String> announcedLeavingIds = new HashSet<>();
+  private final PendingUpstreamNotifications notifications = new PendingUpstreamNotifications();
+  private boolean sourceUnavailable;
+  private boolean untrustedByPeer;
   private long revision = -1;
   private long changedAt = -1;
 
@@ -31,17 +31,17 @@
     this.log = log;
   }
 
-  /** Begins a change of the list; lines that are written from now on carry its revision. */
-  void begin(long newRevision) {
+  /** Starts an update of the list; log lines written from now on carry its revision. */
+  void beginUpdate(long newRevision) {
     revision = newRevision;
   }
 
-  /** Returns the revision of the list that this stands at, -1 at the start. */
+  /** Returns the revision of the list that has been applied, -1 initially. */
   long revision() {
     return revision;
   }
 
-  /** Returns the revision at which the list last said something new, -1 at the start. */
+  /** Returns the revision of the last update that changed an entry, -1 initially. */
   long changedAt() {
     return changedAt;
   }
@@ -54,77 +54,83 @@
     return lapsed.contains(upstream.id());
   }
 
-  /** Returns what is known of this start of an upstream, if it is the newest one. */
+  /** Returns the entry of this incarnation, if it is the latest one of its upstream. */
   Optional<UpstreamRecord> find(UpstreamRecord upstream) {
     return Optional.ofNullable(byId.get(upstream.id()))
-        .filter(known -> known.born() == upstream.born());
+        .filter(known -> known.startedAtMillis() == upstream.startedAtMillis());
   }
 
-  /** Removes all but the named ones. */
+  /** Removes all upstreams whose ids are not given. */
   void retain(Set<String> ids) {
     byId.keySet().stream().filter(id -> !ids.contains(id)).toList().forEach(this::remove);
   }
 
-  /** Takes in a report of a whole reading. */
-  void read(UpstreamRecord upstream) {
-    if (!returned.holdsBack(upstream)) {
+  /** Applies an entry of a full read of the list. */
+  void putFromSnapshot(UpstreamRecord upstream) {
+    if (!reappeared.withholdIfReappeared(upstream)) {
       put(upstream);
     }
   }
 
-  /** Takes in what was just written. */
+  /** Applies an entry that its upstream has just written. */
   void put(UpstreamRecord upstream) {
-    returned.written(upstream.id());
+    reappeared.recordWritten(upstream.id());
     UpstreamRecord before = byId.get(upstream.id());
-    if (before != null && upstream.born() < before.born()) {
+    if (before != null && upstream.startedAtMillis() < before.startedAtMillis()) {
       return;
     }
-    if (before != null && before.born() < upstream.born()) {
+    if (before != null && before.startedAtMillis() < upstream.startedAtMillis()) {
       replace(before);
       before = null;
     }
     if (hasLeft(upstream, before) && !upstream.leaving()) {
       return;
     }
-    take(upstream, before);
+    store(upstream, before);
   }
 
   private boolean hasLeft(UpstreamRecord upstream, @Nullable UpstreamRecord before) {
-    boolean leavingBefore = before != null && before.leaving() && before.born() == upstream.born();
+    boolean leavingBefore =
+        before != null
+            && before.leaving()
+            && before.startedAtMillis() == upstream.startedAtMillis();
     return leavingBefore || departed.contains(upstream);
   }
 
-  /** What was sent to the start before is lost with it, also where no connection says so. */
+  /**
+   * Retires the previous incarnation; requests sent to it are lost, even if its connections stay
+   * open.
+   */
   private void replace(UpstreamRecord before) {
-    write("upstream-replaced", before);
-    departed.remember(before);
+    logChange("upstream-replaced", before);
+    departed.add(before);
     byId.remove(before.id());
     if (!before.leaving()) {
-      notices.ended(before);
+      notifications.addRetired(before);
     }
-    notices.replaced(before);
+    notifications.addReplaced(before);
   }
 
-  private void take(UpstreamRecord upstream, @Nullable UpstreamRecord before) {
+  private void store(UpstreamRecord upstream, @Nullable UpstreamRecord before) {
     lapsed.remove(upstream.id());
-    returned.isThere(upstream);
+    reappeared.recordPresent(upstream);
     byId.put(upstream.id(), upstream);
     if (!upstream.equals(before) || isNewlyCold(upstream, before)) {
       changedAt = revision;
     }
     if (upstream.coldMillis() > 0) {
-      notices.cold(upstream);
+      notifications.addCold(upstream);
     }
     if (before == null) {
-      write("upstream-listed", upstream);
+      logChange("upstream-listed", upstream);
     }
     if (upstream.leaving()) {
-      announced.remove(upstream.start());
+      announcedLeavingIds.remove(upstream.incarnationId());
     }
     if (upstream.leaving() && (before == null || !before.leaving())) {
-      departed.remember(upstream);
-      write("upstream-leaving", upstream);
-      notices.ended(upstream);
+      departed.add(upstream);
+      logChange("upstream-leaving", upstream);
+      notifications.addRetired(upstream);
     }
   }
 
@@ -133,131 +139,137 @@
   }
 
   void remove(String id) {
-    returned.written(id);
+    reappeared.recordWritten(id);
     UpstreamRecord known = byId.get(id);
-    if (isDoubted() && known != null && !known.leaving()) {
-      lapse(known);
+    if (areRemovalsUntrusted() && known != null && !known.leaving()) {
+      markLapsed(known);
     } else {
-      end(id);
+      delete(id);
     }
   }
 
-  private void lapse(UpstreamRecord upstream) {
+  private void markLapsed(UpstreamRecord upstream) {
     if (lapsed.add(upstream.id())) {
       changedAt = revision;
-      write("upstream-lapsed", upstream);
+      logChange("upstream-lapsed", upstream);
     }
   }
 
-  /** Entries of upstreams that had gone may be there again without having been written anew. */
-  void distrustReturns() {
-    returned.distrust();
+  /** Distrusts entries of removed upstreams that reappear without having been rewritten. */
+  void distrustReappearedEntries() {
+    reappeared.startWithholding();
   }
 
-  /** Entries that vanish from now on may only have lapsed. */
+  /** Treats entries that are removed from now on as lapsed. */
   void distrustRemovals() {
-    sourceAway = true;
+    sourceUnavailable = true;
   }
 
-  /** The same, as another box has noticed it. */
-  void distrustRemovalsAsTold() {
-    doubtTold = true;
+  /** Does the same after another box has reported an outage. */
+  void distrustRemovalsReportedByPeer() {
+    untrustedByPeer = true;
   }
 
-  /** Returns whether this box itself has noticed that entries may only have lapsed. */
-  boolean distrustsRemovals() {
-    return sourceAway;
+  /** Returns whether this box has detected an outage of the list itself. */
+  boolean hasDetectedOutage() {
+    return sourceUnavailable;
   }
 
-  /** Returns whether entries that are missing may only have lapsed, as noticed or told. */
-  boolean isDoubted() {
-    return sourceAway || doubtTold;
+  /**
+   * Returns whether removed entries may only have lapsed, as detected here or reported by a peer.
+   */
+  boolean areRemovalsUntrusted() {
+    return sourceUnavailable || untrustedByPeer;
   }
 
-  /** What is missing now is gone. */
+  /** Trusts removals again: removes all lapsed upstreams. */
   void trustRemovals() {
-    sourceAway = false;
-    doubtTold = false;
-    List.copyOf(lapsed).forEach(this::end);
-    returned.trust().forEach(this::put);
+    sourceUnavailable = false;
+    untrustedByPeer = false;
+    List.copyOf(lapsed).forEach(this::delete);
+    reappeared.releaseWithheld().forEach(this::put);
   }
 
-  /** Ends a start for good, if it is the newest one. */
-  void depart(UpstreamRecord upstream) {
-    departed.remember(upstream);
-    find(upstream).ifPresent(known -> end(known.id()));
+  /** Removes an incarnation permanently, if it is the latest one. */
+  void markGone(UpstreamRecord upstream) {
+    departed.add(upstream);
+    find(upstream).ifPresent(known -> delete(known.id()));
   }
 
   /**
-   * Takes a start's own word in an answer that it leaves. It is final: what the list says later of
-   * this start may be older, as the start cannot write there while the list's source is away. One
-   * whose entry has gone may be listed again too.
+   * Records that an incarnation has announced in a response that it leaves. This is final: a later
+   * entry of the list may be outdated, as the upstream cannot update it while the list's source is
+   * unavailable. This also covers an incarnation whose entry is gone and may be listed again.
    *
-   * @return whether it takes no new work from now on
+   * @return whether the upstream was in use and is now marked as leaving
    */
-  boolean announceLeaving(UpstreamRecord upstream) {
-    departed.remember(upstream);
-    Optional<UpstreamRecord> known = find(upstream).filter(each -> !each.leaving());
-    known.ifPresent(each -> announced.add(each.start()));
-    known.ifPresent(each -> leave(each, "answer"));
-    return known.isPresent();
+  boolean recordLeavingAnnouncement(UpstreamRecord upstream) {
+    departed.add(upstream);
+    Optional<UpstreamRecord> inUse = find(upstream).filter(each -> !each.leaving());
+    inUse.ifPresent(each -> announcedLeavingIds.add(each.incarnationId()));
+    inUse.ifPresent(each -> markLeaving(each, "answer"));
+    return inUse.isPresent();
   }
 
-  /** Takes in that starts have said so to another box; returns whether any of it is new. */
-  boolean toldLeaving(String box, Collection<String> starts) {
-    List<String> fresh = starts.stream().filter(departed::rememberStart).toList();
-    List<UpstreamRecord> told =
+  /**
+   * Applies announcements that a peer has received; returns whether any of them changed an
+   * upstream.
+   */
+  boolean applyPeerLeavingAnnouncements(String peer, Collection<String> incarnationIds) {
+    List<String> newIds = incarnationIds.stream().filter(departed::addIncarnation).toList();
+    List<UpstreamRecord> affected =
         byId.values().stream()
-            .filter(each -> !each.leaving() && fresh.contains(each.start()))
+            .filter(each -> !each.leaving() && newIds.contains(each.incarnationId()))
             .toList();
-    told.forEach(each -> leave(each, box));
-    return !told.isEmpty();
+    affected.forEach(each -> markLeaving(each, peer));
+    return !affected.isEmpty();
   }
 
-  private void leave(UpstreamRecord known, String from) {
-    log.writeAnnounced(known, from);
+  private void markLeaving(UpstreamRecord known, String reporter) {
+    log.logLeavingAnnouncement(known, reporter);
     byId.put(known.id(), known.asLeaving());
-    notices.ended(known);
+    notifications.addRetired(known);
   }
 
   /**
-   * Returns the starts that have said so to this box and are still listed; the list does not say it
-   * of them yet.
+   * Returns the incarnations that have announced to this box that they leave, are still listed, and
+   * are not marked as leaving in the list.
    */
   List<String> announcedLeaving() {
-    if (!announced.isEmpty()) {
-      announced.retainAll(byId.values().stream().map(UpstreamRecord::start).toList());
+    if (!announcedLeavingIds.isEmpty()) {
+      announcedLeavingIds.retainAll(
+          byId.values().stream().map(UpstreamRecord::incarnationId).toList());
     }
-    return List.copyOf(announced);
+    return List.copyOf(announcedLeavingIds);
   }
 
-  /** Ends a start whose entry has vanished, until it is listed again. */
-  void endIfLapsed(UpstreamRecord upstream) {
+  /** Removes an incarnation whose entry has lapsed, until it is listed again. */
+  void removeIfLapsed(UpstreamRecord upstream) {
     if (find(upstream).filter(this::isLapsed).isPresent()) {
-      write("upstream-closing", upstream);
-      end(upstream.id());
+      logChange("upstream-closing", upstream);
+      delete(upstream.id());
     }
   }
 
-  private void end(String id) {
+  private void delete(String id) {
     lapsed.remove(id);
     UpstreamRecord before = byId.remove(id);
     if (before != null) {
       changedAt = revision;
     }
     if (before != null && !before.leaving()) {
-      write("upstream-gone", before);
-      returned.gone(before);
-      notices.ended(before);
+      logChange("upstream-gone", before);
+      reappeared.recordGone(before);
+      notifications.addRetired(before);
     }
   }
 
-  private void write(String what, UpstreamRecord upstream) {
-    log.write(what, upstream, revision);
+  private void logChange(String event, UpstreamRecord upstream) {
+    log.logChange(event, upstream, revision);
   }
 
-  /** Returns what is to be told once the change is over. */
-  UpstreamNotices notices() {
-    return notices;
+  /** Returns the notifications to deliver after the update. */
+  PendingUpstreamNotifications notifications() {
+    return notifications;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamListeners.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamListeners.java
@@ -6,12 +6,12 @@
 import java.util.function.Consumer;
 
 /**
- * Who hears of changes among the upstreams. One that fails keeps no other from hearing: each has
- * its own part to give up. Confined to the event loop.
+ * Notifies listeners of changes of the known upstreams. A listener that fails does not prevent
+ * others from being called. Confined to the event loop.
  */
 final class UpstreamListeners {
 
-  private final List<Consumer<UpstreamRecord>> ended = new ArrayList<>();
+  private final List<Consumer<UpstreamRecord>> retired = new ArrayList<>();
   private final List<Consumer<UpstreamRecord>> replaced = new ArrayList<>();
   private final List<Consumer<UpstreamRecord>> cold = new ArrayList<>();
   private final List<Consumer<Set<String>>> restored = new ArrayList<>();
@@ -22,8 +22,8 @@
     this.log = log;
   }
 
-  void onEnd(Consumer<UpstreamRecord> listener) {
-    ended.add(listener);
+  void onRetired(Consumer<UpstreamRecord> listener) {
+    retired.add(listener);
   }
 
   void onReplaced(Consumer<UpstreamRecord> listener) {
@@ -42,31 +42,31 @@
     zonesChanged.add(listener);
   }
 
-  void tellEnd(UpstreamRecord upstream) {
-    ended.forEach(listener -> tell(() -> listener.accept(upstream)));
+  void notifyRetired(UpstreamRecord upstream) {
+    retired.forEach(listener -> notifySafely(() -> listener.accept(upstream)));
   }
 
-  void tellReplaced(UpstreamRecord upstream) {
-    replaced.forEach(listener -> tell(() -> listener.accept(upstream)));
+  void notifyReplaced(UpstreamRecord upstream) {
+    replaced.forEach(listener -> notifySafely(() -> listener.accept(upstream)));
   }
 
-  void tellCold(UpstreamRecord upstream) {
-    cold.forEach(listener -> tell(() -> listener.accept(upstream)));
+  void notifyCold(UpstreamRecord upstream) {
+    cold.forEach(listener -> notifySafely(() -> listener.accept(upstream)));
   }
 
-  /** Tells of zones that take new work again before it tells that there are other zones now. */
-  void tellZones(Set<String> zonesRestored) {
-    if (!zonesRestored.isEmpty()) {
-      restored.forEach(listener -> tell(() -> listener.accept(zonesRestored)));
+  /** Notifies of restored zones first, then of the change of the evacuated zones. */
+  void notifyZonesChanged(Set<String> restoredZones) {
+    if (!restoredZones.isEmpty()) {
+      restored.forEach(listener -> notifySafely(() -> listener.accept(restoredZones)));
     }
-    zonesChanged.forEach(this::tell);
+    zonesChanged.forEach(this::notifySafely);
   }
 
-  private void tell(Runnable listener) {
+  private void notifySafely(Runnable listener) {
     try {
       listener.run();
     } catch (RuntimeException failure) {
-      log.listenerFailed(failure);
+      log.logListenerFailure(failure);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
@@ -48,10 +48,10 @@
         pendingPieces.own(),
         upstreams.evacuations(),
         quarantine.digest(),
-        upstreams.trust().code(),
+        upstreams.listTrust().code(),
         sequenceNumber,
         limits.reports(),
-        upstreams.leavingAsTheySaid());
+        upstreams.announcedLeaving());
   }
 
   /** Removes the state that a lost box reported. */
@@ -68,7 +68,8 @@
     upstreamLoads.setPeerShares(box, heartbeat.loadShares());
     pendingPieces.told(box, heartbeat.pendingPieces());
     boolean limitsChanged = limits.told(box, heartbeat.limits(), ageMillis);
-    boolean leavingChanged = upstreams.toldLeaving(box, heartbeat.leavingUpstreams());
-    return upstreams.evacuate(heartbeat.evacuations()) || limitsChanged || leavingChanged;
+    boolean leavingChanged =
+        upstreams.applyPeerLeavingAnnouncements(box, heartbeat.leavingUpstreams());
+    return upstreams.applyEvacuations(heartbeat.evacuations()) || limitsChanged || leavingChanged;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamState.java
@@ -10,31 +10,32 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What this box knows of one upstream: its own calls there, the last report, whether it is leaving
- * or ejected.
+ * State of one upstream as seen by this box: calls in flight, latest load report, leaving, and
+ * ejection after failures.
  *
- * <p>Kept by address, so that all pipelines that name an upstream share it. Thread-safe.
+ * <p>Keyed by address, so that all pipelines that use an upstream share it. Thread-safe.
  *
  * @since 0.1
  */
 public final class UpstreamState {
 
   private static final int FAILURES_TO_EJECT = 3;
-  private static final Duration FIRST_EJECTION = Duration.ofSeconds(1);
-  private static final int LONGEST_EJECTION_DOUBLINGS = 5;
-  private static final double LATENCY_WEIGHT = 0.1;
+  private static final Duration INITIAL_EJECTION = Duration.ofSeconds(1);
+  private static final int MAX_EJECTION_DOUBLINGS = 5;
+  private static final double LATENCY_SMOOTHING_FACTOR = 0.1;
 
-  private record Reported(LoadReport report, int ownInFlight, long atNanos) {}
+  private record ReceivedReport(LoadReport report, int ownInFlight, long receivedAtNanos) {}
 
-  private record Leave(long incarnation) {}
+  private record LeavingIncarnation(long incarnation) {}
 
   private volatile UpstreamDefinition definition;
   private final MonotonicClock clock;
   private final AtomicInteger inFlight = new AtomicInteger();
   private final AtomicInteger consecutiveFailures = new AtomicInteger();
   private final AtomicInteger ejections = new AtomicInteger();
-  private final AtomicReference<@Nullable Reported> reported = new AtomicReference<>();
-  private final AtomicReference<@Nullable Leave> leave = new AtomicReference<>();
+  private final AtomicReference<@Nullable ReceivedReport> latestReport = new AtomicReference<>();
+  private final AtomicReference<@Nullable LeavingIncarnation> latestLeaving =
+      new AtomicReference<>();
   private volatile boolean listedLeaving;
   private volatile long ejectedUntilNanos;
   private volatile boolean ejected;
@@ -45,121 +46,134 @@
     this.clock = clock;
   }
 
-  /** Returns the upstream as the newest pipeline file gives it. */
+  /** Returns the definition from the latest pipeline file. */
   public UpstreamDefinition definition() {
     return definition;
   }
 
-  void redefine(UpstreamDefinition value) {
+  void updateDefinition(UpstreamDefinition value) {
     definition = value;
   }
 
-  /** Notes that a call starts. */
-  public void started() {
+  /** Records the start of a call. */
+  public void recordCallStarted() {
     inFlight.incrementAndGet();
   }
 
-  /** Notes that a call ended with a usable answer after some time. */
-  public void succeeded(long nanos) {
+  /** Records a successful call and its duration; ends an ejection. */
+  public void recordCallSucceeded(long nanos) {
     inFlight.decrementAndGet();
     consecutiveFailures.set(0);
     ejections.set(0);
     ejected = false;
     latencyNanos =
-        latencyNanos == 0 ? nanos : latencyNanos + LATENCY_WEIGHT * (nanos - latencyNanos);
+        latencyNanos == 0
+            ? nanos
+            : latencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - latencyNanos);
   }
 
-  /** Notes that a call failed through the upstream's fault; several in a row eject it. */
-  public void failed() {
+  /**
+   * Records a call that failed due to the upstream; consecutive failures eject the upstream, for
+   * exponentially increasing times.
+   */
+  public void recordCallFailed() {
     inFlight.decrementAndGet();
     if (consecutiveFailures.incrementAndGet() >= FAILURES_TO_EJECT) {
-      int doublings = Math.min(ejections.getAndIncrement(), LONGEST_EJECTION_DOUBLINGS);
-      ejectedUntilNanos = clock.nanos() + (FIRST_EJECTION.toNanos() << doublings);
+      int doublings = Math.min(ejections.getAndIncrement(), MAX_EJECTION_DOUBLINGS);
+      ejectedUntilNanos = clock.nanos() + (INITIAL_EJECTION.toNanos() << doublings);
       ejected = true;
     }
   }
 
-  /** Notes that a call was cancelled, which says nothing of the upstream. */
-  public void cancelled() {
+  /** Records a cancelled call, which does not count as a failure. */
+  public void recordCallCancelled() {
     inFlight.decrementAndGet();
   }
 
-  /** Takes in a report unless a newer one is known. An explicit leave outlives older reports. */
-  public void report(LoadReport report) {
-    Reported next = new Reported(report, inFlight.get(), clock.nanos());
-    Reported kept =
-        reported.accumulateAndGet(
-            next,
-            (old, given) -> old == null || given.report().isAfter(old.report()) ? given : old);
-    if (kept == next && report.leaving()) {
-      leaving(report.incarnation());
+  /**
+   * Applies a load report unless a newer one is known. Leaving is not reverted by later reports of
+   * the same incarnation.
+   */
+  public void applyReport(LoadReport report) {
+    ReceivedReport received = new ReceivedReport(report, inFlight.get(), clock.nanos());
+    ReceivedReport latest =
+        latestReport.accumulateAndGet(
+            received,
+            (known, candidate) ->
+                known == null || candidate.report().isAfter(known.report()) ? candidate : known);
+    if (latest == received && report.leaving()) {
+      markLeaving(report.incarnation());
     }
   }
 
-  /** Notes that the upstream leaves; holds until it starts anew. */
-  public void leaving() {
-    leaving(knownIncarnation());
+  /** Marks the current incarnation as leaving. */
+  public void markLeaving() {
+    markLeaving(latestIncarnation());
   }
 
-  /** Notes whether the platform's list says that it leaves; follows the list either way. */
-  public void listedLeaving(boolean value) {
+  /**
+   * Sets whether the platform's list shows the upstream as leaving; unlike an announcement, this
+   * can be reverted.
+   */
+  public void setListedLeaving(boolean value) {
     listedLeaving = value;
   }
 
-  /** Notes that a given incarnation of the upstream leaves. */
-  public void leaving(long incarnation) {
-    leave.accumulateAndGet(
-        new Leave(incarnation),
-        (old, given) -> old == null || given.incarnation() > old.incarnation() ? given : old);
+  /** Marks an incarnation as leaving. */
+  public void markLeaving(long incarnation) {
+    latestLeaving.accumulateAndGet(
+        new LeavingIncarnation(incarnation),
+        (known, candidate) ->
+            known == null || candidate.incarnation() > known.incarnation() ? candidate : known);
   }
 
-  /** Returns the incarnation that said that it leaves, if the newest one did. */
+  /** Returns the incarnation that is leaving, if no later one is known. */
   public OptionalLong leavingIncarnation() {
-    Leave current = leave.get();
-    return current != null && current.incarnation() >= knownIncarnation()
+    LeavingIncarnation current = latestLeaving.get();
+    return current != null && current.incarnation() >= latestIncarnation()
         ? OptionalLong.of(current.incarnation())
         : OptionalLong.empty();
   }
 
-  /** Returns whether it is to be given no new work. */
+  /** Returns whether the upstream accepts no new requests. */
   public boolean isLeaving() {
     return listedLeaving || leavingIncarnation().isPresent();
   }
 
-  /** Returns the newest incarnation heard of, 0 for none. */
-  public long knownIncarnation() {
-    Reported last = reported.get();
+  /** Returns the latest incarnation that has sent a load report, 0 if none has. */
+  public long latestIncarnation() {
+    ReceivedReport last = latestReport.get();
     return last == null ? 0 : last.report().incarnation();
   }
 
-  /** Returns whether its failures keep it from being chosen just now. */
+  /** Returns whether the upstream is currently ejected after failures. */
   public boolean isEjected() {
     return ejected && clock.nanos() - ejectedUntilNanos < 0;
   }
 
-  /** Returns this box's own calls in progress there. */
+  /** Returns the number of calls in flight from this box. */
   public int inFlight() {
     return inFlight.get();
   }
 
-  /** Returns the usual time of a call in nanoseconds, 0 while unknown. */
+  /** Returns the moving average of the call latency in nanoseconds, 0 if there is none yet. */
   public double latencyNanos() {
     return latencyNanos;
   }
 
   /**
-   * Returns the calls that others are thought to have there: what the last report showed beyond
-   * this box's own, counting for less as the report ages.
+   * Returns the estimated number of calls of other boxes: those in the latest report beyond the
+   * calls of this box, decayed exponentially by the age of the report.
    *
    * @param halfLife age at which a report counts half
    */
-  public double othersInFlight(Duration halfLife) {
-    Reported last = reported.get();
+  public double otherBoxesInFlight(Duration halfLife) {
+    ReceivedReport last = latestReport.get();
     if (last == null) {
       return 0;
     }
     int total = last.report().inFlight() + last.report().queued();
-    double age = (double) (clock.nanos() - last.atNanos()) / halfLife.toNanos();
+    double age = (double) (clock.nanos() - last.receivedAtNanos()) / halfLife.toNanos();
     return Math.max(0, total - last.ownInFlight()) * Math.pow(0.5, age);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/StageShape.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/StageMessageFormat.java
@@ -8,84 +8,84 @@
 import java.util.stream.StreamSupport;
 import org.gradeledge.configuration.StageKind;
 
-/** The HTTP path and JSON bodies of each stage kind, after the OpenAI-compatible shapes. */
-enum StageShape {
+/** Path and JSON bodies of the HTTP messages for each stage kind, following the OpenAI API. */
+enum StageMessageFormat {
   ENCODE("/v1/embeddings") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.set(
           "input", JsonNodeFactory.instance.arrayNode().add(call.input().path("text").asText()));
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
-      return object("vector", answer.path("data").path(0).path("embedding"));
+    JsonNode extractOutput(JsonNode response) {
+      return singleFieldObject("vector", response.path("data").path(0).path("embedding"));
     }
   },
   RETRIEVE("/v1/retrieve") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.put("query", call.input().path("text").asText());
       body.set("vector", call.input().path("vector"));
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
-      return object("documents", answer.path("documents"));
+    JsonNode extractOutput(JsonNode response) {
+      return singleFieldObject("documents", response.path("documents"));
     }
   },
   RERANK("/v1/rerank") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.put("query", call.input().path("text").asText());
       body.set("documents", call.input().path("documents"));
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
-      return object("documents", answer.path("results"));
+    JsonNode extractOutput(JsonNode response) {
+      return singleFieldObject("documents", response.path("results"));
     }
   },
   GENERATE("/v1/completions") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.put("prompt", prompt(call.input()));
       body.put("max_tokens", call.stage().tokenLimit());
       body.put("stream", true);
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
+    JsonNode extractOutput(JsonNode response) {
       return JsonNodeFactory.instance.objectNode();
     }
   },
   SERVICE("/") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.setAll((ObjectNode) call.input().deepCopy());
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
-      return answer;
+    JsonNode extractOutput(JsonNode response) {
+      return response;
     }
   };
 
   private final String path;
 
-  StageShape(String path) {
+  StageMessageFormat(String path) {
     this.path = path;
   }
 
-  static StageShape of(StageKind kind) {
+  static StageMessageFormat of(StageKind kind) {
     return valueOf(kind.name());
   }
 
-  /** Adds what the kind needs to the body of a call. */
-  abstract void fill(ObjectNode body, UpstreamCall call);
+  /** Adds the fields of the stage kind to a request body. */
+  abstract void fillBody(ObjectNode body, UpstreamCall call);
 
-  /** Returns the stage's output from the upstream's answer. */
-  abstract JsonNode output(JsonNode answer);
+  /** Returns the output of the stage from a response body. */
+  abstract JsonNode extractOutput(JsonNode response);
 
   String path(UpstreamCall call) {
     return call.stage().path().orElse(path);
@@ -93,14 +93,14 @@
 
   ObjectNode body(UpstreamCall call) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
-    fill(body, call);
+    fillBody(body, call);
     call.stage().model().ifPresent(model -> body.put("model", model));
     call.stage().adapter().ifPresent(adapter -> body.put("adapter", adapter));
     call.stage().modelVersion().ifPresent(version -> body.put("model_version", version));
     return body;
   }
 
-  private static ObjectNode object(String key, JsonNode value) {
+  private static ObjectNode singleFieldObject(String key, JsonNode value) {
     ObjectNode node = JsonNodeFactory.instance.objectNode();
     node.set(key, value.isMissingNode() ? JsonNodeFactory.instance.nullNode() : value);
     return node;
--- a/gradeledge-core/src/test/java/org/gradeledge/connection/FakeUpstreamCaller.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/connection/FakeUpstreamCaller.java
@@ -14,11 +14,11 @@
 import java.util.function.Consumer;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** Calls nobody; a test answers in the upstreams' place. */
+/** Records calls without sending them; tests provide the responses. */
 public final class FakeUpstreamCaller implements UpstreamCaller {
 
-  /** A call as it was made. */
-  public static final class Call implements UpstreamCall {
+  /** A recorded call. */
+  public static final class Call implements CancellableCall {
 
     private final UpstreamRecord target;
     private final OutgoingRequest request;
@@ -31,39 +31,39 @@
       this.listener = listener;
     }
 
-    /** Returns where it went. */
+    /** Returns the upstream that was called. */
     public UpstreamRecord target() {
       return target;
     }
 
-    /** Returns its body as text. */
+    /** Returns the request body as text. */
     public String body() {
       return new String(request.body(), StandardCharsets.UTF_8);
     }
 
-    /** Returns its path. */
+    /** Returns the request path. */
     public String uri() {
       return request.uri();
     }
 
-    /** Returns whether it was given up. */
-    public boolean cancelled() {
+    /** Returns whether the call was cancelled. */
+    public boolean isCancelled() {
       return cancelled;
     }
 
-    /** Says that it was handed to an open connection; must be called on the event loop. */
-    public void sent() {
+    /** Reports the call as sent; must be called on the event loop. */
+    public void notifySent() {
       listener.onSent();
     }
 
-    /** Answers it; must be called on the event loop. */
-    public void answer(int status, String body) {
+    /** Completes the call with a response; must be called on the event loop. */
+    public void respond(int status, String body) {
       listener.onHead(status, new DefaultHttpHeaders());
       listener.onContent(Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
       listener.onComplete();
     }
 
-    /** Breaks it off; must be called on the event loop. */
+    /** Fails the call; must be called on the event loop. */
     public void fail(CallFailure failure) {
       listener.onFailure(failure);
     }
@@ -75,50 +75,51 @@
   }
 
   private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
-  private final Map<String, UpstreamProof> proofs = new ConcurrentHashMap<>();
-  private final Queue<Runnable> waitingProofs = new ConcurrentLinkedQueue<>();
+  private final Map<String, LivenessResult> probeResults = new ConcurrentHashMap<>();
+  private final Queue<Runnable> pendingProbes = new ConcurrentLinkedQueue<>();
   private final Collection<UpstreamRecord> probed = new ConcurrentLinkedQueue<>();
 
   @Override
-  public UpstreamCall call(UpstreamRecord target, OutgoingRequest request, CallListener listener) {
+  public CancellableCall call(
+      UpstreamRecord target, OutgoingRequest request, CallListener listener) {
     Call call = new Call(target, request, listener);
     calls.add(call);
     return call;
   }
 
-  /** Does nothing, as there are no connections. */
   @Override
-  public void forget(UpstreamRecord target) {}
+  public void discardConnections(UpstreamRecord target) {}
 
-  /** Does nothing, as there are no connections. */
   @Override
-  public void end(UpstreamRecord target) {}
+  public void retire(UpstreamRecord target) {}
 
-  /** Does nothing, as there are no connections. */
   @Override
-  public void holdOff(UpstreamRecord target) {}
+  public void backOff(UpstreamRecord target) {}
 
-  /** Does nothing, as there are no connections. */
   @Override
-  public void breakOff(UpstreamRecord target) {}
+  public void abort(UpstreamRecord target) {}
 
-  /** Answers with what the test has set for the upstream; refused where it set nothing. */
+  /**
+   * Records a probe; its result is the one set for the upstream, or a refused connection by
+   * default.
+   */
   @Override
-  public void probe(UpstreamRecord target, Consumer<UpstreamProof> listener) {
+  public void probe(UpstreamRecord target, Consumer<LivenessResult> listener) {
     probed.add(target);
-    UpstreamProof proof = proofs.getOrDefault(target.start(), UpstreamProof.REFUSED);
-    waitingProofs.add(() -> listener.accept(proof));
+    LivenessResult result =
+        probeResults.getOrDefault(target.incarnationId(), LivenessResult.REFUSED);
+    pendingProbes.add(() -> listener.accept(result));
   }
 
-  /** Sets what a probe of an upstream shows. */
-  public void setProof(UpstreamRecord target, UpstreamProof proof) {
-    proofs.put(target.start(), proof);
+  /** Sets the result of the probes of an upstream. */
+  public void setProbeResult(UpstreamRecord target, LivenessResult result) {
+    probeResults.put(target.incarnationId(), result);
   }
 
-  /** Answers all probes; must be called on the event loop. */
-  public void answerProbes() {
-    for (Runnable proof = waitingProofs.poll(); proof != null; proof = waitingProofs.poll()) {
-      proof.run();
+  /** Completes all pending probes; must be called on the event loop. */
+  public void completeProbes() {
+    for (Runnable probe = pendingProbes.poll(); probe != null; probe = pendingProbes.poll()) {
+      probe.run();
     }
   }
 
@@ -127,8 +128,8 @@
     return probed;
   }
 
-  /** Returns the next call, waiting for it. */
-  public Call next() throws InterruptedException {
+  /** Returns the next call; waits until there is one. */
+  public Call nextCall() throws InterruptedException {
     Call call = calls.poll(10, TimeUnit.SECONDS);
     if (call == null) {
       throw new AssertionError("no call was made");
@@ -136,8 +137,8 @@
     return call;
   }
 
-  /** Returns whether no call is waiting to be looked at. */
-  public boolean isQuiet() {
+  /** Returns whether no call is pending. */
+  public boolean hasNoCalls() {
     return calls.isEmpty();
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/connection/PooledUpstreamCallerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/connection/PooledUpstreamCallerTests.java
@@ -42,7 +42,7 @@
   private DisposableServer server;
 
   @BeforeEach
-  void start() {
+  void startServer() {
     server =
         HttpServer.create()
             .host("127.0.0.1")
@@ -51,12 +51,12 @@
             .handle(
                 (request, response) -> {
                   received.add(request.uri());
-                  return answer(request.uri(), response);
+                  return respond(request.uri(), response);
                 })
             .bindNow();
   }
 
-  private static Publisher<Void> answer(String uri, HttpServerResponse response) {
+  private static Publisher<Void> respond(String uri, HttpServerResponse response) {
     if (uri.equals("/closing")) {
       response.header("Connection", "close");
     }
@@ -64,13 +64,13 @@
   }
 
   @AfterEach
-  void stop() {
+  void stopServer() {
     server.disposeNow();
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
   @Test
-  void aKeptConnectionIsUsedAgain() throws Exception {
+  void reusesIdleConnections() throws Exception {
     for (int i = 0; i < 5; i++) {
       assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     }
@@ -78,18 +78,20 @@
   }
 
   @Test
-  void connectionsThatWereOpenWhenOneWentSilentAreNotUsedAgain() throws Exception {
+  void discardedConnectionsAreNotReused() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
 
-    loop.submit(() -> caller.forget(upstream())).get();
+    loop.submit(() -> caller.discardConnections(upstream())).get();
 
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     assertThat(connections).hasSize(2);
   }
 
-  /** The upstream has closed it meanwhile; that it did may not have been read yet. */
+  /**
+   * Guards against requests on connections that the upstream closed during a suspension of the box.
+   */
   @Test
-  void aConnectionThatRestedThroughASuspensionIsNotUsedAgain() throws Exception {
+  void connectionThatWasIdleDuringASuspensionIsNotReused() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     suspendedNanos.set(TimeUnit.SECONDS.toNanos(10));
 
@@ -99,9 +101,9 @@
   }
 
   @Test
-  void whereTimeMayHavePassedUnheardRestingConnectionsAreClosed() throws Exception {
+  void idleConnectionsAreClosedOnRequest() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
-    loop.submit(caller::closeResting).sync();
+    loop.submit(caller::closeIdle).sync();
 
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
@@ -110,7 +112,7 @@
   }
 
   @Test
-  void callsThatWantConnectionsOfTheirOwnDoNotUseUpTheLimit() throws Exception {
+  void callsWithoutReuseDoNotExhaustTheConnectionLimit() throws Exception {
     for (int i = 0; i < 5 * LIMIT; i++) {
       assertThat(call("/a", ConnectionReuse.NONE)).isEqualTo("ok");
     }
@@ -118,39 +120,36 @@
   }
 
   @Test
-  void aRestingConnectionGivesWayToOneThatIsNeeded() throws Exception {
+  void idleConnectionIsClosedForANewOneAtTheLimit() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
-    start("/never", ConnectionReuse.NONE);
+    send("/never", ConnectionReuse.NONE);
 
     assertThat(call("/a", ConnectionReuse.NONE)).isEqualTo("ok");
   }
 
   @Test
-  void aboveTheLimitACallFailsWithoutHavingBeenSent() throws Exception {
+  void callAboveTheConnectionLimitFailsUnsent() throws Exception {
     for (int i = 0; i < LIMIT; i++) {
-      start("/never", ConnectionReuse.ANY);
+      send("/never", ConnectionReuse.ANY);
     }
 
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo(CallFailure.NO_CONNECTION_FREE.name());
   }
 
   @Test
-  void aDeadPortFailsWithoutHavingBeenSent() throws Exception {
+  void callToAClosedPortFailsUnsent() throws Exception {
     server.disposeNow();
 
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo(CallFailure.NOT_CONNECTED.name());
   }
 
-  /**
-   * Seen on reading, after new work had reached an upstream that leaves: a call that waits for its
-   * connection, for 700 ms at most, was sent once that stood, whatever had been learned meanwhile.
-   */
+  /** Guards against requests to a retired upstream after a slow connection attempt. */
   @Test
-  void whatStillDialsIsNotSentToAnUpstreamThatHasEnded() throws Exception {
+  void waitingCallIsNotSentToARetiredUpstream() throws Exception {
     loop.submit(
             () -> {
               caller.call(upstream(), request("/late", ConnectionReuse.ANY), new Recorder());
-              caller.end(upstream());
+              caller.retire(upstream());
             })
         .sync();
 
@@ -159,13 +158,13 @@
     assertThat(received).containsExactly("/next");
   }
 
-  // Guards against a request that arrives, after a long dial, within a time without requests.
+  /** Guards against requests during a backoff after a slow connection attempt. */
   @Test
-  void whatStillDialsIsNotSentToAnUpstreamThatWantsNothingForAWhile() throws Exception {
+  void waitingCallIsNotSentDuringABackoff() throws Exception {
     loop.submit(
             () -> {
               caller.call(upstream(), request("/late", ConnectionReuse.ANY), new Recorder());
-              caller.holdOff(upstream());
+              caller.backOff(upstream());
             })
         .sync();
 
@@ -175,33 +174,33 @@
   }
 
   @Test
-  void whatWasSentToAnUpstreamThatHasEndedGoesOn() throws Exception {
-    start("/never", ConnectionReuse.ANY);
+  void callInFlightToARetiredUpstreamContinues() throws Exception {
+    send("/never", ConnectionReuse.ANY);
     assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("/never");
 
-    loop.submit(() -> caller.end(upstream())).sync();
+    loop.submit(() -> caller.retire(upstream())).sync();
 
     assertThat(call("/next", ConnectionReuse.ANY)).isEqualTo("ok");
     assertThat(outcomes).isEmpty();
   }
 
   @Test
-  void callsToAStartThatAnotherHasReplacedAreBrokenOff() throws Exception {
-    start("/never", ConnectionReuse.ANY);
+  void callsToAReplacedIncarnationAreAborted() throws Exception {
+    send("/never", ConnectionReuse.ANY);
     assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("/never");
 
-    loop.submit(() -> caller.breakOff(upstream())).sync();
+    loop.submit(() -> caller.abort(upstream())).sync();
 
     assertThat(outcomes.poll(20, TimeUnit.SECONDS)).isEqualTo(CallFailure.BROKEN.name());
     assertThat(call("/next", ConnectionReuse.ANY)).isEqualTo("ok");
   }
 
   @Test
-  void tellsOfAnswersAfterWhichTheUpstreamClosesItsConnection() throws Exception {
+  void responseHeadShowsThatTheUpstreamClosesTheConnection() throws Exception {
     BlockingQueue<String> closing = new LinkedBlockingQueue<>();
-    caller.onAnswer(
+    caller.onResponse(
         (upstream, head) -> {
-          if (head.closes()) {
+          if (head.closesConnection()) {
             closing.add(upstream.id());
           }
         });
@@ -213,23 +212,23 @@
   }
 
   @Test
-  void aNewConnectionShowsWhetherAnUpstreamIsThere() throws Exception {
-    assertThat(probe()).isEqualTo(UpstreamProof.THERE);
+  void probeShowsWhetherAnUpstreamIsAlive() throws Exception {
+    assertThat(probe()).isEqualTo(LivenessResult.THERE);
 
     server.disposeNow();
 
-    assertThat(probe()).isEqualTo(UpstreamProof.REFUSED);
+    assertThat(probe()).isEqualTo(LivenessResult.REFUSED);
     assertThat(received).isEmpty();
   }
 
-  private UpstreamProof probe() throws InterruptedException {
-    BlockingQueue<UpstreamProof> heard = new LinkedBlockingQueue<>();
-    loop.submit(() -> caller.probe(upstream(), heard::add)).sync();
-    return heard.poll(20, TimeUnit.SECONDS);
+  private LivenessResult probe() throws InterruptedException {
+    BlockingQueue<LivenessResult> results = new LinkedBlockingQueue<>();
+    loop.submit(() -> caller.probe(upstream(), results::add)).sync();
+    return results.poll(20, TimeUnit.SECONDS);
   }
 
   private String call(String uri, ConnectionReuse reuse) throws InterruptedException {
-    start(uri, reuse);
+    send(uri, reuse);
     return outcomes.poll(20, TimeUnit.SECONDS);
   }
 
@@ -237,7 +236,7 @@
     return new UpstreamRecord("id", "service", "127.0.0.1", server.port(), "zone", 1, false);
   }
 
-  private void start(String uri, ConnectionReuse reuse) throws InterruptedException {
+  private void send(String uri, ConnectionReuse reuse) throws InterruptedException {
     loop.submit(() -> caller.call(upstream(), request(uri, reuse), new Recorder())).sync();
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/routing/UpstreamStateTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/routing/UpstreamStateTests.java
@@ -20,36 +20,36 @@
   private final UpstreamState state = directory.state(definition);
 
   @Test
-  void anOlderReportDoesNotUndoALeave() {
-    state.report(report(1, 5, true));
-    state.report(report(1, 4, false));
-    state.report(report(1, 6, false));
+  void outdatedReportDoesNotRevertLeaving() {
+    state.applyReport(report(1, 5, true));
+    state.applyReport(report(1, 4, false));
+    state.applyReport(report(1, 6, false));
     assertThat(state.isLeaving()).isTrue();
-    state.report(report(2, 1, false));
+    state.applyReport(report(2, 1, false));
     assertThat(state.isLeaving()).isFalse();
-    state.report(report(1, 9, true));
+    state.applyReport(report(1, 9, true));
     assertThat(state.isLeaving()).isFalse();
   }
 
   @Test
-  void aPeersWordOfAnOldIncarnationDoesNotCount() {
-    state.report(report(4, 1, false));
-    state.leaving(3);
+  void leavingOfAnEarlierIncarnationIsIgnored() {
+    state.applyReport(report(4, 1, false));
+    state.markLeaving(3);
     assertThat(state.isLeaving()).isFalse();
-    state.leaving(4);
+    state.markLeaving(4);
     assertThat(state.isLeaving()).isTrue();
   }
 
   @Test
-  void aLeavingUpstreamIsNeverChosen() {
+  void leavingUpstreamIsNeverSelected() {
     Router router = new Router(directory, RoutingPolicy.TWO_CHOICES.strategy("sofia-1"));
     assertThat(router.route(file, file.stages().get(0), Set.of())).contains(state);
-    state.leaving();
+    state.markLeaving();
     assertThat(router.route(file, file.stages().get(0), Set.of())).isEmpty();
   }
 
   @Test
-  void failuresInARowEjectForAWhileButNotTheLastOne() {
+  void consecutiveFailuresEjectTemporarilyButTheOnlyUpstreamStaysSelectable() {
     fail(3);
     assertThat(state.isEjected()).isTrue();
     Router router = new Router(directory, RoutingPolicy.LEAST_IN_FLIGHT.strategy("sofia-1"));
@@ -62,18 +62,18 @@
   }
 
   @Test
-  void othersLoadCountsForLessAsTheReportAges() {
-    state.report(report(1, 1, false));
+  void loadOfOtherBoxesDecaysWithTheAgeOfTheReport() {
+    state.applyReport(report(1, 1, false));
     Duration halfLife = Duration.ofNanos(100);
-    assertThat(state.othersInFlight(halfLife)).isEqualTo(8);
+    assertThat(state.otherBoxesInFlight(halfLife)).isEqualTo(8);
     nanos = 100;
-    assertThat(state.othersInFlight(halfLife)).isEqualTo(4);
+    assertThat(state.otherBoxesInFlight(halfLife)).isEqualTo(4);
   }
 
   private void fail(int times) {
     for (int i = 0; i < times; i++) {
-      state.started();
-      state.failed();
+      state.recordCallStarted();
+      state.recordCallFailed();
     }
   }
 
