--- a/gradeledge-core/src/main/java/org/gradeledge/admission/AccountLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/AccountLimiter.java
@@ -55,7 +55,7 @@
   }
 
   private static RefusalException refused(String what, Duration retryAfter) {
-    return RefusalException.because(RefusalReason.ACCOUNT_LIMIT)
+    return RefusalException.forReason(RefusalReason.ACCOUNT_LIMIT)
         .detail("the client account " + what)
         .retryAfter(retryAfter)
         .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/PipelineLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/PipelineLimits.java
@@ -78,7 +78,7 @@
   public void checkReachable(PipelineFile file, AccountDefinition account, Duration timeLeft) {
     Duration expected = expected(file.stages(), account);
     if (expected.compareTo(timeLeft) >= 0) {
-      throw RefusalException.because(RefusalReason.DEADLINE_UNREACHABLE)
+      throw RefusalException.forReason(RefusalReason.DEADLINE_UNREACHABLE)
           .detail(
               "the stages usually take "
                   + expected.toMillis()
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
@@ -219,7 +219,7 @@
 
   private RefusalException unreachable(StageTicket ticket) {
     Duration wait = times.typical().multipliedBy(queued() + 1L).dividedBy(current());
-    return RefusalException.because(RefusalReason.DEADLINE_UNREACHABLE)
+    return RefusalException.forReason(RefusalReason.DEADLINE_UNREACHABLE)
         .stage(stage)
         .detail(
             "the remaining stages take about "
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
@@ -15,9 +15,9 @@
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -140,13 +140,13 @@
     private EventLoop loop;
     private MonotonicClock clock;
     private UpstreamRegistry upstreams;
-    private LoadBoard board;
+    private UpstreamLoads board;
     private RetryBudget budget;
     private UpstreamCaller caller;
     private StageProtocol protocol;
     private EventLog events;
     private PiecesToCome toCome = new PiecesToCome();
-    private SendingRule sending = SendingRule.NONE;
+    private SendLimiter sending = SendLimiter.UNLIMITED;
     private Function<String, Optional<BatchLimits>> limits;
 
     private Builder() {}
@@ -175,7 +175,7 @@
     }
 
     /** Sets what the box believes of upstreams, and what it may repeat. */
-    public Builder beliefs(LoadBoard loadBoard, RetryBudget retryBudget, EventLog eventLog) {
+    public Builder beliefs(UpstreamLoads loadBoard, RetryBudget retryBudget, EventLog eventLog) {
       this.board = loadBoard;
       this.budget = retryBudget;
       this.events = eventLog;
@@ -189,7 +189,7 @@
     }
 
     /** Sets which upstreams take one more request now; all do if it is not given. */
-    public Builder sending(SendingRule rule) {
+    public Builder sending(SendLimiter rule) {
       this.sending = rule;
       return this;
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -132,8 +132,8 @@
     BatchCall call = new BatchCall(target, chosen, limits, now, this);
     double expected = target.expectedMillis(limits, chosen.size());
     target.started(call.resultBytes(), expected, now);
-    services.board().started(target.upstream(), call.resultBytes());
-    services.sending().sent(target.upstream());
+    services.board().recordStart(target.upstream(), call.resultBytes());
+    services.sending().recordSent(target.upstream());
     List<CallItem> items =
         chosen.stream()
             .map(p -> new CallItem(p.group().group(), p.index(), p.group().leftMillis(now)))
@@ -175,7 +175,7 @@
       pauseFull(call);
       tryAgain(call, true, "full");
     } else {
-      services.board().failed(call.target().upstream(), false, "status " + status);
+      services.board().recordFailure(call.target().upstream(), false, "status " + status);
       tryAgain(call, true, "status " + status);
     }
     dispatch();
@@ -189,7 +189,7 @@
     if (failure.filter(CallFailure.NO_CONNECTION_FREE::equals).isPresent()) {
       pauseFull(call);
     } else if (failure.map(CallFailure::blamesUpstream).orElse(true)) {
-      services.board().failed(call.target().upstream(), !sent || failure.isEmpty(), why);
+      services.board().recordFailure(call.target().upstream(), !sent || failure.isEmpty(), why);
     }
     if (failure.filter(CallFailure.BROKEN::equals).isPresent()) {
       broken.look(call, () -> tryAgainAndDispatch(call, sent, why));
@@ -206,13 +206,13 @@
   /** What keeps an upstream full is calls, of which one ends within the time of a call. */
   private void pauseFull(BatchCall call) {
     long millis = (long) (call.limits().expectedMillis(1) * FULL_PART_OF_CALL);
-    services.board().pause(call.target().upstream(), millis);
+    services.board().avoidFor(call.target().upstream(), millis);
   }
 
   private void ended(BatchCall call) {
     call.tell(services.events(), service, waiting.size(), services.clock().nanos());
     call.target().ended(call.resultBytes());
-    services.board().ended(call.target().upstream(), call.resultBytes());
+    services.board().recordEnd(call.target().upstream(), call.resultBytes());
   }
 
   private void take(BatchCall call, List<PieceResult> results) {
@@ -221,7 +221,7 @@
     if (results.stream().allMatch(result -> result.kind() == PieceResult.Kind.MADE)) {
       call.target().measured(millis / limits.expectedMillis(call.pieces().size()));
     }
-    services.board().succeeded(call.target().upstream(), millis);
+    services.board().recordSuccess(call.target().upstream(), millis);
     for (int i = 0; i < results.size(); i++) {
       take(call, call.pieces().get(i), results.get(i), limits);
     }
@@ -259,7 +259,7 @@
   private void tryAgain(List<StagePiece> pieces, boolean sent, String why, UpstreamRecord from) {
     pieces.stream()
         .map(StagePiece::group)
-        .filter(group -> group.endedUpstreams() >= Quarantine.ENDS_OF_VERDICT)
+        .filter(group -> group.endedUpstreams() >= Quarantine.CRASHES_TO_QUARANTINE)
         .forEach(group -> end(group, StageOutcome.FAILED));
     List<StagePiece> wanted = pieces.stream().filter(piece -> !piece.group().isOver()).toList();
     if (retries.allowed(wanted, sent, why, from)) {
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchServices.java
@@ -12,9 +12,9 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -29,11 +29,11 @@
     String box,
     MonotonicClock clock,
     UpstreamRegistry upstreams,
-    LoadBoard board,
+    UpstreamLoads board,
     RetryBudget budget,
     UpstreamCaller caller,
     UpstreamEnds ends,
-    SendingRule sending,
+    SendLimiter sending,
     StageProtocol protocol,
     EventLog events,
     PiecesToCome toCome,
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
@@ -104,7 +104,8 @@
     return known.stream()
         .mapToDouble(
             each -> {
-              double calls = services.sending().perSecond(each.upstream()) * CALLS_OF_REQUESTS;
+              double calls =
+                  services.sending().requestsPerSecond(each.upstream()) * CALLS_OF_REQUESTS;
               double full = each.expectedMillis(limits, limits.itemsPerCall());
               return Math.min(1, calls * full / MILLIS_OF_SECOND);
             })
@@ -120,7 +121,7 @@
 
   /** Another box may still be calling the upstream, as it did this work until a moment ago. */
   private boolean free(BatchUpstream target, BatchLimits limits) {
-    int others = services.board().runningAtPeers(target.upstream());
+    int others = services.board().inFlightAtPeers(target.upstream());
     return target.free(limits) && others < limits.calls();
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/HeldResults.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/HeldResults.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import org.jspecify.annotations.Nullable;
 
@@ -30,12 +30,12 @@
   private record Full(long millis, long untilNanos) {}
 
   private final MonotonicClock clock;
-  private final LoadBoard board;
+  private final UpstreamLoads board;
   private final Map<String, Held> byHandle = new LinkedHashMap<>();
   private final Map<String, Long> bytesByUpstream = new HashMap<>();
   private final Map<String, Full> full = new HashMap<>();
 
-  HeldResults(MonotonicClock clock, LoadBoard board) {
+  HeldResults(MonotonicClock clock, UpstreamLoads board) {
     this.clock = clock;
     this.board = board;
   }
@@ -103,7 +103,7 @@
   }
 
   private void count(String upstream, long bytes) {
-    board.hold(upstream, bytes);
+    board.adjustMemory(upstream, bytes);
     bytesByUpstream.merge(upstream, bytes, (before, more) -> emptyIfNone(before + more));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultRelease.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultRelease.java
@@ -17,7 +17,7 @@
 import org.gradeledge.connection.UpstreamCaller;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 
 /**
  * Gives up results at the upstreams that hold them, many in one call. A call that fails is not
@@ -37,7 +37,7 @@
   private final UpstreamCaller caller;
   private final UpstreamRegistry upstreams;
   private final StageProtocol protocol;
-  private final SendingRule sending;
+  private final SendLimiter sending;
   private final Function<String, Optional<String>> makerOf;
   private final Consumer<Collection<String>> onReleased;
   private final Gathered fresh = new Gathered(GATHER_MILLIS);
@@ -48,7 +48,7 @@
       UpstreamCaller caller,
       UpstreamRegistry upstreams,
       StageProtocol protocol,
-      SendingRule sending,
+      SendLimiter sending,
       Function<String, Optional<String>> makerOf,
       Consumer<Collection<String>> onReleased) {
     this.loop = loop;
@@ -115,7 +115,7 @@
     if (handles.isEmpty()) {
       return;
     }
-    sending.sent(upstream);
+    sending.recordSent(upstream);
     caller.call(upstream, protocol.encodeFree(upstream, handles), new Release(handles));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxBeliefs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxBeliefs.java
@@ -7,7 +7,7 @@
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.limit.UpstreamLimits;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 
 /**
  * What a box holds to be so, which it tells others of and learns from them. Confined to the event
@@ -24,7 +24,7 @@
 public record BoxBeliefs(
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    LoadBoard board,
+    UpstreamLoads board,
     PiecesToCome toCome,
     Quarantine quarantine,
     UpstreamLimits limits) {
@@ -44,7 +44,7 @@
         deployments.revision(),
         upstreams.changedAt(),
         List.of(),
-        board.ownShares(),
+        board.ownLoads(),
         backlogMillis,
         toCome.own(),
         upstreams.evacuations(),
@@ -57,7 +57,7 @@
 
   /** Forgets what a box told of itself, as it is lost. */
   void forget(String box) {
-    board.setPeerShares(box, Map.of());
+    board.setPeerLoads(box, Map.of());
     toCome.forget(box);
   }
 
@@ -66,9 +66,9 @@
    * before, or tells of a limit or of an upstream that leaves which was not known.
    */
   boolean heard(String box, Heartbeat beat, long ageMillis) {
-    board.setPeerShares(box, beat.shares());
+    board.setPeerLoads(box, beat.shares());
     toCome.told(box, beat.piecesToCome());
-    boolean limited = limits.told(box, beat.limits(), ageMillis);
+    boolean limited = limits.merge(box, beat.limits(), ageMillis);
     boolean leaving = upstreams.toldLeaving(box, beat.leavingUpstreams());
     return upstreams.evacuate(beat.evacuations()) || limited || leaving;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.gradeledge.discovery.ZoneEvacuations;
 import org.gradeledge.limit.LimitReport;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
 
 /**
  * What a box tells all others again and again.
@@ -39,7 +39,7 @@
     long configuration,
     long upstreams,
     List<String> boxes,
-    Map<String, LoadShare> shares,
+    Map<String, BoxLoad> shares,
     Map<String, List<Long>> backlogMillis,
     Map<String, List<Long>> piecesToCome,
     ZoneEvacuations evacuations,
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
@@ -8,7 +8,7 @@
 import org.gradeledge.discovery.ZoneEvacuations;
 import org.gradeledge.peer.MessageFormat;
 import org.gradeledge.peer.MessageReader;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
 import org.msgpack.core.MessagePacker;
 
 /** Heartbeats, as arrays. */
@@ -35,11 +35,11 @@
     packer.packLong(beat.upstreams());
     TextLists.write(packer, beat.boxes());
     packer.packMapHeader(beat.shares().size());
-    for (Map.Entry<String, LoadShare> share : beat.shares().entrySet()) {
+    for (Map.Entry<String, BoxLoad> share : beat.shares().entrySet()) {
       packer.packString(share.getKey());
       packer.packArrayHeader(SHARE_FIELDS);
-      packer.packInt(share.getValue().running());
-      packer.packLong(share.getValue().tokens());
+      packer.packInt(share.getValue().inFlight());
+      packer.packLong(share.getValue().memory());
     }
     writeNumbers(packer, beat.backlogMillis());
     writeNumbers(packer, beat.piecesToCome());
@@ -102,9 +102,9 @@
     return new ZoneEvacuations(revision, new HashSet<>(zones));
   }
 
-  private static LoadShare readShare(MessageReader reader) throws IOException {
+  private static BoxLoad readShare(MessageReader reader) throws IOException {
     int more = reader.beginRecord(SHARE_FIELDS);
-    LoadShare share = new LoadShare(reader.integer(), reader.number());
+    BoxLoad share = new BoxLoad(reader.integer(), reader.number());
     reader.skip(more);
     return share;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.quarantine.SuspectNews;
+import org.gradeledge.quarantine.SuspectUpdate;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -45,7 +45,7 @@
     this.sender = sender;
     this.loop = loop;
     this.clock = clock;
-    quarantine.onNews(this::tellSoon);
+    quarantine.onUpdate(this::tellSoon);
   }
 
   /** An upstream takes many requests along, and all are heard of in one turn: one message. */
@@ -58,18 +58,18 @@
 
   private void tellGathered() {
     gathering = false;
-    spread(quarantine.takeNews());
+    spread(quarantine.takeUpdate());
   }
 
   /** Takes in what a box tells; among many boxes what is new is passed on. */
-  void heard(SuspectNews news) {
-    SuspectNews changed = quarantine.merge(news);
+  void heard(SuspectUpdate news) {
+    SuspectUpdate changed = quarantine.merge(news);
     if (routes.many()) {
       spread(changed);
     }
   }
 
-  private void spread(SuspectNews news) {
+  private void spread(SuspectUpdate news) {
     if (news.isEmpty()) {
       return;
     }
@@ -89,7 +89,7 @@
     Long last = toldNanos.get(box);
     if (last == null || now - last > TELL_AGAIN_NANOS) {
       toldNanos.put(box, now);
-      network.tell(box, MeshMessages.SUSPECTS, quarantine.all());
+      network.tell(box, MeshMessages.SUSPECTS, quarantine.snapshot());
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -16,8 +16,8 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.mesh.BoxBeliefs;
 import org.gradeledge.mesh.BoxMesh;
 import org.gradeledge.metrics.BoxMetrics;
@@ -31,9 +31,9 @@
 import org.gradeledge.relay.RelayServices;
 import org.gradeledge.retry.RetryBudget;
 import org.gradeledge.selection.LeastLoadedChooser;
-import org.gradeledge.selection.LoadBoard;
 import org.gradeledge.selection.PrefixAffinityChooser;
 import org.gradeledge.selection.UpstreamChooser;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.ClockJump;
 import org.gradeledge.time.MonotonicClock;
 import org.gradeledge.time.SuspensionAwareClock;
@@ -81,7 +81,7 @@
     SuspensionAwareClock clock = SuspensionAwareClock.ofMachine();
     this.deployments = new DeploymentRegistry(adapters.configurations(), events);
     this.upstreams = new UpstreamRegistry(events);
-    LoadBoard board = new LoadBoard(clock, events);
+    UpstreamLoads board = new UpstreamLoads(clock, events);
     Quarantine quarantine = new Quarantine(clock);
     UpstreamSending sending = new UpstreamSending(clock, events, upstreams, this::service);
     this.mesh =
@@ -95,9 +95,9 @@
     upstreams.onEnd(caller::end);
     upstreams.onReplaced(caller::breakOff);
     sending.listen(caller, adapters.signals(), mesh);
-    LimitedSending limited = sending.limited(mesh);
+    UpstreamRateLimiter limited = sending.limited(mesh);
     sending.show(metrics, limited);
-    upstreams.onEnd(board::forget);
+    upstreams.onEnd(board::remove);
     BatchCoordinator coordinator =
         BatchCoordinator.builder()
             .box(peerName(settings), loop, clock)
@@ -105,7 +105,7 @@
             .calls(caller, adapters.stages())
             .beliefs(board, budget, events)
             .toCome(toCome)
-            .sending(SendingRule.allOf(limited, sending.backoffs()))
+            .sending(SendLimiter.allOf(limited, sending.backoffs()))
             .build();
     StageWorkClient stageWork = mesh.stageWork(coordinator);
     RelayServices services =
@@ -117,7 +117,7 @@
             upstreams,
             board,
             newChooser(board),
-            SendingRule.allOf(sending.cold(this::boxes), limited, sending.backoffs()),
+            SendLimiter.allOf(sending.cold(this::boxes), limited, sending.backoffs()),
             budget,
             caller,
             new UpstreamEnds(caller, upstreams::hasLeft),
@@ -153,7 +153,7 @@
     }
   }
 
-  private UpstreamChooser newChooser(LoadBoard board) {
+  private UpstreamChooser newChooser(UpstreamLoads board) {
     return new PrefixAffinityChooser(
         board, new LeastLoadedChooser(board, new Random()), this::memoryTokens);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
@@ -13,13 +13,13 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.limit.UpstreamBackoffs;
 import org.gradeledge.limit.UpstreamLimits;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.mesh.BoxMesh;
 import org.gradeledge.relay.RelayMetrics;
-import org.gradeledge.selection.ColdUpstreams;
+import org.gradeledge.selection.ColdStartLimiter;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -54,10 +54,10 @@
   }
 
   /** Shows what upstreams say of themselves. */
-  void show(RelayMetrics metrics, LimitedSending limited) {
-    metrics.watchLimits(limits::count, limited::heldOff);
+  void show(RelayMetrics metrics, UpstreamRateLimiter limited) {
+    metrics.watchLimits(limits::limitedCount, limited::skipped);
     metrics.watchSignals(
-        () -> upstreams.leavingAsTheySaid().size(), backoffs::count, backoffs::heldOff);
+        () -> upstreams.leavingAsTheySaid().size(), backoffs::activeCount, backoffs::skipped);
   }
 
   /** Reads what all answers say of their upstreams, and has the mesh tell what is new at once. */
@@ -66,16 +66,16 @@
         (upstream, head) -> {
           UpstreamSignals signals =
               reader.read(head.request().uri(), head.status(), head.headers());
-          limits.answered(upstream, head.sentNanos(), signals.limit());
-          backoffs.answered(upstream, signals.backoff());
+          limits.onAnswer(upstream, head.sentNanos(), signals.limit());
+          backoffs.onAnswer(upstream, signals.backoff());
           leaving(upstream, signals.leaving());
           if (head.closes()) {
             upstreams.closesConnections(upstream);
           }
         });
-    limits.onNews(mesh::tellNow);
+    limits.onChange(mesh::tellNow);
     upstreams.onAnnounced(mesh::tellNow);
-    backoffs.onBegin(caller::holdOff);
+    backoffs.onBackoffStarted(caller::holdOff);
   }
 
   private void leaving(UpstreamRecord upstream, LeavingStatement statement) {
@@ -88,13 +88,13 @@
   }
 
   /** Returns the rule of upstreams that want nothing from this box for a while. */
-  SendingRule backoffs() {
+  SendLimiter backoffs() {
     return backoffs;
   }
 
   /** Returns the rule of limits that upstreams name, for all requests. */
-  LimitedSending limited(BoxMesh mesh) {
-    return new LimitedSending(
+  UpstreamRateLimiter limited(BoxMesh mesh) {
+    return new UpstreamRateLimiter(
         clock,
         limits,
         mesh::rank,
@@ -107,16 +107,16 @@
    *
    * @param boxes how many boxes are heard, this one included
    */
-  SendingRule cold(IntSupplier boxes) {
-    ColdUpstreams cold =
-        new ColdUpstreams(
+  SendLimiter cold(IntSupplier boxes) {
+    ColdStartLimiter cold =
+        new ColdStartLimiter(
             clock,
             new Random(),
             boxes,
             service -> services.apply(service).flatMap(ServiceDefinition::coldStart));
-    upstreams.onCold(cold::told);
-    upstreams.onRestored(zones -> cold.restored(upstreams.inZones(zones)));
-    upstreams.onEnd(cold::forget);
+    upstreams.onCold(cold::onColdAnnounced);
+    upstreams.onRestored(zones -> cold.onRestored(upstreams.inZones(zones)));
+    upstreams.onEnd(cold::remove);
     return cold;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
@@ -24,7 +24,7 @@
     this.upstream = upstream;
     this.tokens = tokens;
     this.startNanos = services.clock().nanos();
-    services.board().started(upstream, tokens);
+    services.board().recordStart(upstream, tokens);
   }
 
   /** The upstream did not run the request. */
@@ -63,13 +63,13 @@
   public final void giveUpSilent() {
     cancel();
     services.caller().forget(upstream);
-    services.board().failed(upstream, true, "silent");
+    services.board().recordFailure(upstream, true, "silent");
   }
 
   @Override
   public final void onHead(int status, HttpHeaders headers) {
-    services.board().heard(upstream);
-    services.quarantine().heardFrom(upstream.start());
+    services.board().recordActivity(upstream);
+    services.quarantine().recordAlive(upstream.start());
     AnswerFacts facts = services.protocol().readAnswer(status, headers);
     notRun = facts.notRun();
     if (!notRun) {
@@ -101,16 +101,16 @@
   private void noteFailure(CallFailure failure) {
     if (failure.blamesUpstream()) {
       boolean certain = failure == CallFailure.NOT_CONNECTED;
-      services.board().failed(upstream, certain, failure.name());
+      services.board().recordFailure(upstream, certain, failure.name());
     }
   }
 
   /** Notes on the board how the answer's status speaks of the upstream. */
   final void noteStatus(int status) {
     if (status >= FIRST_FAILURE) {
-      services.board().failed(upstream, false, "status " + status);
+      services.board().recordFailure(upstream, false, "status " + status);
     } else {
-      services.board().succeeded(upstream, (services.clock().nanos() - startNanos) / 1e6);
+      services.board().recordSuccess(upstream, (services.clock().nanos() - startNanos) / 1e6);
     }
   }
 
@@ -131,7 +131,7 @@
       return false;
     }
     over = true;
-    services.board().ended(upstream, tokens);
+    services.board().recordEnd(upstream, tokens);
     return true;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestStanding.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestStanding.java
@@ -45,7 +45,7 @@
 
   /** Returns whether the request must be sent to no upstream. */
   boolean isBarred() {
-    return !trial && isKnown() && quarantine.bars(fingerprint());
+    return !trial && isKnown() && quarantine.isQuarantined(fingerprint());
   }
 
   /**
@@ -66,7 +66,7 @@
     EventLoop loop = services.loop();
     services
         .trials()
-        .take(fingerprint())
+        .claim(fingerprint())
         .onErrorReturn(false)
         .defaultIfEmpty(false)
         .subscribe(
@@ -89,13 +89,13 @@
   }
 
   private Optional<Duration> untilTrial() {
-    return services.trials().untilNext(fingerprint());
+    return services.trials().timeUntilNext(fingerprint());
   }
 
   /** Notes that the request was answered whole. */
   void answered() {
     if (isKnown()) {
-      quarantine.answered(fingerprint());
+      quarantine.recordSuccess(fingerprint());
     }
   }
 
@@ -106,7 +106,7 @@
    * lost for reasons of their own.
    */
   void broken(UpstreamRecord upstream, Runnable then) {
-    boolean suspect = isKnown() && quarantine.endsUnder(fingerprint()) > 0;
+    boolean suspect = isKnown() && quarantine.crashCount(fingerprint()) > 0;
     services
         .ends()
         .prove(
@@ -134,17 +134,17 @@
         .with("proof", proof.name())
         .write();
     if (proof == UpstreamProof.REFUSED) {
-      quarantine.endedUnder(fingerprint(), upstream.start());
+      quarantine.recordCrash(fingerprint(), upstream.start());
     }
   }
 
   /** Notes that upstreams ended while they made the pieces of a stage that was not made. */
   void stagesEnded(List<String> starts) {
-    starts.forEach(start -> quarantine.endedUnder(fingerprint(), start));
+    starts.forEach(start -> quarantine.recordCrash(fingerprint(), start));
   }
 
   private boolean isKnown() {
-    return quarantine.knowsShape(identity.shape());
+    return quarantine.hasShapeHash(identity.shapeHash());
   }
 
   private RequestFingerprint fingerprint() {
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -155,7 +155,7 @@
     }
 
     private Flux<UpstreamEvent> againOrRefuse(UpstreamException e) {
-      boolean harmless = stage.repeatable() || e.verdict().allowsRepeat();
+      boolean harmless = stage.repeatable() || e.verdict().allowsRetry();
       boolean again =
           harmless
               && attempts < MOST_ATTEMPTS
@@ -166,7 +166,7 @@
 
     private RefusalException refusal(
         RefusalReason reason, Verdict verdict, @Nullable Throwable cause) {
-      return RefusalException.because(reason)
+      return RefusalException.forReason(reason)
           .verdict(verdict)
           .stage(stage.name())
           .detail(cause == null ? null : cause.getMessage())
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/LoadBoard.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoads.java
@@ -16,54 +16,54 @@
  *
  * @since 0.2
  */
-public final class LoadBoard {
+public final class UpstreamLoads {
 
   private final MonotonicClock clock;
   private final EventLog events;
-  private final Map<String, UpstreamLoad> byStart = new HashMap<>();
-  private final Map<String, Set<String>> toldByBox = new HashMap<>();
+  private final Map<String, UpstreamLoad> byIncarnation = new HashMap<>();
+  private final Map<String, Set<String>> reportedByBox = new HashMap<>();
 
   /** Creates a board that knows nothing. */
-  public LoadBoard(MonotonicClock clock, EventLog events) {
+  public UpstreamLoads(MonotonicClock clock, EventLog events) {
     this.clock = clock;
     this.events = events;
   }
 
   /** Counts a request sent to an upstream. */
-  public void started(UpstreamRecord upstream, long tokens) {
+  public void recordStart(UpstreamRecord upstream, long tokens) {
     UpstreamLoad load = load(upstream.start());
-    if (load.own().running() == 0) {
-      load.heard(clock.nanos());
+    if (load.ownLoad().inFlight() == 0) {
+      load.recordActivity(clock.nanos());
     }
-    load.started(tokens);
+    load.recordStart(tokens);
   }
 
   /** Counts the end of a request, however it ended. */
-  public void ended(UpstreamRecord upstream, long tokens) {
-    load(upstream.start()).ended(tokens);
+  public void recordEnd(UpstreamRecord upstream, long tokens) {
+    load(upstream.start()).recordEnd(tokens);
   }
 
   /** Counts memory that results take at a start of an upstream, negative where it is given back. */
-  public void hold(String start, long memory) {
-    UpstreamLoad load = memory > 0 ? load(start) : byStart.get(start);
+  public void adjustMemory(String start, long memory) {
+    UpstreamLoad load = memory > 0 ? load(start) : byIncarnation.get(start);
     if (load != null) {
-      load.hold(memory);
+      load.adjustMemory(memory);
     }
   }
 
   /** Returns how many requests other boxes have under way at an upstream. */
-  public int runningAtPeers(UpstreamRecord upstream) {
-    return load(upstream.start()).peersRunning();
+  public int inFlightAtPeers(UpstreamRecord upstream) {
+    return load(upstream.start()).inFlightAtPeers();
   }
 
   /** Returns how much memory other boxes take at an upstream. */
   public long memoryAtPeers(UpstreamRecord upstream) {
-    return load(upstream.start()).peersTokens();
+    return load(upstream.start()).memoryAtPeers();
   }
 
   /** Notes an answer in good order after so many milliseconds. */
-  public void succeeded(UpstreamRecord upstream, double millis) {
-    load(upstream.start()).succeeded(millis);
+  public void recordSuccess(UpstreamRecord upstream, double millis) {
+    load(upstream.start()).recordSuccess(millis);
   }
 
   /**
@@ -71,8 +71,8 @@
    *
    * @param certain whether it alone says that the upstream cannot be used now
    */
-  public void failed(UpstreamRecord upstream, boolean certain, String why) {
-    if (load(upstream.start()).failed(certain, clock.nanos())) {
+  public void recordFailure(UpstreamRecord upstream, boolean certain, String why) {
+    if (load(upstream.start()).recordFailure(certain, clock.nanos())) {
       events
           .change("upstream-avoided")
           .with("upstream", upstream.id())
@@ -83,13 +83,13 @@
   }
 
   /** Sends nothing to an upstream for a while, as it said that it is full. */
-  public void pause(UpstreamRecord upstream, long millis) {
+  public void avoidFor(UpstreamRecord upstream, long millis) {
     load(upstream.start()).avoidFor(millis, clock.nanos());
   }
 
   /** Notes that bytes came from an upstream. */
-  public void heard(UpstreamRecord upstream) {
-    load(upstream.start()).heard(clock.nanos());
+  public void recordActivity(UpstreamRecord upstream) {
+    load(upstream.start()).recordActivity(clock.nanos());
   }
 
   /** Returns for how long an upstream has sent nothing while the box had requests there. */
@@ -98,47 +98,47 @@
   }
 
   /** Takes the place of what a peer told before. */
-  public void setPeerShares(String box, Map<String, LoadShare> shares) {
-    Set<String> before = toldByBox.getOrDefault(box, Set.of());
+  public void setPeerLoads(String box, Map<String, BoxLoad> shares) {
+    Set<String> before = reportedByBox.getOrDefault(box, Set.of());
     before.stream()
         .filter(id -> !shares.containsKey(id))
-        .flatMap(id -> Optional.ofNullable(byStart.get(id)).stream())
-        .forEach(load -> load.dropShare(box));
-    shares.forEach((id, share) -> load(id).setShare(box, share));
-    noteTold(box, shares.keySet());
+        .flatMap(id -> Optional.ofNullable(byIncarnation.get(id)).stream())
+        .forEach(load -> load.removePeerLoad(box));
+    shares.forEach((id, share) -> load(id).setPeerLoad(box, share));
+    setReportedByBox(box, shares.keySet());
   }
 
-  private void noteTold(String box, Set<String> upstreams) {
+  private void setReportedByBox(String box, Set<String> upstreams) {
     if (upstreams.isEmpty()) {
-      toldByBox.remove(box);
+      reportedByBox.remove(box);
     } else {
-      toldByBox.put(box, Set.copyOf(upstreams));
+      reportedByBox.put(box, Set.copyOf(upstreams));
     }
   }
 
   /** Returns what this box has under way, by upstream. */
-  public Map<String, LoadShare> ownShares() {
-    return byStart.entrySet().stream()
-        .filter(entry -> entry.getValue().own().isSomething())
-        .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue().own()));
+  public Map<String, BoxLoad> ownLoads() {
+    return byIncarnation.entrySet().stream()
+        .filter(entry -> entry.getValue().ownLoad().isNonZero())
+        .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue().ownLoad()));
   }
 
   /** Forgets an upstream that has nothing under way. */
-  public void forget(UpstreamRecord upstream) {
-    UpstreamLoad load = byStart.get(upstream.start());
-    if (load != null && load.own().running() == 0) {
-      byStart.remove(upstream.start());
+  public void remove(UpstreamRecord upstream) {
+    UpstreamLoad load = byIncarnation.get(upstream.start());
+    if (load != null && load.ownLoad().inFlight() == 0) {
+      byIncarnation.remove(upstream.start());
     }
   }
 
   /** Returns those that are not avoided, or all if there are none. */
   public List<UpstreamRecord> preferred(List<UpstreamRecord> candidates) {
     List<UpstreamRecord> sound =
-        candidates.stream().filter(each -> !load(each.start()).avoided(clock.nanos())).toList();
+        candidates.stream().filter(each -> !load(each.start()).isAvoided(clock.nanos())).toList();
     return sound.isEmpty() ? candidates : sound;
   }
 
   UpstreamLoad load(String start) {
-    return byStart.computeIfAbsent(start, unknown -> new UpstreamLoad());
+    return byIncarnation.computeIfAbsent(start, unknown -> new UpstreamLoad());
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
@@ -17,8 +17,8 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.selection.LoadBoard;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -32,7 +32,8 @@
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final LoadBoard board = new LoadBoard(MonotonicClock.system(), EventLogs.silent());
+  private final UpstreamLoads board =
+      new UpstreamLoads(MonotonicClock.system(), EventLogs.silent());
   private final BlockingQueue<StageGroupResult> results = new LinkedBlockingQueue<>();
   private volatile long keptMillis = 60_000;
   private final BatchCoordinator coordinator = newCoordinator(100);
@@ -127,11 +128,11 @@
   @Test
   void anUpstreamThatAnotherBoxStillCallsIsLeftAloneUntilThatEnds() throws Exception {
     list(upstream("u1", 1, "zone"));
-    peerHas("u1", new LoadShare(1, 0));
+    peerHas("u1", new BoxLoad(1, 0));
     submit(StageGroups.group("a", 1));
     assertThat(caller.isQuiet()).isTrue();
 
-    peerHas("u1", new LoadShare(0, 0));
+    peerHas("u1", new BoxLoad(0, 0));
     submit(StageGroups.group("b", 1));
 
     assertThat(caller.next().body()).isEqualTo("a:0 b:0");
@@ -140,7 +141,7 @@
   @Test
   void roomThatResultsOfAnotherBoxTakeCounts() throws Exception {
     list(upstream("u1", 1, "zone"), upstream("u2", 2, "zone"));
-    peerHas("u1", new LoadShare(0, ROOM / 2));
+    peerHas("u1", new BoxLoad(0, ROOM / 2));
     submit(StageGroups.large("a", 1, ROOM / 2));
 
     assertThat(caller.next().target().id()).isEqualTo("u2");
@@ -151,12 +152,12 @@
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.large("a", 1, 100));
     answer(caller.next(), "10.0.0.1:1/a");
-    assertThat(loop.submit(board::ownShares).get()).containsEntry("u1", new LoadShare(0, 100));
+    assertThat(loop.submit(board::ownLoads).get()).containsEntry("u1", new BoxLoad(0, 100));
 
     loop.submit(() -> coordinator.free(List.of("10.0.0.1:1/a"))).sync();
     answer(caller.next(), "");
 
-    assertThat(loop.submit(board::ownShares).get()).isEmpty();
+    assertThat(loop.submit(board::ownLoads).get()).isEmpty();
   }
 
   @Test
@@ -167,7 +168,7 @@
     answer(caller.next(), "10.0.0.1:1/a");
     results.take();
 
-    while (!loop.submit(board::ownShares).get().isEmpty()) {
+    while (!loop.submit(board::ownLoads).get().isEmpty()) {
       loop.submit(coordinator::backlogMillis).sync();
     }
   }
@@ -247,8 +248,8 @@
     loop.submit(() -> upstreams.replaceAll(1, List.of(records))).sync();
   }
 
-  private void peerHas(String upstream, LoadShare share) throws InterruptedException {
-    loop.submit(() -> board.setPeerShares("peer", Map.of(upstream, share))).sync();
+  private void peerHas(String upstream, BoxLoad share) throws InterruptedException {
+    loop.submit(() -> board.setPeerLoads("peer", Map.of(upstream, share))).sync();
   }
 
   private void submit(StageGroup group) throws InterruptedException {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
@@ -16,9 +16,9 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
@@ -30,7 +30,7 @@
   private static final BatchLimits LIMITS = new BatchLimits(1, 4, 200, 10, 1_000, 60_000);
 
   /** Admits what a test says, and counts what is sent. */
-  private static final class HandMadeRule implements SendingRule {
+  private static final class HandMadeRule implements SendLimiter {
 
     private final Map<String, Integer> left = new HashMap<>();
     private double perSecond = Double.POSITIVE_INFINITY;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void sent(UpstreamRecord upstream) {
+    public void recordSent(UpstreamRecord upstream) {
       left.computeIfPresent(upstream.id(), (id, count) -> count - 1);
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public double perSecond(UpstreamRecord upstream) {
+    public double requestsPerSecond(UpstreamRecord upstream) {
       return nothingNow.contains(upstream.id()) ? 0 : perSecond;
     }
   }
@@ -70,7 +70,7 @@
           .upstreams(upstreams, service -> Optional.of(LIMITS))
           .calls(caller, new FakeStageProtocol())
           .beliefs(
-              new LoadBoard(clock, EventLogs.silent()),
+              new UpstreamLoads(clock, EventLogs.silent()),
               new RetryBudget(clock, 0, 10, Duration.ofSeconds(10), () -> 1),
               EventLogs.silent())
           .sending(rule)
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/BoxesInOneProcess.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/BoxesInOneProcess.java
@@ -22,7 +22,7 @@
 import org.gradeledge.peer.PeerSecret;
 import org.gradeledge.peer.PeerTransport;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import reactor.netty.ChannelBindException;
 import reactor.netty.DisposableServer;
@@ -144,7 +144,7 @@
         new BoxBeliefs(
             deployments,
             registry,
-            new LoadBoard(clock, EventLogs.silent()),
+            new UpstreamLoads(clock, EventLogs.silent()),
             new PiecesToCome(),
             quarantine,
             limits);
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
@@ -8,7 +8,7 @@
 import org.gradeledge.deployment.RouteDefinition;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.limit.BackoffStatement;
+import org.gradeledge.limit.BackoffAnnouncement;
 import org.gradeledge.limit.UpstreamBackoffs;
 import org.junit.jupiter.api.Test;
 
@@ -145,7 +145,7 @@
   }
 
   private void request(int number, long millis) {
-    backoffs.answered(upstream(number), BackoffStatement.requested(Duration.ofMillis(millis)));
+    backoffs.onAnswer(upstream(number), BackoffAnnouncement.requested(Duration.ofMillis(millis)));
   }
 
   private static UpstreamRecord upstream(int number) {
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
@@ -10,10 +10,10 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLogs;
 import org.gradeledge.limit.BoxRank;
-import org.gradeledge.limit.LimitStatement;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.LimitAnnouncement;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.limit.UpstreamLimits;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
@@ -142,13 +142,13 @@
     return new RelayInVirtualTime(clock -> rule(clock, upstreams), route, upstreams);
   }
 
-  private SendingRule rule(MonotonicClock clock, UpstreamRecord... upstreams) {
+  private SendLimiter rule(MonotonicClock clock, UpstreamRecord... upstreams) {
     limits = new UpstreamLimits(clock, EventLogs.silent(), () -> List.of(upstreams));
-    return new LimitedSending(
+    return new UpstreamRateLimiter(
         clock, limits, start -> Optional.of(new BoxRank(0, 1)), service -> false);
   }
 
   private void name(UpstreamRecord upstream, double perSecond) {
-    limits.answered(upstream, 0, LimitStatement.named(perSecond));
+    limits.onAnswer(upstream, 0, LimitAnnouncement.named(perSecond));
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
@@ -76,7 +76,7 @@
 
     assertThat(box.caller.isQuiet()).isTrue();
     assertThat(box.answers).containsExactly("BROKEN ");
-    assertThat(box.quarantine.bars(box.fingerprint())).isTrue();
+    assertThat(box.quarantine.isQuarantined(box.fingerprint())).isTrue();
   }
 
   @Test
@@ -93,7 +93,7 @@
     assertThat(second.target()).isEqualTo(upstream(2));
     second.answer(200, "ok");
     assertThat(box.answers).containsExactly("200");
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
   }
 
   /** A box that is cut off takes nobody to have ended. */
@@ -104,7 +104,7 @@
     breakOff(box.caller.next());
     box.caller.answerProbes();
 
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
   }
 
   /** It cuts what still runs there when it ends, and that says nothing of the requests. */
@@ -115,7 +115,7 @@
     breakOff(box.caller.next());
     box.caller.answerProbes();
 
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
     assertThat(box.caller.probed()).isEmpty();
     assertThat(box.caller.next().target()).isEqualTo(upstream(2));
   }
@@ -130,7 +130,7 @@
     box.caller.next().answer(200, "ok");
 
     assertThat(box.answers).containsExactly("200");
-    assertThat(box.quarantine.bars(box.fingerprint())).isFalse();
+    assertThat(box.quarantine.isQuarantined(box.fingerprint())).isFalse();
   }
 
   @Test
@@ -165,7 +165,7 @@
 
   private static void endElsewhere(RelayInVirtualTime relay, String... starts) {
     for (String start : starts) {
-      relay.quarantine.endedUnder(relay.fingerprint(), start);
+      relay.quarantine.recordCrash(relay.fingerprint(), start);
     }
     relay.run();
   }
