--- a/gradeledge-core/src/main/java/org/gradeledge/limit/BackoffAnnouncement.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/BackoffAnnouncement.java
@@ -3,36 +3,36 @@
 import java.time.Duration;
 
 /**
- * What one answer of an upstream says of the time in which it wants no requests from this box.
+ * The backoff request in one answer of an upstream, if any.
  *
- * @param kind what was said
- * @param duration how long nothing is wanted, from the answer on; zero but for {@link
+ * @param kind whether the answer requests a backoff
+ * @param duration requested backoff, starting with the answer; zero except for {@link
  *     Kind#REQUESTED}
- * @param text what stood there; empty but for {@link Kind#UNREADABLE}
+ * @param text unreadable value; empty except for {@link Kind#UNREADABLE}
  * @since 0.5
  */
 public record BackoffAnnouncement(Kind kind, Duration duration, String text) {
 
-  /** What may be said. */
+  /** Kinds of announcements. */
   public enum Kind {
-    /** It turned a request away, and wants none for a while. */
+    /** The upstream rejected a request and requests a backoff. */
     REQUESTED,
-    /** It says nothing of that. */
+    /** The answer requests no backoff. */
     NOTHING,
-    /** There is something that is no duration. */
+    /** The answer has a value that is not a duration. */
     UNREADABLE
   }
 
-  /** The answer says nothing of a backoff. */
+  /** An answer that requests no backoff. */
   public static final BackoffAnnouncement NOTHING =
       new BackoffAnnouncement(Kind.NOTHING, Duration.ZERO, "");
 
-  /** Returns that an upstream wants no requests for a while. */
+  /** Returns a request to send nothing for the given duration. */
   public static BackoffAnnouncement requested(Duration duration) {
     return new BackoffAnnouncement(Kind.REQUESTED, duration, "");
   }
 
-  /** Returns that what stood there is no duration. */
+  /** Returns an announcement with a value that is not a duration. */
   public static BackoffAnnouncement unreadable(String text) {
     return new BackoffAnnouncement(Kind.UNREADABLE, Duration.ZERO, text);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/BoxRank.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/BoxRank.java
@@ -1,10 +1,10 @@
 package org.gradeledge.limit;
 
 /**
- * Where this box stands among those that may be sending, in an order that all of them agree on.
+ * Rank of this box among the boxes that may send to an upstream, in an order common to all boxes.
  *
- * @param rank how many come before it
- * @param boxCount how many there are, this one included
+ * @param rank number of boxes that precede this one
+ * @param boxCount number of boxes, including this one
  * @since 0.4
  */
 public record BoxRank(int rank, int boxCount) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/LimitAnnouncement.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/LimitAnnouncement.java
@@ -1,39 +1,43 @@
 package org.gradeledge.limit;
 
 /**
- * What one answer of an upstream says of the requests that it takes.
+ * The rate limit in one answer of an upstream, if any.
  *
- * @param kind what was said
- * @param requestsPerSecond requests a second from all boxes together; 0 but for {@link Kind#NAMED}
- * @param text what stood there; empty but for {@link Kind#UNREADABLE}
+ * @param kind whether the answer has a limit
+ * @param requestsPerSecond requests accepted from all boxes together; 0 except for {@link
+ *     Kind#NAMED}
+ * @param text unreadable value; empty except for {@link Kind#UNREADABLE}
  * @since 0.4
  */
 public record LimitAnnouncement(Kind kind, double requestsPerSecond, String text) {
 
-  /** What may be said. */
+  /** Kinds of announcements. */
   public enum Kind {
-    /** It takes so many requests a second. */
+    /** The answer has a limit. */
     NAMED,
-    /** It did some work, and names no limit. */
+    /** The upstream processed the request and announced no limit. */
     NO_LIMIT,
-    /** The answer is none that tells: it is not of that upstream, or no work was done for it. */
+    /**
+     * The answer says nothing about limits: it came from another process, or no work was done for
+     * it.
+     */
     NOTHING,
-    /** There is something that is no rate; what was known goes on. */
+    /** The answer has a value that is not a rate; the current limit stays in force. */
     UNREADABLE
   }
 
-  /** The upstream names no limit. */
+  /** An answer without a limit. */
   public static final LimitAnnouncement NO_LIMIT = new LimitAnnouncement(Kind.NO_LIMIT, 0, "");
 
-  /** The answer does not tell. */
+  /** An answer that says nothing about limits. */
   public static final LimitAnnouncement NOTHING = new LimitAnnouncement(Kind.NOTHING, 0, "");
 
-  /** Returns that an upstream takes so many requests a second, zero or more. */
-  public static LimitAnnouncement named(double perSecond) {
-    return new LimitAnnouncement(Kind.NAMED, perSecond, "");
+  /** Returns a limit in requests per second, zero or more. */
+  public static LimitAnnouncement named(double requestsPerSecond) {
+    return new LimitAnnouncement(Kind.NAMED, requestsPerSecond, "");
   }
 
-  /** Returns that what stood there is no rate. */
+  /** Returns an announcement with a value that is not a rate. */
   public static LimitAnnouncement unreadable(String text) {
     return new LimitAnnouncement(Kind.UNREADABLE, 0, text);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/LimitShare.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/LimitShare.java
@@ -3,65 +3,61 @@
 import java.util.Optional;
 
 /**
- * The part of an upstream's limit that one box has.
+ * The share of an upstream's rate limit that one box may use.
  *
- * <p>Few boxes have a part and the others leave the upstream alone. In any 4 s a box may send what
- * its bucket holds and what runs into it meanwhile; with a bucket that holds no request nothing
- * could be sent, so that the number of buckets is what bounds a burst. They hold three quarters of
- * what the deployment allows over the limit (half of the limit and 5 requests in 4 s): 3 boxes at a
- * limit of 1 a second, 8 at 5, all of 61 from 49 on. The last quarter is for boxes that differ for
- * a moment on who they are, and for requests that are held up on their way.
+ * <p>The limit is split among as many boxes as can have a bucket of at least {@code MIN_BURST}
+ * requests; the others send nothing to the upstream. The buckets together stay below the burst that
+ * the deployment accepts in a 4 s window, which leaves a reserve for boxes with different views of
+ * the membership and for delayed requests.
  *
- * @param requestsPerSecond requests a second that it may send
- * @param burst requests that it may send at once after a rest
- * @param initialTokens what its bucket holds when it first has a part: boxes begin one after the
- *     other, so that nothing is sent at once when a limit is heard
+ * @param requestsPerSecond refill rate of the bucket
+ * @param burst capacity of the bucket
+ * @param initialTokens tokens in a new bucket; staggered by rank, so that boxes do not all send as
+ *     soon as a limit is announced
  * @since 0.4
  */
 public record LimitShare(double requestsPerSecond, double burst, double initialTokens) {
 
-  /** Part of the limit that is given out; what is left is room for bursts. */
+  /** Fraction of the limit that is allocated; the rest is reserved for bursts. */
   private static final double ALLOCATED_FRACTION = 0.9;
 
-  /** Over this time the deployment's rule counts, in seconds. */
+  /** Window in which the deployment counts requests. */
   private static final double WINDOW_SECONDS = 4;
 
-  /** In each window so much of the limit may come ... */
+  /** The deployment accepts this multiple of the limit in each window, */
   private static final double LIMIT_FACTOR = 1.5;
 
-  /** ... and so many requests more. */
+  /** and this number of requests in addition. */
   private static final double EXTRA_REQUESTS = 5;
 
-  /** Part of what the rule allows over what is given out that the buckets hold; see above. */
+  /** Fraction of the accepted burst that the buckets use. */
   private static final double SLACK_FRACTION = 0.75;
 
   /**
-   * A bucket that holds one request is full, and wastes what runs into it, whenever its box has
-   * nothing to send for a moment. With 1.5 in place of 1 boxes that want to send three times a
-   * second use 0.87 to 0.92 of a limit (0.79 to 0.91 before), with 2 the same; beyond that fewer
-   * boxes have a part for nothing.
+   * Above one request, as a bucket of one request is full whenever its box is idle for a moment and
+   * loses the tokens that arrive meanwhile.
    */
   private static final double MIN_BURST = 1.5;
 
-  /** An upstream that gets nothing could never say that its need is over: one in 10 s at least. */
+  /** Minimum rate, so that an upstream with a limit of zero can still announce a higher one. */
   private static final double MIN_REQUESTS_PER_SECOND = 0.1;
 
   /**
-   * A box that alone makes all calls of a service passes that on at times, and its successor begins
-   * while its own burst still counts.
+   * Bounds the burst of a single sender, as its successor may send while that burst still counts.
    */
   private static final double MAX_SINGLE_SENDER_BURST = 2;
 
-  /** Returns the share of a box that has a place among others, empty if it has none. */
+  /** Returns the share of a box with the given rank, empty if it has none. */
   static Optional<LimitShare> of(double limitPerSecond, BoxRank box) {
     double slack = slack(limitPerSecond);
-    int sharers = Math.min(box.boxCount(), Math.max(1, (int) (slack / MIN_BURST)));
-    if (box.rank() >= sharers) {
+    int senders = Math.min(box.boxCount(), Math.max(1, (int) (slack / MIN_BURST)));
+    if (box.rank() >= senders) {
       return Optional.empty();
     }
-    double last = sharers - 1 - box.rank();
+    double sendersAfter = senders - 1 - box.rank();
     return Optional.of(
-        new LimitShare(allocated(limitPerSecond) / sharers, slack / sharers, last / sharers));
+        new LimitShare(
+            allocated(limitPerSecond) / senders, slack / senders, sendersAfter / senders));
   }
 
   /** Returns the share of a box that sends all requests of a service. */
@@ -75,8 +71,8 @@
   }
 
   private static double slack(double limitPerSecond) {
-    double over =
+    double acceptedBurst =
         (LIMIT_FACTOR - ALLOCATED_FRACTION) * limitPerSecond * WINDOW_SECONDS + EXTRA_REQUESTS;
-    return over * SLACK_FRACTION;
+    return acceptedBurst * SLACK_FRACTION;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/SendLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/SendLimiter.java
@@ -5,52 +5,49 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * Whether this box may send one more request to an upstream now. Confined to the event loop.
+ * Decides whether this box may send another request to an upstream now. Confined to the event loop.
  *
  * @since 0.4
  */
 public interface SendLimiter {
 
-  /** A rule that holds nothing back. */
+  /** A limiter that allows all requests. */
   SendLimiter UNLIMITED = allOf();
 
-  /** Returns whether one more request may be sent to an upstream now. */
+  /** Returns whether another request may be sent to an upstream now. */
   boolean admits(UpstreamRecord upstream);
 
-  /** Notes that a request goes to an upstream, whether it was admitted or has to go there. */
+  /** Records a request that is sent to an upstream, whether or not it was admitted. */
   void recordSent(UpstreamRecord upstream);
 
   /**
-   * Returns after how many milliseconds a request is admitted if so many others go before it;
-   * infinite where this box sends nothing there.
+   * Returns the time in milliseconds until a request is admitted after the given number of earlier
+   * requests; infinite if this box may not send to the upstream.
    */
   double millisUntilAdmitted(UpstreamRecord upstream, double sentBefore);
 
-  /**
-   * Returns how many requests a second this box may send to an upstream; zero where that is nothing
-   * for now, even if it is more later.
-   */
+  /** Returns how many requests per second this box may send to an upstream now. */
   double requestsPerSecond(UpstreamRecord upstream);
 
-  /** Returns the rule that holds back whatever one of several does: the smaller rate. */
-  static SendLimiter allOf(SendLimiter... rules) {
-    List<SendLimiter> all = Arrays.asList(rules);
+  /** Returns a limiter that admits a request only if all given limiters admit it. */
+  static SendLimiter allOf(SendLimiter... limiters) {
+    List<SendLimiter> all = Arrays.asList(limiters);
     return new SendLimiter() {
 
       @Override
       public boolean admits(UpstreamRecord upstream) {
-        return all.stream().allMatch(rule -> rule.admits(upstream));
+        return all.stream().allMatch(limiter -> limiter.admits(upstream));
       }
 
       @Override
       public void recordSent(UpstreamRecord upstream) {
-        all.forEach(rule -> rule.recordSent(upstream));
+        all.forEach(limiter -> limiter.recordSent(upstream));
       }
 
       @Override
       public double millisUntilAdmitted(UpstreamRecord upstream, double sentBefore) {
         return all.stream()
-            .mapToDouble(rule -> rule.millisUntilAdmitted(upstream, sentBefore))
+            .mapToDouble(limiter -> limiter.millisUntilAdmitted(upstream, sentBefore))
             .max()
             .orElse(0);
       }
@@ -58,7 +55,7 @@
       @Override
       public double requestsPerSecond(UpstreamRecord upstream) {
         return all.stream()
-            .mapToDouble(rule -> rule.requestsPerSecond(upstream))
+            .mapToDouble(limiter -> limiter.requestsPerSecond(upstream))
             .min()
             .orElse(Double.POSITIVE_INFINITY);
       }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/TokenBucket.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/TokenBucket.java
@@ -3,8 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A bucket of tokens, one for each request that may be sent: it fills at a steady rate and holds no
- * more than its depth. Confined to the event loop.
+ * Token bucket with one token per request. Confined to the event loop.
  *
  * @since 0.4
  */
@@ -18,36 +17,39 @@
   private double tokens;
   private long refilledNanos;
 
-  /** Creates a bucket with a level; it does not fill before it is told a rate. */
-  public TokenBucket(double level, long nowNanos) {
-    this.tokens = level;
+  /** Creates a bucket with the given number of tokens; it is not refilled before a rate is set. */
+  public TokenBucket(double tokens, long nowNanos) {
+    this.tokens = tokens;
     this.refilledNanos = nowNanos;
   }
 
-  /** Fills it by the time that has passed, and takes on its rate from now on, within a depth. */
-  public void refill(double newPerSecond, double depth, long nowNanos) {
+  /** Sets the rate and adds the tokens since the last refill, up to the capacity. */
+  public void refill(double newTokensPerSecond, double capacity, long nowNanos) {
     double seconds = Math.max(0, nowNanos - refilledNanos) / NANOS_PER_SECOND;
-    tokensPerSecond = newPerSecond;
-    tokens = Math.min(depth, tokens + tokensPerSecond * seconds);
+    tokensPerSecond = newTokensPerSecond;
+    tokens = Math.min(capacity, tokens + tokensPerSecond * seconds);
     refilledNanos = nowNanos;
   }
 
-  /** Lets time pass in which it does not fill. */
+  /** Skips the refill for the time since the last one. */
   public void skipRefill(long nowNanos) {
     refilledNanos = nowNanos;
   }
 
-  /** Returns whether there is a token. */
+  /** Returns whether a token is available. */
   public boolean hasToken() {
     return tokens >= TOKEN;
   }
 
-  /** Takes a token, also where there is none: what was sent all the same is made up for later. */
+  /** Takes a token; if none is available, the deficit delays later requests. */
   public void take() {
     tokens -= TOKEN;
   }
 
-  /** Returns after how many milliseconds there is a token behind so many that others take. */
+  /**
+   * Returns the time in milliseconds until a token is available after the given number of earlier
+   * requests.
+   */
   public double millisUntilToken(double takenBefore) {
     double missing = TOKEN + takenBefore - tokens;
     return missing <= 0 ? 0 : missing / tokensPerSecond * MILLIS_PER_SECOND;
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamBackoffs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamBackoffs.java
@@ -11,32 +11,31 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Keeps this box away from starts of upstreams that have turned a request of it away and asked for
- * a time without any. Each such answer opens a time of its own: a later, shorter one does not end
- * an earlier one, and neither does an answer to work that was done, nor an entry in the list that
- * goes and comes back.
+ * Sends nothing to incarnations of upstreams that rejected a request and requested a backoff. A
+ * backoff is never shortened: neither by a later, shorter one, nor by a successful answer, nor when
+ * the upstream is removed from the list and listed again.
  *
- * <p>When a time is over, the first requests go there one after the other, so that what has waited
- * meanwhile does not come all at once. Confined to the event loop.
+ * <p>After a backoff the rate is limited for a short time, so that waiting requests do not arrive
+ * all at once. Confined to the event loop.
  *
  * @since 0.5
  */
 public final class UpstreamBackoffs implements SendLimiter {
 
-  /** The longest time that is heeded; an upstream that wants more says so again then. */
+  /** Upper bound of a backoff; an upstream may request another one afterwards. */
   static final Duration MAX_BACKOFF = Duration.ofDays(1);
 
-  /** After a backoff this long ... */
+  /** Time after a backoff in which the rate is limited. */
   static final Duration RAMP_UP = Duration.ofSeconds(1);
 
-  /** ... no more requests a second than this go to an upstream, one at a time. */
+  /** Rate limit during the ramp-up after a backoff. */
   static final double RAMP_UP_REQUESTS_PER_SECOND = 10;
 
   private static final double RAMP_UP_BURST = 1;
   private static final double NANOS_PER_MILLI = 1e6;
   private static final double MILLIS_PER_SECOND = 1e3;
 
-  /** What one start asked for. */
+  /** Backoff of one incarnation. */
   private static final class Backoff {
 
     private final TokenBucket rampUpBucket;
@@ -57,7 +56,6 @@
       return nowNanos - endNanos >= RAMP_UP.toNanos();
     }
 
-    /** Returns the bucket of the return, filled until now. */
     TokenBucket refilled(long nowNanos) {
       rampUpBucket.refill(RAMP_UP_REQUESTS_PER_SECOND, RAMP_UP_BURST, nowNanos);
       return rampUpBucket;
@@ -75,25 +73,26 @@
   private Consumer<UpstreamRecord> startListener = upstream -> {};
   private long skipped;
 
-  /** Creates it; no upstream backs off. */
+  /** Creates an instance without any backoff. */
   public UpstreamBackoffs(MonotonicClock clock, EventLog events) {
     this.clock = clock;
     this.events = events;
     this.unreadableSignals = new UnreadableSignals(events, "upstream-backoff-unreadable");
   }
 
-  /** Runs an action whenever an upstream wants nothing from now on. */
+  /** Sets the action that is run when a backoff starts. */
   public void onBackoffStarted(Consumer<UpstreamRecord> action) {
     startListener = action;
   }
 
-  /** Takes in what an answer says. */
-  public void onAnswer(UpstreamRecord upstream, BackoffAnnouncement statement) {
-    switch (statement.kind()) {
-      case REQUESTED -> startOrExtend(upstream, statement.duration());
-      case UNREADABLE -> unreadableSignals.note(upstream, statement.text());
+  /** Starts or extends a backoff if an answer requests one. */
+  public void onAnswer(UpstreamRecord upstream, BackoffAnnouncement announcement) {
+    switch (announcement.kind()) {
+      case REQUESTED -> startOrExtend(upstream, announcement.duration());
+      case UNREADABLE -> unreadableSignals.note(upstream, announcement.text());
       case NOTHING -> {}
-      default -> throw new IllegalStateException("unknown statement " + statement.kind());
+      default ->
+          throw new IllegalStateException("unknown announcement kind " + announcement.kind());
     }
   }
 
@@ -104,9 +103,9 @@
     }
     long now = clock.nanos();
     long end = now + duration.toNanos();
-    Optional<Backoff> before = findActive(upstream, now);
-    if (before.isPresent()) {
-      before.get().endNanos = later(before.get().endNanos, end);
+    Optional<Backoff> active = findActive(upstream, now);
+    if (active.isPresent()) {
+      active.get().endNanos = later(active.get().endNanos, end);
       return;
     }
     byIncarnation.values().removeIf(other -> other.isRampUpOver(now));
@@ -158,7 +157,7 @@
         : backoff.refilled(now).millisUntilToken(sentBefore);
   }
 
-  /** Nothing at all while an upstream backs off. */
+  /** Returns zero while an upstream backs off. */
   @Override
   public double requestsPerSecond(UpstreamRecord upstream) {
     long now = clock.nanos();
@@ -167,18 +166,18 @@
         .orElse(Double.POSITIVE_INFINITY);
   }
 
-  /** Returns how many upstreams want nothing from this box now. */
+  /** Returns the number of upstreams that back off now. */
   public long activeCount() {
     long now = clock.nanos();
     return byIncarnation.values().stream().filter(backoff -> backoff.isActive(now)).count();
   }
 
-  /** Returns how many starts are kept, those whose time is over included. */
+  /** Returns the number of tracked incarnations, including expired ones. */
   int trackedCount() {
     return byIncarnation.size();
   }
 
-  /** Returns how often an upstream was passed over so far, as it wants nothing for a while. */
+  /** Returns how many times an upstream was skipped because of a backoff. */
   public long skipped() {
     return skipped;
   }
@@ -188,7 +187,7 @@
         .filter(each -> each.isActive(now));
   }
 
-  /** Returns the backoff of an upstream, also while its first requests after that go out. */
+  /** Returns the backoff of an upstream, also during its ramp-up. */
   private Optional<Backoff> find(UpstreamRecord upstream, long now) {
     Backoff backoff = byIncarnation.get(upstream.start());
     if (backoff == null) {
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
@@ -18,44 +18,44 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The limits that upstreams name in their answers, as this box and others have heard them. A limit
- * belongs to one start of an upstream and holds until that start names none any more or is gone.
+ * The rate limits that upstreams announced to this box and to others. A limit applies to one
+ * incarnation of an upstream until that incarnation no longer announces it or is gone.
  *
- * <p>Answers pass each other: one without a limit lifts it only if its request was sent after the
- * limit was last named. Of what boxes tell each other the younger holds. Confined to the event
- * loop.
+ * <p>Answers may overtake each other: an answer without a limit lifts it only if its request was
+ * sent after the limit was last announced. Of conflicting reports from boxes the more recent one
+ * applies. Confined to the event loop.
  *
  * @since 0.4
  */
 public final class UpstreamLimits {
 
-  /** Others still hear of a lifted limit for so long; 25 heartbeats among many boxes. */
+  /** Time for which a lifted limit is reported to other boxes. */
   private static final Duration LIFTED_REPORT_PERIOD = Duration.ofSeconds(10);
 
   private static final double THOUSAND_SECONDS = 1_000;
 
-  /** A rate beyond this is as good as none; it keeps sums of rates in bounds. */
+  /** Upper bound of a rate; keeps sums of rates finite. */
   private static final double MAX_REQUESTS_PER_SECOND = 1e9;
 
-  /** An upstream may name another figure in each answer: only larger changes are worth a line. */
+  /** Smaller changes of a limit are not logged. */
   private static final double MIN_LOGGED_CHANGE_FACTOR = 1.2;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * What is known of one start: a rate, or that there is none any more.
+   * The last announcement of one incarnation: a limit, or that it was lifted.
    *
-   * @param confirmedNanos when that was last shown
-   * @param firstSeenNanos when it was first shown
+   * @param confirmedNanos when it was last confirmed
+   * @param firstSeenNanos when it was first received
    */
   private record KnownLimit(long requestsPer1000Seconds, long confirmedNanos, long firstSeenNanos) {
 
-    KnownLimit(long perThousandSeconds, long notedNanos) {
-      this(perThousandSeconds, notedNanos, notedNanos);
+    KnownLimit(long requestsPer1000Seconds, long confirmedNanos) {
+      this(requestsPer1000Seconds, confirmedNanos, confirmedNanos);
     }
 
-    KnownLimit confirmedAt(long shownNanos) {
-      return new KnownLimit(requestsPer1000Seconds, shownNanos, firstSeenNanos);
+    KnownLimit confirmedAt(long newConfirmedNanos) {
+      return new KnownLimit(requestsPer1000Seconds, newConfirmedNanos, firstSeenNanos);
     }
 
     boolean isLimit() {
@@ -82,55 +82,59 @@
   private Runnable changeListener = () -> {};
 
   /**
-   * Creates it; no limit is known.
+   * Creates an instance without limits.
    *
-   * @param listed all upstreams that are known; what is told of others is passed over
+   * @param knownUpstreams all known upstreams; reports on others are ignored
    */
   public UpstreamLimits(
-      MonotonicClock clock, EventLog events, Supplier<Collection<UpstreamRecord>> listed) {
+      MonotonicClock clock, EventLog events, Supplier<Collection<UpstreamRecord>> knownUpstreams) {
     this.clock = clock;
     this.events = events;
-    this.knownUpstreams = listed;
+    this.knownUpstreams = knownUpstreams;
     this.unreadableSignals = new UnreadableSignals(events, "upstream-limit-unreadable");
   }
 
-  /** Runs an action whenever this box itself hears a first limit of an upstream, or its end. */
+  /** Sets the action that is run when an answer to this box sets a first limit or lifts it. */
   public void onChange(Runnable action) {
     changeListener = action;
   }
 
-  /** Returns how many requests a second a start takes from all boxes, empty without a limit. */
-  public OptionalDouble limitOf(String start) {
-    KnownLimit known = byIncarnation.get(start);
+  /**
+   * Returns the limit of an incarnation in requests per second from all boxes, empty without a
+   * limit.
+   */
+  public OptionalDouble limitOf(String incarnationId) {
+    KnownLimit known = byIncarnation.get(incarnationId);
     return known == null || !known.isLimit()
         ? OptionalDouble.empty()
         : OptionalDouble.of(known.requestsPerSecond());
   }
 
-  /** Returns how many starts have a limit. */
+  /** Returns the number of incarnations with a limit. */
   public long limitedCount() {
     return byIncarnation.values().stream().filter(KnownLimit::isLimit).count();
   }
 
   /**
-   * Takes in what an answer says.
+   * Applies the limit in an answer.
    *
    * @param sentNanos when its request was sent
    */
-  public void onAnswer(UpstreamRecord upstream, long sentNanos, LimitAnnouncement statement) {
-    switch (statement.kind()) {
-      case NAMED -> applyLimit(upstream, statement.requestsPerSecond());
+  public void onAnswer(UpstreamRecord upstream, long sentNanos, LimitAnnouncement announcement) {
+    switch (announcement.kind()) {
+      case NAMED -> applyLimit(upstream, announcement.requestsPerSecond());
       case NO_LIMIT -> liftLimit(upstream, sentNanos);
-      case UNREADABLE -> unreadableSignals.note(upstream, statement.text());
+      case UNREADABLE -> unreadableSignals.note(upstream, announcement.text());
       case NOTHING -> {}
-      default -> throw new IllegalStateException("unknown statement " + statement.kind());
+      default ->
+          throw new IllegalStateException("unknown announcement kind " + announcement.kind());
     }
   }
 
-  private void applyLimit(UpstreamRecord upstream, double perSecond) {
-    long rate = Math.round(Math.min(perSecond, MAX_REQUESTS_PER_SECOND) * THOUSAND_SECONDS);
-    boolean news = limitOf(upstream.start()).isEmpty();
-    if (put(upstream.start(), new KnownLimit(rate, clock.nanos()), "answer") && news) {
+  private void applyLimit(UpstreamRecord upstream, double requestsPerSecond) {
+    long rate = Math.round(Math.min(requestsPerSecond, MAX_REQUESTS_PER_SECOND) * THOUSAND_SECONDS);
+    boolean isNew = limitOf(upstream.start()).isEmpty();
+    if (put(upstream.start(), new KnownLimit(rate, clock.nanos()), "answer") && isNew) {
       changeListener.run();
     }
   }
@@ -144,68 +148,71 @@
       put(upstream.start(), new KnownLimit(LimitReport.LIFTED, sentNanos), "answer");
       changeListener.run();
     } else {
-      // Otherwise a word of before, which another box has heard meanwhile, would count as younger.
+      // Keeps an older report of another box from counting as more recent.
       byIncarnation.put(upstream.start(), known.confirmedAt(sentNanos));
     }
   }
 
   /**
-   * Takes in what another box told so many milliseconds ago; returns whether any of it is other
-   * than was known.
+   * Merges reports of another box, sent the given number of milliseconds ago; returns whether any
+   * of them changed a limit.
    */
   public boolean merge(String box, Collection<LimitReport> reports, long ageMillis) {
     return reports.stream().filter(report -> merge(box, report, ageMillis)).count() > 0;
   }
 
   /**
-   * One that says the same changes nothing, not even the age: what goes round between boxes would
-   * grow younger by the time that each message takes.
+   * A report with the same limit changes nothing, not even the age: reports would otherwise appear
+   * more recent with each transfer between boxes.
    */
   private boolean merge(String box, LimitReport report, long ageMillis) {
-    long noted = clock.nanos() - (report.ageMillis() + ageMillis) * NANOS_PER_MILLI;
-    KnownLimit told = new KnownLimit(report.requestsPer1000Seconds(), noted);
+    long confirmedNanos = clock.nanos() - (report.ageMillis() + ageMillis) * NANOS_PER_MILLI;
+    KnownLimit reported = new KnownLimit(report.requestsPer1000Seconds(), confirmedNanos);
     KnownLimit known = byIncarnation.get(report.incarnationId());
-    boolean news =
+    boolean isNew =
         known == null
-            ? told.isLimit()
-            : known.requestsPer1000Seconds() != told.requestsPer1000Seconds()
-                && told.confirmedNanos() - known.confirmedNanos() > 0;
-    return news && put(report.incarnationId(), told, box);
+            ? reported.isLimit()
+            : known.requestsPer1000Seconds() != reported.requestsPer1000Seconds()
+                && reported.confirmedNanos() - known.confirmedNanos() > 0;
+    return isNew && put(report.incarnationId(), reported, box);
   }
 
-  private boolean put(String start, KnownLimit now, String from) {
+  private boolean put(String incarnationId, KnownLimit newLimit, String source) {
     Optional<UpstreamRecord> upstream =
-        knownUpstreams.get().stream().filter(each -> each.start().equals(start)).findFirst();
+        knownUpstreams.get().stream()
+            .filter(each -> each.start().equals(incarnationId))
+            .findFirst();
     upstream.ifPresent(
         record -> {
-          byIncarnation.put(start, now);
-          log(record, now, from);
+          byIncarnation.put(incarnationId, newLimit);
+          log(record, newLimit, source);
         });
     return upstream.isPresent();
   }
 
-  private void log(UpstreamRecord upstream, KnownLimit now, String from) {
-    @Nullable KnownLimit before = lastLogged.get(upstream.start());
-    if (before == null || now.differsNoticeablyFrom(before)) {
-      lastLogged.put(upstream.start(), now);
+  private void log(UpstreamRecord upstream, KnownLimit newLimit, String source) {
+    @Nullable KnownLimit previous = lastLogged.get(upstream.start());
+    if (previous == null || newLimit.differsNoticeablyFrom(previous)) {
+      lastLogged.put(upstream.start(), newLimit);
       events
-          .change(now.isLimit() ? "upstream-limit" : "upstream-limit-lifted")
+          .change(newLimit.isLimit() ? "upstream-limit" : "upstream-limit-lifted")
           .with("upstream", upstream.id())
           .with("service", upstream.service())
-          .with("in-1000-s", now.requestsPer1000Seconds())
-          .with("from", from)
+          .with("in-1000-s", newLimit.requestsPer1000Seconds())
+          .with("from", source)
           .write();
     }
   }
 
-  /** Returns what is told to all others; what is known of upstreams that are gone is dropped. */
+  /** Returns the limits to report to other boxes, after removing those of unknown upstreams. */
   public List<LimitReport> reports() {
     if (byIncarnation.isEmpty()) {
       return List.of();
     }
-    Set<String> there = knownUpstreams.get().stream().map(UpstreamRecord::start).collect(toSet());
-    byIncarnation.keySet().retainAll(there);
-    lastLogged.keySet().retainAll(there);
+    Set<String> knownIncarnationIds =
+        knownUpstreams.get().stream().map(UpstreamRecord::start).collect(toSet());
+    byIncarnation.keySet().retainAll(knownIncarnationIds);
+    lastLogged.keySet().retainAll(knownIncarnationIds);
     long now = clock.nanos();
     return byIncarnation.entrySet().stream()
         .filter(
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamRateLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamRateLimiter.java
@@ -11,17 +11,17 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Keeps this box to its part of the limits that upstreams name. Who has a part follows from what
- * all boxes know, without asking anybody. Confined to the event loop.
+ * Keeps this box within its share of the rate limits that upstreams announce. Each box derives its
+ * share from the membership, without coordination. Confined to the event loop.
  *
  * @since 0.4
  */
 public final class UpstreamRateLimiter implements SendLimiter {
 
-  /** Who else is there is looked at again as often as boxes tell each other. */
+  /** Interval at which shares are recomputed from the membership. */
   private static final Duration REFRESH_INTERVAL = Duration.ofMillis(200);
 
-  /** What this box may send to one start that has a limit. */
+  /** Share and token bucket of this box for one incarnation. */
   private static final class Allocation {
 
     private Optional<LimitShare> share = Optional.empty();
@@ -29,27 +29,27 @@
     private double limit = -1;
     private long refreshedNanos;
 
-    boolean isCurrent(double limitNow, long nowNanos) {
-      return limit == limitNow && nowNanos - refreshedNanos < REFRESH_INTERVAL.toNanos();
+    boolean isCurrent(double newLimit, long nowNanos) {
+      return limit == newLimit && nowNanos - refreshedNanos < REFRESH_INTERVAL.toNanos();
     }
 
-    void update(double limitNow, Optional<LimitShare> shareNow, long nowNanos) {
-      limit = limitNow;
+    void update(double newLimit, Optional<LimitShare> newShare, long nowNanos) {
+      limit = newLimit;
       refreshedNanos = nowNanos;
-      share = shareNow;
+      share = newShare;
       bucket = bucket.or(() -> share.map(own -> new TokenBucket(own.initialTokens(), nowNanos)));
     }
 
-    /** Returns the bucket, filled until now, if there is a share; without one it does not fill. */
+    /** Returns the refilled bucket, empty if this box has no share. */
     Optional<TokenBucket> refilled(long nowNanos) {
-      bucket.ifPresent(held -> refill(held, nowNanos));
+      bucket.ifPresent(ownBucket -> refill(ownBucket, nowNanos));
       return share.flatMap(own -> bucket);
     }
 
-    private void refill(TokenBucket held, long nowNanos) {
+    private void refill(TokenBucket ownBucket, long nowNanos) {
       share.ifPresentOrElse(
-          own -> held.refill(own.requestsPerSecond(), own.burst(), nowNanos),
-          () -> held.skipRefill(nowNanos));
+          own -> ownBucket.refill(own.requestsPerSecond(), own.burst(), nowNanos),
+          () -> ownBucket.skipRefill(nowNanos));
     }
   }
 
@@ -61,44 +61,47 @@
   private long skipped;
 
   /**
-   * Creates it.
+   * Creates a rate limiter.
    *
-   * @param rank where this box stands for a start of an upstream, empty while it cannot know
-   * @param oneBoxSends whether one box sends all requests of a service, so that whoever sends has
-   *     the whole limit
+   * @param rank returns the rank of this box for an incarnation, empty if it is unknown
+   * @param hasSingleSender whether one box sends all requests of a service and may use the whole
+   *     limit
    */
   public UpstreamRateLimiter(
       MonotonicClock clock,
       UpstreamLimits limits,
       Function<String, Optional<BoxRank>> rank,
-      Predicate<String> oneBoxSends) {
+      Predicate<String> hasSingleSender) {
     this.clock = clock;
     this.limits = limits;
     this.rank = rank;
-    this.hasSingleSender = oneBoxSends;
+    this.hasSingleSender = hasSingleSender;
   }
 
   @Override
   public boolean admits(UpstreamRecord upstream) {
-    Optional<Allocation> part = allocation(upstream);
+    Optional<Allocation> allocation = allocation(upstream);
     boolean admitted =
-        part.isEmpty()
-            || part.get().refilled(clock.nanos()).map(TokenBucket::hasToken).orElse(false);
+        allocation.isEmpty()
+            || allocation.get().refilled(clock.nanos()).map(TokenBucket::hasToken).orElse(false);
     skipped += admitted ? 0 : 1;
     return admitted;
   }
 
   @Override
   public void recordSent(UpstreamRecord upstream) {
-    allocation(upstream).flatMap(part -> part.refilled(clock.nanos())).ifPresent(TokenBucket::take);
+    allocation(upstream)
+        .flatMap(allocation -> allocation.refilled(clock.nanos()))
+        .ifPresent(TokenBucket::take);
   }
 
   @Override
   public double millisUntilAdmitted(UpstreamRecord upstream, double sentBefore) {
     return allocation(upstream)
         .map(
-            part ->
-                part.refilled(clock.nanos())
+            allocation ->
+                allocation
+                    .refilled(clock.nanos())
                     .map(bucket -> bucket.millisUntilToken(sentBefore))
                     .orElse(Double.POSITIVE_INFINITY))
         .orElse(0.0);
@@ -107,32 +110,32 @@
   @Override
   public double requestsPerSecond(UpstreamRecord upstream) {
     return allocation(upstream)
-        .map(part -> part.share.map(LimitShare::requestsPerSecond).orElse(0.0))
+        .map(allocation -> allocation.share.map(LimitShare::requestsPerSecond).orElse(0.0))
         .orElse(Double.POSITIVE_INFINITY);
   }
 
-  /** Returns how often an upstream was passed over so far, as nothing more may be sent there. */
+  /** Returns how many times an upstream was skipped because of its limit. */
   public long skipped() {
     return skipped;
   }
 
   private Optional<Allocation> allocation(UpstreamRecord upstream) {
-    String start = upstream.start();
-    OptionalDouble limit = limits.limitOf(start);
+    String incarnationId = upstream.start();
+    OptionalDouble limit = limits.limitOf(incarnationId);
     if (limit.isEmpty()) {
-      allocations.remove(start);
+      allocations.remove(incarnationId);
       return Optional.empty();
     }
-    if (!allocations.containsKey(start)) {
+    if (!allocations.containsKey(incarnationId)) {
       allocations.keySet().removeIf(other -> limits.limitOf(other).isEmpty());
     }
-    Allocation part = allocations.computeIfAbsent(start, unknown -> new Allocation());
+    Allocation allocation = allocations.computeIfAbsent(incarnationId, key -> new Allocation());
     long now = clock.nanos();
-    if (!part.isCurrent(limit.getAsDouble(), now)) {
-      part.refilled(now);
-      part.update(limit.getAsDouble(), share(upstream, limit.getAsDouble()), now);
+    if (!allocation.isCurrent(limit.getAsDouble(), now)) {
+      allocation.refilled(now);
+      allocation.update(limit.getAsDouble(), share(upstream, limit.getAsDouble()), now);
     }
-    return Optional.of(part);
+    return Optional.of(allocation);
   }
 
   private Optional<LimitShare> share(UpstreamRecord upstream, double limit) {
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/BackoffSimulation.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/BackoffSimulation.java
@@ -11,18 +11,18 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Boxes that want to send to one upstream, which turns a part of the requests away, or all beyond
- * what it bears, and asks for some seconds without any each time. In virtual time.
+ * Simulates, in virtual time, boxes that send to one upstream, which rejects some requests and
+ * requests a backoff each time.
  */
 final class BackoffSimulation {
 
-  /** How boxes heed what an upstream asks for. */
+  /** How boxes apply a requested backoff. */
   enum Strategy {
-    /** Each box keeps away for as long as it was asked itself, and returns slowly. */
+    /** Each box applies the backoffs it received itself, with a ramp-up. */
     ALONE,
-    /** All boxes keep away once one was asked. */
+    /** All boxes apply a backoff that any of them received. */
     TOGETHER,
-    /** As alone, but all that waits is sent at the end of the time. */
+    /** As {@link #ALONE}, but without the ramp-up. */
     ALL_AT_ONCE
   }
 
@@ -30,7 +30,7 @@
       new UpstreamRecord("u", "service", "127.0.0.1", 1, "zone", 8, false);
   private static final double MILLIS_PER_SECOND = 1e3;
 
-  /** Part of what the upstream bears in a second that may come at once after a rest. */
+  /** Fraction of the capacity per second that is available at the end of the backoff. */
   private static final double INITIAL_CAPACITY_FRACTION = 0.25;
 
   private final Strategy strategy;
@@ -60,50 +60,53 @@
     return rejected;
   }
 
-  /** Each box wants to send so often; a part of what comes is turned away. */
-  void runWithRejections(Duration length, double wantedPerSecond, double partTurnedAway) {
+  /** Lets each box send at a rate while the upstream rejects a fraction of the requests. */
+  void runWithRejections(Duration length, double attemptsPerSecond, double rejectedFraction) {
     for (long millis = 0; millis < length.toMillis(); millis++) {
       nowMillis++;
       for (UpstreamBackoffs box : boxes) {
-        if (random.nextDouble() < wantedPerSecond / MILLIS_PER_SECOND && box.admits(UPSTREAM)) {
-          send(box, random.nextDouble() >= partTurnedAway);
+        if (random.nextDouble() < attemptsPerSecond / MILLIS_PER_SECOND && box.admits(UPSTREAM)) {
+          send(box, random.nextDouble() >= rejectedFraction);
         }
       }
     }
   }
 
-  /** So many requests wait at each box when the time is over; it bears so many a second. */
-  void runAfterBackoff(Duration length, int waitingAtEach, double bornePerSecond) {
+  /**
+   * Lets a number of requests wait at each box until the end of a backoff; the upstream then serves
+   * up to its capacity.
+   */
+  void runAfterBackoff(Duration length, int waitingPerBox, double capacityPerSecond) {
     boxes.forEach(box -> box.onAnswer(UPSTREAM, BackoffAnnouncement.requested(backoff)));
     nowMillis += backoff.toMillis();
     int[] waiting = new int[boxes.size()];
-    Arrays.fill(waiting, waitingAtEach);
-    capacity = bornePerSecond * INITIAL_CAPACITY_FRACTION;
+    Arrays.fill(waiting, waitingPerBox);
+    capacity = capacityPerSecond * INITIAL_CAPACITY_FRACTION;
     for (long millis = 0; millis < length.toMillis(); millis++) {
       nowMillis++;
-      capacity = Math.min(bornePerSecond, capacity + bornePerSecond / MILLIS_PER_SECOND);
+      capacity = Math.min(capacityPerSecond, capacity + capacityPerSecond / MILLIS_PER_SECOND);
       for (int box = 0; box < waiting.length; box++) {
         while (waiting[box] > 0 && admits(boxes.get(box), millis)) {
           waiting[box]--;
-          boolean runs = capacity >= 1;
-          capacity -= runs ? 1 : 0;
-          send(boxes.get(box), runs);
+          boolean accepted = capacity >= 1;
+          capacity -= accepted ? 1 : 0;
+          send(boxes.get(box), accepted);
         }
       }
     }
   }
 
-  private boolean admits(UpstreamBackoffs box, long millisAfter) {
-    return box.admits(UPSTREAM) || strategy == Strategy.ALL_AT_ONCE && millisAfter == 0;
+  private boolean admits(UpstreamBackoffs box, long millisAfterBackoff) {
+    return box.admits(UPSTREAM) || strategy == Strategy.ALL_AT_ONCE && millisAfterBackoff == 0;
   }
 
-  private void send(UpstreamBackoffs box, boolean runs) {
+  private void send(UpstreamBackoffs box, boolean accepted) {
     box.recordSent(UPSTREAM);
-    served += runs ? 1 : 0;
-    rejected += runs ? 0 : 1;
-    if (!runs) {
-      List<UpstreamBackoffs> told = strategy == Strategy.TOGETHER ? boxes : List.of(box);
-      told.forEach(each -> each.onAnswer(UPSTREAM, BackoffAnnouncement.requested(backoff)));
+    served += accepted ? 1 : 0;
+    rejected += accepted ? 0 : 1;
+    if (!accepted) {
+      List<UpstreamBackoffs> receivers = strategy == Strategy.TOGETHER ? boxes : List.of(box);
+      receivers.forEach(each -> each.onAnswer(UPSTREAM, BackoffAnnouncement.requested(backoff)));
     }
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/BackoffSimulationTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/BackoffSimulationTests.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Ways to heed upstreams that ask for time without requests, many boxes in virtual time. */
+/** Compares ways to apply requested backoffs with many boxes in virtual time. */
 class BackoffSimulationTests {
 
   private static final Duration BACKOFF = Duration.ofSeconds(3);
@@ -17,35 +17,46 @@
   @ParameterizedTest
   @CsvSource({"8, 0.5, 1", "8, 0.5, 2", "8, 0.2, 2", "61, 0.5, 0.3", "530, 0.5, 0.05"})
   void servesMoreWhenEachBoxAppliesOnlyItsOwnBackoff(
-      int boxes, double partTurnedAway, double wantedPerSecond) {
-    BackoffSimulation alone = new BackoffSimulation(Strategy.ALONE, boxes, BACKOFF, 1);
-    BackoffSimulation together = new BackoffSimulation(Strategy.TOGETHER, boxes, BACKOFF, 1);
+      int boxes, double rejectedFraction, double attemptsPerSecond) {
+    BackoffSimulation perBox = new BackoffSimulation(Strategy.ALONE, boxes, BACKOFF, 1);
+    BackoffSimulation allBoxes = new BackoffSimulation(Strategy.TOGETHER, boxes, BACKOFF, 1);
 
-    alone.runWithRejections(DURATION, wantedPerSecond, partTurnedAway);
-    together.runWithRejections(DURATION, wantedPerSecond, partTurnedAway);
+    perBox.runWithRejections(DURATION, attemptsPerSecond, rejectedFraction);
+    allBoxes.runWithRejections(DURATION, attemptsPerSecond, rejectedFraction);
 
-    print("part", boxes, partTurnedAway, alone, together);
-    assertThat(alone.served()).isGreaterThan(together.served());
+    print("rejections", boxes, rejectedFraction, perBox, allBoxes);
+    assertThat(perBox.served()).isGreaterThan(allBoxes.served());
   }
 
   @ParameterizedTest
   @CsvSource({"8, 10, 40", "8, 3, 40", "61, 2, 40", "530, 1, 200"})
-  void rampUpReducesRejectionsAfterBackoff(int boxes, int waiting, double bornePerSecond) {
-    BackoffSimulation paced = new BackoffSimulation(Strategy.ALONE, boxes, BACKOFF, 1);
-    BackoffSimulation atOnce = new BackoffSimulation(Strategy.ALL_AT_ONCE, boxes, BACKOFF, 1);
+  void rampUpReducesRejectionsAfterBackoff(int boxes, int waiting, double capacityPerSecond) {
+    BackoffSimulation withRampUp = new BackoffSimulation(Strategy.ALONE, boxes, BACKOFF, 1);
+    BackoffSimulation withoutRampUp =
+        new BackoffSimulation(Strategy.ALL_AT_ONCE, boxes, BACKOFF, 1);
 
-    paced.runAfterBackoff(RAMP_UP, waiting, bornePerSecond);
-    atOnce.runAfterBackoff(RAMP_UP, waiting, bornePerSecond);
+    withRampUp.runAfterBackoff(RAMP_UP, waiting, capacityPerSecond);
+    withoutRampUp.runAfterBackoff(RAMP_UP, waiting, capacityPerSecond);
 
-    print("return", boxes, waiting, paced, atOnce);
-    assertThat(paced.rejected()).isLessThanOrEqualTo(atOnce.rejected());
-    assertThat(paced.served()).isGreaterThanOrEqualTo(atOnce.served());
+    print("after backoff", boxes, waiting, withRampUp, withoutRampUp);
+    assertThat(withRampUp.rejected()).isLessThanOrEqualTo(withoutRampUp.rejected());
+    assertThat(withRampUp.served()).isGreaterThanOrEqualTo(withoutRampUp.served());
   }
 
   private static void print(
-      String what, int boxes, double figure, BackoffSimulation kept, BackoffSimulation other) {
+      String scenario,
+      int boxes,
+      double parameter,
+      BackoffSimulation current,
+      BackoffSimulation alternative) {
     System.out.printf(
-        "%s: %d boxes, %.1f: served %d and %d, turned away %d and %d%n",
-        what, boxes, figure, kept.served(), other.served(), kept.rejected(), other.rejected());
+        "%s: %d boxes, %.1f: served %d and %d, rejected %d and %d%n",
+        scenario,
+        boxes,
+        parameter,
+        current.served(),
+        alternative.served(),
+        current.rejected(),
+        alternative.rejected());
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/LimitShareTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/LimitShareTests.java
@@ -11,26 +11,24 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Shares of a limit, however many boxes there are. */
 class LimitShareTests {
 
   private static final double WINDOW_SECONDS = 4;
   private static final double LIMIT_FACTOR = 1.5;
   private static final double EXTRA_REQUESTS = 5;
 
-  /** Rounding of sums of many parts. */
   private static final double ROUNDING_ERROR = 1e-6;
 
   @Property(tries = 500)
   void sumOfSharesStaysWithinBoundPerWindow(
       @ForAll @DoubleRange(max = 200) double limit,
       @ForAll @IntRange(min = 1, max = 530) int boxes) {
-    double most =
+    double maxRequests =
         shares(limit, boxes).stream()
             .mapToDouble(share -> share.burst() + WINDOW_SECONDS * share.requestsPerSecond())
             .sum();
 
-    assertThat(most)
+    assertThat(maxRequests)
         .isLessThanOrEqualTo(
             limit * LIMIT_FACTOR * WINDOW_SECONDS + EXTRA_REQUESTS + ROUNDING_ERROR);
   }
@@ -48,9 +46,9 @@
   void singleSenderAndItsSuccessorStayWithinBound(@ForAll @DoubleRange(max = 2.4) double limit) {
     LimitShare share = LimitShare.forSingleSender(limit);
 
-    double both = share.burst() + 2 * WINDOW_SECONDS * share.requestsPerSecond();
+    double maxRequests = share.burst() + 2 * WINDOW_SECONDS * share.requestsPerSecond();
 
-    assertThat(both)
+    assertThat(maxRequests)
         .isLessThanOrEqualTo(
             limit * LIMIT_FACTOR * WINDOW_SECONDS + EXTRA_REQUESTS + ROUNDING_ERROR);
   }
@@ -59,17 +57,17 @@
   void boxesStartSendingOneAfterAnother() {
     List<LimitShare> shares = shares(1, 8);
 
-    List<Double> firstAfterSeconds =
+    List<Double> firstRequestSeconds =
         shares.stream()
             .map(share -> (1 - share.initialTokens()) / share.requestsPerSecond())
             .sorted()
             .toList();
 
-    assertThat(firstAfterSeconds.get(0)).isGreaterThanOrEqualTo(1);
-    IntStream.range(1, firstAfterSeconds.size())
+    assertThat(firstRequestSeconds.get(0)).isGreaterThanOrEqualTo(1);
+    IntStream.range(1, firstRequestSeconds.size())
         .forEach(
             next ->
-                assertThat(firstAfterSeconds.get(next) - firstAfterSeconds.get(next - 1))
+                assertThat(firstRequestSeconds.get(next) - firstRequestSeconds.get(next - 1))
                     .isGreaterThanOrEqualTo(1));
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/RateLimitSimulation.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/RateLimitSimulation.java
@@ -14,12 +14,11 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * A deployment in virtual time, with one upstream that names a limit: boxes that want to send all
- * the time, tell each other late, and may be stopped, frozen, added and lost for each other.
+ * Simulates, in virtual time, boxes that send to one upstream with a rate limit, exchange reports
+ * with a delay, and may be restarted, frozen, added or unable to reach each other.
  */
 final class RateLimitSimulation {
 
-  /** What tests set. */
   record Plan(
       int boxCount,
       double limit,
@@ -38,7 +37,6 @@
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("id", "service", "127.0.0.1", 1, "zone", 8, false);
 
-  /** One box; it hears others as the plan lets it. */
   private final class Box {
 
     private final String name;
@@ -52,7 +50,7 @@
 
     Box(String name) {
       this.name = name;
-      weights.computeIfAbsent(name, unknown -> random.nextDouble());
+      weights.computeIfAbsent(name, key -> random.nextDouble());
       limits.onChange(() -> broadcast(this));
     }
 
@@ -60,16 +58,16 @@
       return !stopped && nowMillis >= downUntilMillis;
     }
 
-    private Optional<BoxRank> rank(String start) {
-      int before = 0;
-      int there = 1;
+    private Optional<BoxRank> rank(String incarnationId) {
+      int rank = 0;
+      int liveBoxes = 1;
       for (Map.Entry<String, Long> other : lastReceivedMillis.entrySet()) {
         if (!other.getKey().equals(name) && nowMillis - other.getValue() < PEER_TIMEOUT_MILLIS) {
-          there++;
-          before += weights.get(other.getKey()) < weights.get(name) ? 1 : 0;
+          liveBoxes++;
+          rank += weights.get(other.getKey()) < weights.get(name) ? 1 : 0;
         }
       }
-      return Optional.of(new BoxRank(before, there));
+      return Optional.of(new BoxRank(rank, liveBoxes));
     }
   }
 
@@ -102,15 +100,15 @@
     return boxes.size();
   }
 
-  /** A box ends without a word, and is there again under its name after a while. */
-  void restart(int index, long awayMillis) {
+  /** Crashes a box and starts it again under the same name after a delay. */
+  void restart(int index, long downMillis) {
     Box next = new Box(boxes.get(index).name);
-    next.downUntilMillis = nowMillis + awayMillis;
+    next.downUntilMillis = nowMillis + downMillis;
     boxes.get(index).stopped = true;
     boxes.set(index, next);
   }
 
-  /** A box does nothing for a while, and goes on as if no time had passed. */
+  /** Suspends a box for some time. */
   void freeze(int index, long millis) {
     boxes.get(index).downUntilMillis = nowMillis + millis;
   }
@@ -119,7 +117,7 @@
     boxes.add(new Box("added-" + boxes.size()));
   }
 
-  /** Nobody hears a box any more, which hears all others. */
+  /** Drops all messages that a box sends; it still receives those of others. */
   void dropMessagesFrom(int index) {
     unreachableSenders.add(boxes.get(index).name);
   }
@@ -128,12 +126,11 @@
     unreachableSenders.clear();
   }
 
-  /** The upstream names another limit from now on; a negative one means none. */
-  void setLimit(double next) {
-    limit = next;
+  /** Sets the limit that the upstream announces; negative for none. */
+  void setLimit(double newLimit) {
+    limit = newLimit;
   }
 
-  /** Lets time pass. */
   void run(long millis) {
     for (long end = nowMillis + millis; nowMillis < end; nowMillis += STEP_MILLIS) {
       Optional.ofNullable(scheduled.remove(nowMillis)).ifPresent(due -> due.forEach(Runnable::run));
@@ -149,29 +146,29 @@
   }
 
   private void sendIfAllowed(Box box) {
-    double wanted = plan.attemptsPerSecond() * STEP_MILLIS / 1_000 / boxes.size();
-    if (random.nextDouble() < wanted && box.limiter.admits(UPSTREAM)) {
+    double sendProbability = plan.attemptsPerSecond() * STEP_MILLIS / 1_000 / boxes.size();
+    if (random.nextDouble() < sendProbability && box.limiter.admits(UPSTREAM)) {
       box.limiter.recordSent(UPSTREAM);
       arrivalsMillis.add(nowMillis);
       long sentNanos = clock.nanos();
-      boolean names = limit >= 0 && nowMillis - startMillis >= LIMIT_ANNOUNCED_AT_MILLIS;
+      boolean announcesLimit = limit >= 0 && nowMillis - startMillis >= LIMIT_ANNOUNCED_AT_MILLIS;
       LimitAnnouncement answer =
-          names ? LimitAnnouncement.named(limit) : LimitAnnouncement.NO_LIMIT;
-      announcementsInFlight += names ? 1 : 0;
+          announcesLimit ? LimitAnnouncement.named(limit) : LimitAnnouncement.NO_LIMIT;
+      announcementsInFlight += announcesLimit ? 1 : 0;
       schedule(
           1 + random.nextLong(plan.maxResponseMillis()),
           () -> {
-            announcementsInFlight -= names ? 1 : 0;
+            announcementsInFlight -= announcesLimit ? 1 : 0;
             if (box.isUp()) {
               box.limits.onAnswer(UPSTREAM, sentNanos, answer);
-              recordAnswer(sentNanos, names);
+              recordAnswer(sentNanos, announcesLimit);
             }
           });
     }
   }
 
-  private void recordAnswer(long sentNanos, boolean names) {
-    if (names) {
+  private void recordAnswer(long sentNanos, boolean announcesLimit) {
+    if (announcesLimit) {
       lastAnnouncedNanos = clock.nanos();
       liftConfirmed = false;
     } else if (sentNanos > lastAnnouncedNanos) {
@@ -180,44 +177,47 @@
   }
 
   /**
-   * Returns whether an answer without a limit came to what was sent after the last one with it. One
-   * with it that is still under way may come later, and counts as newer by what a box can know.
+   * Returns whether a request sent after the last announcement was answered without a limit, and no
+   * announcement is in flight that a box could take for a later one.
    */
   boolean isLiftConfirmed() {
     return liftConfirmed && announcementsInFlight == 0;
   }
 
-  /** What relays hold news up for is told with it; the time on the wire is not. */
-  private void broadcast(Box teller) {
-    List<LimitReport> reports = teller.limits.reports();
-    long toldMillis = nowMillis;
+  /** The age of a report includes delays at relays, but not the network delay. */
+  private void broadcast(Box sender) {
+    List<LimitReport> reports = sender.limits.reports();
+    long sentMillis = nowMillis;
     boxes.stream()
-        .filter(box -> box != teller && !unreachableSenders.contains(teller.name))
+        .filter(box -> box != sender && !unreachableSenders.contains(sender.name))
         .forEach(
             box ->
                 schedule(
                     1 + random.nextLong(plan.maxPropagationMillis()),
                     () -> {
                       if (box.isUp()) {
-                        box.lastReceivedMillis.put(teller.name, nowMillis);
-                        long late = nowMillis - toldMillis;
+                        box.lastReceivedMillis.put(sender.name, nowMillis);
+                        long delayMillis = nowMillis - sentMillis;
                         box.limits.merge(
-                            teller.name, reports, Math.max(0, late - NETWORK_DELAY_MILLIS));
+                            sender.name, reports, Math.max(0, delayMillis - NETWORK_DELAY_MILLIS));
                       }
                     }));
   }
 
   private void schedule(long millis, Runnable action) {
-    long at = nowMillis + (millis / STEP_MILLIS + 1) * STEP_MILLIS;
-    scheduled.computeIfAbsent(at, moment -> new ArrayList<>()).add(action);
+    long dueMillis = nowMillis + (millis / STEP_MILLIS + 1) * STEP_MILLIS;
+    scheduled.computeIfAbsent(dueMillis, key -> new ArrayList<>()).add(action);
   }
 
-  /** Returns how many boxes take the upstream to have a limit. */
+  /** Returns the number of boxes that apply a limit. */
   long boxesWithLimit() {
     return boxes.stream().filter(box -> box.limits.limitedCount() > 0).count();
   }
 
-  /** Returns the most requests in any window of 4 s that begins so long after the start. */
+  /**
+   * Returns the maximum number of requests in any 4 s window, counted from the given time after the
+   * start.
+   */
   long maxRequestsInWindow(long fromMillis) {
     List<Long> counted =
         arrivalsMillis.stream().filter(at -> at - startMillis >= fromMillis).toList();
@@ -227,7 +227,7 @@
         .orElse(0);
   }
 
-  /** Returns how many requests came between two moments after the start. */
+  /** Returns the number of requests between two times after the start. */
   long arrivedBetween(long fromMillis, long toMillis) {
     return arrivalsMillis.stream()
         .filter(at -> at - startMillis >= fromMillis && at - startMillis < toMillis)
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamBackoffsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamBackoffsTests.java
@@ -16,7 +16,6 @@
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** What one box sends to upstreams that have asked for a time without requests. */
 class UpstreamBackoffsTests {
 
   private static final UpstreamRecord UPSTREAM = upstream(1);
@@ -111,12 +110,12 @@
 
   @Test
   void backoffAppliesToOneIncarnation() {
-    UpstreamRecord next =
+    UpstreamRecord nextIncarnation =
         new UpstreamRecord("u1", 7, "service", "127.0.0.1", 1, "zone", 8, false, 0);
     requestBackoff(UPSTREAM, 60_000);
 
     assertThat(backoffs.admits(upstream(2))).isTrue();
-    assertThat(backoffs.admits(next)).isTrue();
+    assertThat(backoffs.admits(nextIncarnation)).isTrue();
     assertThat(backoffs.activeCount()).isEqualTo(1);
   }
 
@@ -140,46 +139,46 @@
   @Test
   void logsStartAndEndOfBackoffOnce() {
     RecordedEvents events = new RecordedEvents();
-    UpstreamBackoffs logged = new UpstreamBackoffs(clock, events.log());
-    List<String> begun = new ArrayList<>();
-    logged.onBackoffStarted(upstream -> begun.add(upstream.id()));
+    UpstreamBackoffs logging = new UpstreamBackoffs(clock, events.log());
+    List<String> started = new ArrayList<>();
+    logging.onBackoffStarted(upstream -> started.add(upstream.id()));
 
     for (int answer = 0; answer < 20; answer++) {
-      logged.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofMillis(500)));
-      logged.admits(UPSTREAM);
+      logging.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofMillis(500)));
+      logging.admits(UPSTREAM);
     }
     nowMillis += 500;
-    logged.admits(UPSTREAM);
+    logging.admits(UPSTREAM);
     nowMillis += 2_000;
-    logged.admits(UPSTREAM);
-    logged.onAnswer(UPSTREAM, BackoffAnnouncement.unreadable("soon"));
-    logged.onAnswer(UPSTREAM, BackoffAnnouncement.unreadable("soon"));
+    logging.admits(UPSTREAM);
+    logging.onAnswer(UPSTREAM, BackoffAnnouncement.unreadable("soon"));
+    logging.onAnswer(UPSTREAM, BackoffAnnouncement.unreadable("soon"));
 
-    assertThat(begun).containsExactly("u1");
+    assertThat(started).containsExactly("u1");
     assertThat(events.count("upstream-backoff")).isEqualTo(1);
     assertThat(events.count("upstream-backoff-ended")).isEqualTo(1);
     assertThat(events.count("upstream-backoff-unreadable")).isEqualTo(1);
   }
 
-  /** Answers and times in any order, requests whenever one is admitted. */
+  /** Random sequences of backoffs and pauses, with a request whenever one is admitted. */
   @Property(tries = 500)
   void sendsNothingDuringBackoffsAndEverythingAfterRampUp(
       @ForAll @Size(max = 30) List<@IntRange(max = 400) Integer> steps) {
-    UpstreamBackoffs told = new UpstreamBackoffs(clock, EventLogs.silent());
+    UpstreamBackoffs tracked = new UpstreamBackoffs(clock, EventLogs.silent());
     long endMillis = nowMillis;
     for (int step : steps) {
-      long asked = step % 4 == 0 ? step * 10L : 0;
-      if (asked > 0) {
-        told.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofMillis(asked)));
-        endMillis = Math.max(endMillis, nowMillis + asked);
+      long backoffMillis = step % 4 == 0 ? step * 10L : 0;
+      if (backoffMillis > 0) {
+        tracked.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofMillis(backoffMillis)));
+        endMillis = Math.max(endMillis, nowMillis + backoffMillis);
       }
       for (int passed = 0; passed < step; passed += 5) {
-        boolean admitted = told.admits(UPSTREAM);
+        boolean admitted = tracked.admits(UPSTREAM);
         assertThat(admitted && nowMillis < endMillis).isFalse();
         assertThat(admitted || nowMillis < endMillis + UpstreamBackoffs.RAMP_UP.toMillis())
             .isTrue();
         if (admitted) {
-          told.recordSent(UPSTREAM);
+          tracked.recordSent(UPSTREAM);
         }
         nowMillis += 5;
       }
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
@@ -10,7 +10,6 @@
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** What is known of the limits of upstreams, whoever heard them and in whatever order. */
 class UpstreamLimitsTests {
 
   private static final UpstreamRecord UPSTREAM = upstream("u", 1);
@@ -108,7 +107,7 @@
     assertThat(merge(1_300, 20)).isTrue();
 
     assertThat(limits.limitOf(INCARNATION_ID)).hasValue(1.3);
-    assertThat(changes).as("who heard it tells it").isZero();
+    assertThat(changes).as("the box that received the answer reports the limit").isZero();
   }
 
   @Test
@@ -149,7 +148,7 @@
         .containsExactly(new LimitReport(INCARNATION_ID, LimitReport.LIFTED, 0));
     advance(10_000);
     assertThat(limits.reports()).isEmpty();
-    assertThat(merge(1_000, 10_050)).as("an old word of it").isFalse();
+    assertThat(merge(1_000, 10_050)).as("an older report of the limit").isFalse();
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamRateLimiterTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamRateLimiterTests.java
@@ -10,7 +10,6 @@
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** What one box may send to upstreams that name limits. */
 class UpstreamRateLimiterTests {
 
   private static final UpstreamRecord UPSTREAM =
@@ -23,7 +22,7 @@
   private Optional<BoxRank> rank = Optional.of(new BoxRank(0, 2));
   private boolean hasSingleSender;
   private final UpstreamRateLimiter limiter =
-      new UpstreamRateLimiter(clock, limits, start -> rank, service -> hasSingleSender);
+      new UpstreamRateLimiter(clock, limits, incarnationId -> rank, service -> hasSingleSender);
 
   @Test
   void allowsAllRequestsWithoutLimit() {
@@ -142,11 +141,11 @@
   @Test
   void combinedLimiterUsesLowerRate() {
     announceLimit(1);
-    SendLimiter both = SendLimiter.allOf(SendLimiter.UNLIMITED, limiter);
+    SendLimiter combined = SendLimiter.allOf(SendLimiter.UNLIMITED, limiter);
 
-    assertThat(both.admits(UPSTREAM)).isFalse();
-    assertThat(both.requestsPerSecond(UPSTREAM)).isEqualTo(limiter.requestsPerSecond(UPSTREAM));
-    assertThat(both.millisUntilAdmitted(UPSTREAM, 0)).isPositive();
+    assertThat(combined.admits(UPSTREAM)).isFalse();
+    assertThat(combined.requestsPerSecond(UPSTREAM)).isEqualTo(limiter.requestsPerSecond(UPSTREAM));
+    assertThat(combined.millisUntilAdmitted(UPSTREAM, 0)).isPositive();
   }
 
   private int countSentWithin(long millis) {
