--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/CrashReport.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/CrashReport.java
@@ -1,11 +1,11 @@
 package org.gradeledge.quarantine;
 
 /**
- * An upstream that ended under a request, as boxes tell each other.
+ * A crash of an upstream while it served a request, as reported between boxes.
  *
- * @param incarnationId which start of which upstream
- * @param ageMillis how long ago that was
- * @param withdrawn whether it does not count any more, as the request was answered whole since
+ * @param incarnationId incarnation of the upstream that crashed
+ * @param ageMillis time since the crash
+ * @param withdrawn whether the crash no longer counts, as the request was completed since
  * @since 0.3
  */
 public record CrashReport(String incarnationId, long ageMillis, boolean withdrawn) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/Quarantine.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/Quarantine.java
@@ -12,13 +12,12 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Holds back requests that end each upstream that runs them. Several boxes see the ends, and each
- * adds up what all of them saw: who saw what, in which order the news comes and how often, makes no
- * difference.
+ * Quarantines requests that crash the upstreams serving them. Several boxes observe crashes; each
+ * one combines the observations of all boxes, independent of the order and repetition of updates.
  *
- * <p>All requests that ran on an upstream when it ended are suspects. A whole answer clears one. An
- * end that a held back request explains blames nobody else, so that whatever runs beside such a
- * request is served. One that is denied, since the upstream was heard later, blames nobody.
+ * <p>All requests in flight at a crash become suspects. A complete answer withdraws the crashes of
+ * a request. A crash of a quarantined request does not count against other requests. A crash is
+ * refuted if the upstream sends data later.
  *
  * <p>Confined to the event loop.
  *
@@ -26,16 +25,16 @@
  */
 public final class Quarantine {
 
-  /** So many ends hold a request back: what the deployment allows before it counts retries. */
+  /** Number of crashes after which a request is quarantined. */
   public static final int CRASHES_TO_QUARANTINE = 3;
 
   /**
-   * So many ends that no other request explains keep up a verdict that was reached before: two
-   * guilty ones may have run together once.
+   * Number of crashes, not explained by other requests, that keeps a request quarantined; lower, as
+   * two crashing requests may share one crash.
    */
   private static final int CRASHES_TO_STAY_QUARANTINED = 2;
 
-  /** What an upstream sent before its end may be read so much later, at a box that is behind. */
+  /** Data received within this time after a crash may have been sent before it. */
   static final Duration MAX_READ_DELAY = Duration.ofSeconds(1);
 
   private final MonotonicClock clock;
@@ -46,43 +45,46 @@
   private final List<Consumer<QuarantineVerdict>> verdictListeners = new ArrayList<>();
   private Consumer<RequestFingerprint> releaseListener = released -> {};
 
-  /** Creates one that knows of no request. */
+  /** Creates an instance without suspects. */
   public Quarantine(MonotonicClock clock) {
     this.clock = clock;
     this.suspects = new SuspectRegistry(clock.nanos());
   }
 
-  /** Sets who hears that there is something to be told; see {@link #takeUpdate}. */
+  /** Sets the listener that is run when {@link #takeUpdate} has something to return. */
   public void onUpdate(Runnable listener) {
     updateListener = listener;
   }
 
-  /** Tells a listener of each request that is held back from then on. */
+  /** Adds a listener for requests that become quarantined. */
   public void onVerdict(Consumer<QuarantineVerdict> listener) {
     verdictListeners.add(listener);
   }
 
-  /** Sets who hears that a request is not held back any more. */
+  /** Sets the listener for requests that are released. */
   public void onRelease(Consumer<RequestFingerprint> listener) {
     releaseListener = listener;
   }
 
-  /** Returns whether anything that counts is known of any request of a shape. */
-  public boolean hasShapeHash(int shape) {
-    return suspects.hasShapeHash(shape);
+  /** Returns whether any request with the given shape hash has a counted crash. */
+  public boolean hasShapeHash(int shapeHash) {
+    return suspects.hasShapeHash(shapeHash);
   }
 
-  /** Returns whether a request must be sent to no upstream. */
+  /** Returns whether a request is quarantined and must not be sent to any upstream. */
   public boolean isQuarantined(RequestFingerprint fingerprint) {
     return suspects.find(fingerprint).filter(Suspect::isQuarantined).isPresent();
   }
 
-  /** Returns how many upstreams have ended under a request since it was last cleared. */
+  /** Returns the number of crashes that count against a request. */
   public int crashCount(RequestFingerprint fingerprint) {
-    return suspects.find(fingerprint).map(found -> suspects.countedCrashes(found).size()).orElse(0);
+    return suspects
+        .find(fingerprint)
+        .map(suspect -> suspects.countedCrashes(suspect).size())
+        .orElse(0);
   }
 
-  /** Returns the requests that are held back. */
+  /** Returns the quarantined requests. */
   public List<RequestFingerprint> quarantined() {
     return suspects.all().stream()
         .filter(Suspect::isQuarantined)
@@ -90,22 +92,22 @@
         .toList();
   }
 
-  /** Notes that an upstream ended while a request was on it. */
-  public void recordCrash(RequestFingerprint fingerprint, String start) {
-    if (suspects.recordCrash(fingerprint, start, clock.nanos())) {
+  /** Records that an upstream crashed while it served a request. */
+  public void recordCrash(RequestFingerprint fingerprint, String incarnationId) {
+    if (suspects.recordCrash(fingerprint, incarnationId, clock.nanos())) {
       evaluate(true);
       publish(Set.of(fingerprint));
     }
   }
 
-  /** Notes that a request was answered whole: it does not end who runs it. */
+  /** Records a complete answer to a request, which withdraws its crashes. */
   public void recordSuccess(RequestFingerprint fingerprint) {
     if (crashCount(fingerprint) > 0) {
       withdrawCrashes(fingerprint);
     }
   }
 
-  /** Forgets what has ended under a request so far. */
+  /** Withdraws all crashes of a request. */
   public void withdrawCrashes(RequestFingerprint fingerprint) {
     if (suspects.withdrawAll(fingerprint)) {
       evaluate(true);
@@ -113,40 +115,43 @@
     }
   }
 
-  /** Notes that an upstream has sent something: a box that took it to have ended was wrong. */
-  public void recordAlive(String start) {
-    if (suspects.hasCrashedBefore(start, clock.nanos() - MAX_READ_DELAY.toNanos())) {
-      suspects.refute(start);
+  /** Records that an upstream sent data, which refutes an earlier crash. */
+  public void recordAlive(String incarnationId) {
+    if (suspects.hasCrashedBefore(incarnationId, clock.nanos() - MAX_READ_DELAY.toNanos())) {
+      suspects.refute(incarnationId);
       evaluate(true);
-      pendingAliveIncarnationIds.add(start);
-      publish(suspects.requestsAffectedBy(start));
+      pendingAliveIncarnationIds.add(incarnationId);
+      publish(suspects.requestsAffectedBy(incarnationId));
     }
   }
 
-  /** Takes in what another box or the platform's store has told; returns what of it was new. */
-  public SuspectUpdate merge(SuspectUpdate news) {
+  /**
+   * Merges an update from another box or from the store of the platform; returns the part of it
+   * that was new.
+   */
+  public SuspectUpdate merge(SuspectUpdate update) {
     long now = clock.nanos();
-    List<String> newlyLiving =
-        news.aliveIncarnationIds().stream().filter(suspects::refute).toList();
+    List<String> newAliveIncarnationIds =
+        update.aliveIncarnationIds().stream().filter(suspects::refute).toList();
     Set<RequestFingerprint> changed = new LinkedHashSet<>();
-    for (SuspectReport report : news.reports()) {
+    for (SuspectReport report : update.reports()) {
       if (apply(report, now)) {
         changed.add(report.fingerprint());
       }
     }
     changed.addAll(evaluate(false));
-    return new SuspectUpdate(suspects.reports(changed, now), newlyLiving);
+    return new SuspectUpdate(suspects.reports(changed, now), newAliveIncarnationIds);
   }
 
-  /** Returns what this box has learned by itself since this was asked last. */
+  /** Returns the changes observed by this box since the last call. */
   public SuspectUpdate takeUpdate() {
-    SuspectUpdate news =
+    SuspectUpdate update =
         new SuspectUpdate(
             suspects.reports(pendingFingerprints, clock.nanos()),
             List.copyOf(pendingAliveIncarnationIds));
     pendingFingerprints.clear();
     pendingAliveIncarnationIds.clear();
-    return news;
+    return update;
   }
 
   private void publish(Collection<RequestFingerprint> changed) {
@@ -156,10 +161,11 @@
 
   private boolean apply(SuspectReport report, long now) {
     boolean changed = false;
-    for (CrashReport end : report.crashes()) {
-      long nanos = now - TimeUnit.MILLISECONDS.toNanos(Math.max(0, end.ageMillis()));
-      changed |= suspects.recordCrash(report.fingerprint(), end.incarnationId(), nanos);
-      changed |= end.withdrawn() && suspects.withdraw(report.fingerprint(), end.incarnationId());
+    for (CrashReport crash : report.crashes()) {
+      long crashNanos = now - TimeUnit.MILLISECONDS.toNanos(Math.max(0, crash.ageMillis()));
+      changed |= suspects.recordCrash(report.fingerprint(), crash.incarnationId(), crashNanos);
+      changed |=
+          crash.withdrawn() && suspects.withdraw(report.fingerprint(), crash.incarnationId());
     }
     if (report.quarantined()) {
       suspects.find(report.fingerprint()).ifPresent(Suspect::setReportedQuarantined);
@@ -167,51 +173,56 @@
     return changed;
   }
 
-  /** Returns all that is known. */
+  /** Returns an update with the complete state. */
   public SuspectUpdate snapshot() {
     return suspects.snapshot(clock.nanos());
   }
 
-  /** Returns a number that is the same at boxes that know the same; 0 where nothing is known. */
+  /**
+   * Returns a digest of the state, equal at boxes with equal state; 0 if there are no counted
+   * crashes.
+   */
   public long digest() {
     return suspects.digest();
   }
 
   /**
-   * Judges all anew; returns the requests whose verdict has changed. Those under which most have
-   * ended go first, as they explain ends that others are not blamed for. A verdict stands until the
-   * request is cleared, the ends are denied, or others explain nearly all of them.
+   * Evaluates all candidates; returns the requests whose verdict changed. Requests with the most
+   * crashes are evaluated first, as they explain crashes of others. A quarantined request stays so
+   * until its crashes are withdrawn, refuted, or nearly all explained by other requests.
    */
-  private List<RequestFingerprint> evaluate(boolean here) {
+  private List<RequestFingerprint> evaluate(boolean decidedLocally) {
     suspects.evictIfDue(clock.nanos());
     List<RequestFingerprint> changed = new ArrayList<>();
     Set<String> explained = new HashSet<>();
-    for (Suspect suspicion : suspects.candidates()) {
-      List<String> ends = suspects.countedCrashes(suspicion);
-      long blamed = ends.stream().filter(start -> !explained.contains(start)).count();
-      boolean stands =
-          suspicion.isReportedQuarantined()
-              && ends.size() >= CRASHES_TO_QUARANTINE
-              && blamed >= CRASHES_TO_STAY_QUARANTINED;
-      if (suspicion.updateVerdict(stands || blamed >= CRASHES_TO_QUARANTINE)) {
-        changed.add(suspicion.fingerprint());
-        notifyListeners(suspicion, ends, here);
+    for (Suspect suspect : suspects.candidates()) {
+      List<String> crashes = suspects.countedCrashes(suspect);
+      long unexplained =
+          crashes.stream().filter(incarnationId -> !explained.contains(incarnationId)).count();
+      boolean staysQuarantined =
+          suspect.isReportedQuarantined()
+              && crashes.size() >= CRASHES_TO_QUARANTINE
+              && unexplained >= CRASHES_TO_STAY_QUARANTINED;
+      if (suspect.updateVerdict(staysQuarantined || unexplained >= CRASHES_TO_QUARANTINE)) {
+        changed.add(suspect.fingerprint());
+        notifyListeners(suspect, crashes, decidedLocally);
       }
-      if (suspicion.isQuarantined()) {
-        explained.addAll(ends);
+      if (suspect.isQuarantined()) {
+        explained.addAll(crashes);
       }
     }
     return changed;
   }
 
-  private void notifyListeners(Suspect suspicion, List<String> ends, boolean here) {
-    if (suspicion.isQuarantined()) {
+  private void notifyListeners(Suspect suspect, List<String> crashes, boolean decidedLocally) {
+    if (suspect.isQuarantined()) {
       long now = clock.nanos();
-      long age = TimeUnit.NANOSECONDS.toMillis(suspicion.latestCrashAgeNanos(now));
-      QuarantineVerdict verdict = new QuarantineVerdict(suspicion.fingerprint(), ends, age, here);
+      long ageMillis = TimeUnit.NANOSECONDS.toMillis(suspect.latestCrashAgeNanos(now));
+      QuarantineVerdict verdict =
+          new QuarantineVerdict(suspect.fingerprint(), crashes, ageMillis, decidedLocally);
       verdictListeners.forEach(listener -> listener.accept(verdict));
     } else {
-      releaseListener.accept(suspicion.fingerprint());
+      releaseListener.accept(suspect.fingerprint());
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/QuarantineVerdict.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/QuarantineVerdict.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A request is sent to no upstream any more.
+ * The verdict that quarantines a request.
  *
- * @param fingerprint which request
- * @param incarnationIds the upstreams that ended under it
- * @param ageMillis how long ago the last of those that made the verdict ended
- * @param decidedLocally whether this box saw that one end; else it was told, and another box saw it
+ * @param fingerprint fingerprint of the request
+ * @param incarnationIds incarnations of upstreams that crashed while serving it
+ * @param ageMillis time since the last of these crashes
+ * @param decidedLocally whether this box detected the last crash; otherwise another box reported it
  * @since 0.3
  */
 public record QuarantineVerdict(
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/RequestFingerprint.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/RequestFingerprint.java
@@ -3,21 +3,21 @@
 import java.util.Optional;
 
 /**
- * Stands for a request in all that boxes know and tell of it; see {@link RequestIdentity}.
+ * Fingerprint of a request; see {@link RequestIdentity}.
  *
- * @param high first half of a digest that nobody can find a second request for
- * @param low second half
- * @param shapeHash what is known of a request without looking at its body
+ * @param high first half of a collision-resistant digest
+ * @param low second half of the digest
+ * @param shapeHash hash that is computed without reading the body
  * @since 0.3
  */
 public record RequestFingerprint(long high, long low, int shapeHash) {
 
-  /** Signs of the text form: three numbers in hexadecimal. */
+  /** Length of the text form: three hexadecimal numbers. */
   private static final int TEXT_LENGTH = 40;
 
   private static final int HEXADECIMAL = 16;
 
-  /** Returns the fingerprint that a text is the form of, empty where it is of none. */
+  /** Parses the text form of a fingerprint; empty if the text is not valid. */
   public static Optional<RequestFingerprint> parse(String text) {
     if (text.length() != TEXT_LENGTH || !text.matches("[0-9a-f]+")) {
       return Optional.empty();
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/RequestIdentity.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/RequestIdentity.java
@@ -6,28 +6,28 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * What makes two requests the same, whichever box they come to. The id, the deadline, the
- * connection and what a caller has already seen of a stream differ from try to try and are no part
- * of it. The account is, so that no account can have another one's requests taken for its own.
+ * The parts of a request that identify it at any box. The request id, the deadline, the connection
+ * and the resume position of a stream differ between attempts and are excluded. The account is
+ * included, so that a request of one account cannot be taken for that of another.
  *
- * @param account name of the client account; empty where there is none
- * @param method method
- * @param host host that the request is for, as the configuration writes it: callers may add a port
- * @param uri path with its query
- * @param body the whole body
+ * @param account name of the client account; empty if there is none
+ * @param method HTTP method
+ * @param host host as written in the configuration, without a port added by the caller
+ * @param uri path with query
+ * @param body complete body
  * @since 0.3
  */
 public record RequestIdentity(String account, String method, String host, String uri, byte[] body) {
 
   /**
-   * Returns what can be told at next to no cost. Requests of different shapes are different, so
-   * that a body need only be looked at where something of its shape is known.
+   * Returns a cheap hash that does not read the body. The body is only hashed when a suspect
+   * request has the same value.
    */
   public int shapeHash() {
     return (host.hashCode() * 31 + uri.hashCode()) * 31 + body.length;
   }
 
-  /** Returns the fingerprint; the body is read whole. */
+  /** Returns the fingerprint, after hashing the whole body. */
   public RequestFingerprint fingerprint() {
     MessageDigest digest = newDigest();
     update(digest, account);
@@ -38,7 +38,9 @@
     return new RequestFingerprint(bytes.getLong(), bytes.getLong(), shapeHash());
   }
 
-  /** The length goes first, so that no two lists of texts give the same bytes. */
+  /**
+   * Prefixes each text with its length, so that different lists of texts never give the same bytes.
+   */
   private static void update(MessageDigest digest, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/Suspect.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/Suspect.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What is known of one request. An end, and that it is cleared, are each said once and never taken
- * back: a start ends only once. So nothing depends on the order in which boxes hear of them, which
- * no moments that they tell each other would give. Confined to the event loop.
+ * The crashes recorded for one request. Crashes and withdrawals are only ever added, as an
+ * incarnation crashes once; the state therefore does not depend on the order of updates. Confined
+ * to the event loop.
  */
 final class Suspect {
 
@@ -32,67 +32,68 @@
     return quarantined;
   }
 
-  /** Notes that a box holds it back. */
   void setReportedQuarantined() {
     reportedQuarantined = true;
   }
 
-  /** Returns whether it was held back here or elsewhere when this was last looked at. */
+  /** Returns whether any box quarantined the request at the last evaluation. */
   boolean isReportedQuarantined() {
     return reportedQuarantined;
   }
 
-  /** Takes the verdict on; returns whether it is another one than before. */
-  boolean updateVerdict(boolean now) {
-    boolean changed = now != quarantined;
-    quarantined = now;
-    reportedQuarantined = now;
+  /** Sets the verdict; returns whether it changed. */
+  boolean updateVerdict(boolean newVerdict) {
+    boolean changed = newVerdict != quarantined;
+    quarantined = newVerdict;
+    reportedQuarantined = newVerdict;
     return changed;
   }
 
-  /** Notes that an upstream ended under the request; returns whether that is new. */
-  boolean recordCrash(String start, long nanos) {
-    return crashNanos.putIfAbsent(start, nanos) == null;
+  /** Records a crash; returns whether it is new. */
+  boolean recordCrash(String incarnationId, long nanos) {
+    return crashNanos.putIfAbsent(incarnationId, nanos) == null;
   }
 
-  /** Notes that an end does not count any more; returns whether that is new. */
-  boolean withdraw(String start) {
-    return withdrawn.add(start);
+  /** Withdraws a crash; returns whether that is new. */
+  boolean withdraw(String incarnationId) {
+    return withdrawn.add(incarnationId);
   }
 
-  /** Notes that no end that is known counts any more; returns whether one did. */
+  /** Withdraws all crashes; returns whether any of them counted. */
   boolean withdrawAll() {
     return withdrawn.addAll(crashNanos.keySet());
   }
 
-  /** Returns the upstreams whose end counts against the request. */
-  List<String> countedCrashes(Set<String> living) {
+  /** Returns the incarnations whose crashes are neither withdrawn nor refuted. */
+  List<String> countedCrashes(Set<String> aliveIncarnationIds) {
     return crashNanos.keySet().stream()
-        .filter(start -> !withdrawn.contains(start) && !living.contains(start))
+        .filter(
+            incarnationId ->
+                !withdrawn.contains(incarnationId) && !aliveIncarnationIds.contains(incarnationId))
         .sorted()
         .toList();
   }
 
-  /** Returns all upstreams that are said to have ended under the request. */
+  /** Returns the incarnations of all recorded crashes. */
   Set<String> crashedIncarnationIds() {
     return crashNanos.keySet();
   }
 
-  /** Returns how long ago the last end was. */
+  /** Returns the time since the latest crash. */
   long latestCrashAgeNanos(long now) {
     return crashNanos.values().stream().mapToLong(nanos -> now - nanos).min().orElse(0);
   }
 
   SuspectReport toReport(long now) {
-    List<CrashReport> ends =
+    List<CrashReport> crashes =
         crashNanos.entrySet().stream()
             .map(
-                end ->
+                crash ->
                     new CrashReport(
-                        end.getKey(),
-                        TimeUnit.NANOSECONDS.toMillis(now - end.getValue()),
-                        withdrawn.contains(end.getKey())))
+                        crash.getKey(),
+                        TimeUnit.NANOSECONDS.toMillis(now - crash.getValue()),
+                        withdrawn.contains(crash.getKey())))
             .toList();
-    return new SuspectReport(fingerprint, ends, quarantined);
+    return new SuspectReport(fingerprint, crashes, quarantined);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectRegistry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectRegistry.java
@@ -13,22 +13,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 
-/**
- * The requests under which upstreams ended, within bounds on time and number. Confined to the event
- * loop.
- */
+/** Registry of suspect requests, bounded in age and number. Confined to the event loop. */
 final class SuspectRegistry {
 
-  /**
-   * Requests that are known at most, about 500 bytes each: an upstream takes some hundred along, of
-   * which all but one are seen only once.
-   */
+  /** Maximum number of requests; one crash adds all requests that the upstream was serving. */
   static final int MAX_REQUESTS = 4_096;
 
-  /** An end that has not led to a verdict by then was the upstream's own. */
+  /** Time after which a request without a verdict is evicted. */
   static final Duration RETENTION = Duration.ofHours(1);
 
-  /** Of upstreams that were heard later; several requests ran on each. */
+  /** Maximum number of incarnations with a refuted crash. */
   private static final int MAX_ALIVE = 1_024;
 
   private static final long EVICTION_INTERVAL_NANOS = TimeUnit.MINUTES.toNanos(1);
@@ -37,7 +31,7 @@
   private final Map<String, Long> firstCrashNanos = new LinkedHashMap<>();
   private final Set<String> aliveIncarnationIds = new LinkedHashSet<>();
 
-  /** Only these can be held back, so that judging does not grow with what is known. */
+  /** Requests with enough crashes for a verdict; bounds the cost of an evaluation. */
   private final Set<Suspect> candidates = new LinkedHashSet<>();
 
   private final Set<Integer> shapeHashes = new HashSet<>();
@@ -57,17 +51,17 @@
     return byFingerprint.values();
   }
 
-  /** Returns whether an end that counts is known under any request of a shape. */
-  boolean hasShapeHash(int shape) {
-    return shapeHashes.contains(shape);
+  /** Returns whether any request with the given shape hash has a counted crash. */
+  boolean hasShapeHash(int shapeHash) {
+    return shapeHashes.contains(shapeHash);
   }
 
-  /** Returns the upstreams whose end counts against a request. */
-  List<String> countedCrashes(Suspect suspicion) {
-    return suspicion.countedCrashes(aliveIncarnationIds);
+  /** Returns the incarnations whose crashes count against a request. */
+  List<String> countedCrashes(Suspect suspect) {
+    return suspect.countedCrashes(aliveIncarnationIds);
   }
 
-  /** Returns those under which enough have ended for a verdict, most ends first. */
+  /** Returns the requests with enough crashes for a verdict, most crashes first. */
   List<Suspect> candidates() {
     return candidates.stream()
         .sorted(
@@ -76,75 +70,73 @@
         .toList();
   }
 
-  /** Notes that an upstream ended under a request; returns whether that is new. */
-  boolean recordCrash(RequestFingerprint fingerprint, String start, long nanos) {
-    Suspect suspicion = byFingerprint.computeIfAbsent(fingerprint, Suspect::new);
-    boolean added = suspicion.recordCrash(start, nanos);
+  /** Records a crash; returns whether it is new. */
+  boolean recordCrash(RequestFingerprint fingerprint, String incarnationId, long nanos) {
+    Suspect suspect = byFingerprint.computeIfAbsent(fingerprint, Suspect::new);
+    boolean added = suspect.recordCrash(incarnationId, nanos);
     changed |= added;
-    if (added && !aliveIncarnationIds.contains(start)) {
-      firstCrashNanos.putIfAbsent(start, nanos);
+    if (added && !aliveIncarnationIds.contains(incarnationId)) {
+      firstCrashNanos.putIfAbsent(incarnationId, nanos);
       shapeHashes.add(fingerprint.shapeHash());
     }
-    if (suspicion.crashedIncarnationIds().size() >= Quarantine.CRASHES_TO_QUARANTINE) {
-      candidates.add(suspicion);
+    if (suspect.crashedIncarnationIds().size() >= Quarantine.CRASHES_TO_QUARANTINE) {
+      candidates.add(suspect);
     }
     return added;
   }
 
-  /** Notes that an end under a request does not count any more; returns whether that is new. */
-  boolean withdraw(RequestFingerprint fingerprint, String start) {
-    return updateIf(byFingerprint.computeIfAbsent(fingerprint, Suspect::new).withdraw(start));
+  /** Withdraws a crash of a request; returns whether that is new. */
+  boolean withdraw(RequestFingerprint fingerprint, String incarnationId) {
+    return updateIf(
+        byFingerprint.computeIfAbsent(fingerprint, Suspect::new).withdraw(incarnationId));
   }
 
-  /**
-   * Notes that nothing that ended under a request counts any more; returns whether anything did.
-   */
+  /** Withdraws all crashes of a request; returns whether any of them counted. */
   boolean withdrawAll(RequestFingerprint fingerprint) {
-    Suspect suspicion = byFingerprint.get(fingerprint);
-    return updateIf(suspicion != null && suspicion.withdrawAll());
+    Suspect suspect = byFingerprint.get(fingerprint);
+    return updateIf(suspect != null && suspect.withdrawAll());
   }
 
-  private boolean updateIf(boolean changedNow) {
-    if (changedNow) {
+  private boolean updateIf(boolean crashesChanged) {
+    if (crashesChanged) {
       rebuildShapeHashes();
     }
-    return changedNow;
+    return crashesChanged;
   }
 
-  /** Returns whether an upstream is said to have ended before a moment. */
-  boolean hasCrashedBefore(String start, long nanos) {
-    Long ended = firstCrashNanos.get(start);
-    return ended != null && ended - nanos < 0;
+  /** Returns whether a crash of an incarnation was recorded before a time. */
+  boolean hasCrashedBefore(String incarnationId, long nanos) {
+    Long crashNanos = firstCrashNanos.get(incarnationId);
+    return crashNanos != null && crashNanos - nanos < 0;
   }
 
-  /** Notes that an upstream lives that was said to have ended; returns whether that is new. */
-  boolean refute(String start) {
-    firstCrashNanos.remove(start);
-    return updateIf(aliveIncarnationIds.add(start));
+  /** Refutes the crash of an incarnation that is alive; returns whether that is new. */
+  boolean refute(String incarnationId) {
+    firstCrashNanos.remove(incarnationId);
+    return updateIf(aliveIncarnationIds.add(incarnationId));
   }
 
-  /** Returns the requests under which an upstream is said to have ended. */
-  List<RequestFingerprint> requestsAffectedBy(String start) {
+  /** Returns the requests with a recorded crash of an incarnation. */
+  List<RequestFingerprint> requestsAffectedBy(String incarnationId) {
     return byFingerprint.values().stream()
-        .filter(suspicion -> suspicion.crashedIncarnationIds().contains(start))
+        .filter(suspect -> suspect.crashedIncarnationIds().contains(incarnationId))
         .map(Suspect::fingerprint)
         .toList();
   }
 
-  List<SuspectReport> reports(Collection<RequestFingerprint> wanted, long now) {
-    return wanted.stream()
+  List<SuspectReport> reports(Collection<RequestFingerprint> fingerprints, long now) {
+    return fingerprints.stream()
         .flatMap(each -> find(each).stream())
-        .map(suspicion -> suspicion.toReport(now))
+        .map(suspect -> suspect.toReport(now))
         .toList();
   }
 
-  /** Returns all that is known. */
   SuspectUpdate snapshot(long now) {
     return new SuspectUpdate(
         reports(byFingerprint.keySet(), now), List.copyOf(aliveIncarnationIds));
   }
 
-  /** Returns a number that is the same where the same ends count, 0 where none does. */
+  /** Returns a digest of the counted crashes, equal for equal crashes; 0 if there are none. */
   long digest() {
     if (changed) {
       changed = false;
@@ -155,15 +147,15 @@
 
   private long computeDigest() {
     long digest = 0;
-    for (Suspect suspicion : byFingerprint.values()) {
-      for (String start : countedCrashes(suspicion)) {
-        digest ^= mix(suspicion.fingerprint().low() * 31 + start.hashCode());
+    for (Suspect suspect : byFingerprint.values()) {
+      for (String incarnationId : countedCrashes(suspect)) {
+        digest ^= mix(suspect.fingerprint().low() * 31 + incarnationId.hashCode());
       }
     }
     return digest;
   }
 
-  /** Spreads all bits, so that sums of several do not cancel out (the last step of SplitMix64). */
+  /** Finalizer of SplitMix64; keeps combined values from cancelling each other out. */
   private static long mix(long bits) {
     long first = (bits ^ (bits >>> 30)) * 0xbf58476d1ce4e5b9L;
     long second = (first ^ (first >>> 27)) * 0x94d049bb133111ebL;
@@ -174,11 +166,10 @@
     changed = true;
     shapeHashes.clear();
     byFingerprint.values().stream()
-        .filter(suspicion -> !suspicion.countedCrashes(aliveIncarnationIds).isEmpty())
-        .forEach(suspicion -> shapeHashes.add(suspicion.fingerprint().shapeHash()));
+        .filter(suspect -> !suspect.countedCrashes(aliveIncarnationIds).isEmpty())
+        .forEach(suspect -> shapeHashes.add(suspect.fingerprint().shapeHash()));
   }
 
-  /** Forgets what is old, where that is due. */
   void evictIfDue(long now) {
     if (byFingerprint.size() > MAX_REQUESTS || now - evictedNanos > EVICTION_INTERVAL_NANOS) {
       evictedNanos = now;
@@ -187,8 +178,8 @@
   }
 
   /**
-   * What is old and has led to no verdict goes. Beyond the bound a quarter goes, those first under
-   * which fewest have ended, and of these the oldest: the one that is looked for is seen again.
+   * Evicts old requests without a verdict. Above the maximum number also evicts a quarter of the
+   * requests: those with the fewest crashes first, of these the oldest.
    */
   private void evict(long now) {
     byFingerprint
@@ -207,11 +198,11 @@
           .forEach(byFingerprint::remove);
     }
     candidates.retainAll(byFingerprint.values());
-    Set<String> mattering =
+    Set<String> relevantIncarnationIds =
         byFingerprint.values().stream()
             .flatMap(each -> each.crashedIncarnationIds().stream())
             .collect(Collectors.toSet());
-    firstCrashNanos.keySet().retainAll(mattering);
+    firstCrashNanos.keySet().retainAll(relevantIncarnationIds);
     while (aliveIncarnationIds.size() > MAX_ALIVE) {
       aliveIncarnationIds.remove(aliveIncarnationIds.iterator().next());
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectReport.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectReport.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What is known of one request, as boxes tell each other.
+ * The crashes of one suspect request, as reported between boxes.
  *
- * @param fingerprint which request
- * @param crashes the upstreams that ended under it
- * @param quarantined whether the box that tells holds it back
+ * @param fingerprint fingerprint of the request
+ * @param crashes crashes of upstreams that served it
+ * @param quarantined whether the reporting box quarantines it
  * @since 0.3
  */
 public record SuspectReport(
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectUpdate.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectUpdate.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What boxes tell each other of requests under which upstreams ended. News may come in any order
- * and any number of times.
+ * An update on suspect requests that boxes exchange. Updates may arrive in any order and
+ * repeatedly.
  *
- * @param reports what is known of requests
- * @param aliveIncarnationIds starts of upstreams that were heard after somebody took them to have
- *     ended
+ * @param reports reports on requests
+ * @param aliveIncarnationIds incarnations of upstreams that sent data after a crash was recorded
+ *     for them
  * @since 0.3
  */
 public record SuspectUpdate(List<SuspectReport> reports, List<String> aliveIncarnationIds) {
@@ -19,7 +19,7 @@
     aliveIncarnationIds = List.copyOf(aliveIncarnationIds);
   }
 
-  /** Returns whether it says nothing. */
+  /** Returns whether the update is empty. */
   public boolean isEmpty() {
     return reports.isEmpty() && aliveIncarnationIds.isEmpty();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests that end the upstreams that run them: what makes two requests the same, what ended under
- * each, the verdict, and how long it holds. Knows neither network nor event loop.
+ * Quarantine of requests that crash upstreams: request fingerprints, crash records, and verdicts.
+ * Independent of network and event loop.
  */
 @NullMarked
 package org.gradeledge.quarantine;
--- a/gradeledge-core/src/test/java/org/gradeledge/quarantine/QuarantineSimulation.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/quarantine/QuarantineSimulation.java
@@ -8,12 +8,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A deployment in virtual time: boxes that tell each other late, upstreams that crash by themselves
- * and come back, requests that are sent to a second upstream, and some that end whoever runs them.
+ * Simulates, in virtual time, boxes that exchange updates with a delay, upstreams that crash and
+ * restart, and requests that crash upstreams and are retried.
  */
 final class QuarantineSimulation {
 
-  /** What a seed varies, and what tests set. */
   record Plan(
       int boxCount,
       int upstreamCount,
@@ -46,7 +45,6 @@
   private int harmlessSent;
   private int harmlessQuarantined;
 
-  /** One upstream; a crash makes the next start of it. */
   private static final class Upstream {
 
     private int incarnation;
@@ -54,7 +52,7 @@
     private final List<SimulatedRequest> running = new ArrayList<>();
   }
 
-  /** A request on its way: to one upstream after the other. */
+  /** A request that is sent to up to {@code MAX_ATTEMPTS} upstreams. */
   private final class SimulatedRequest {
 
     private final RequestFingerprint fingerprint;
@@ -63,9 +61,9 @@
     private int attempts;
     private boolean answered;
 
-    SimulatedRequest(RequestFingerprint request, boolean guilty, Quarantine box) {
-      this.fingerprint = request;
-      this.crashesUpstream = guilty;
+    SimulatedRequest(RequestFingerprint fingerprint, boolean crashesUpstream, Quarantine box) {
+      this.fingerprint = fingerprint;
+      this.crashesUpstream = crashesUpstream;
       this.box = box;
     }
 
@@ -74,22 +72,23 @@
         harmlessQuarantined += crashesUpstream ? 0 : 1;
         return;
       }
-      List<Upstream> up = upstreams.stream().filter(each -> !each.down).toList();
-      if (up.isEmpty() || attempts == MAX_ATTEMPTS) {
+      List<Upstream> available = upstreams.stream().filter(each -> !each.down).toList();
+      if (available.isEmpty() || attempts == MAX_ATTEMPTS) {
         return;
       }
       attempts++;
       harmlessSent += crashesUpstream ? 0 : 1;
-      Upstream upstream = up.get(random.nextInt(up.size()));
+      Upstream upstream = available.get(random.nextInt(available.size()));
       upstream.running.add(this);
-      int start = upstream.incarnation;
-      long spread = crashesUpstream ? CRASH_SPREAD_MILLIS : MAX_RUN_MILLIS - MIN_RUN_MILLIS;
-      long millis = (crashesUpstream ? 10 : MIN_RUN_MILLIS) + (long) (random.nextDouble() * spread);
-      schedule(millis, () -> finished(upstream, start));
+      int incarnation = upstream.incarnation;
+      long spreadMillis = crashesUpstream ? CRASH_SPREAD_MILLIS : MAX_RUN_MILLIS - MIN_RUN_MILLIS;
+      long runMillis =
+          (crashesUpstream ? 10 : MIN_RUN_MILLIS) + (long) (random.nextDouble() * spreadMillis);
+      schedule(runMillis, () -> finish(upstream, incarnation));
     }
 
-    private void finished(Upstream upstream, int start) {
-      if (upstream.incarnation != start || !upstream.running.contains(this)) {
+    private void finish(Upstream upstream, int incarnation) {
+      if (upstream.incarnation != incarnation || !upstream.running.contains(this)) {
         return;
       }
       if (crashesUpstream) {
@@ -103,12 +102,12 @@
       }
     }
 
-    /** The upstream has ended under it: that is proved a moment later, and it is sent again. */
-    private void onCrash(String start) {
+    /** Records the crash after a short detection time and sends the request again. */
+    private void onCrash(String incarnationId) {
       schedule(
           2,
           () -> {
-            box.recordCrash(fingerprint, start);
+            box.recordCrash(fingerprint, incarnationId);
             broadcast(box);
           });
       schedule(3, this::send);
@@ -120,7 +119,7 @@
     this.random = new Random(seed);
   }
 
-  /** Plays a minute. */
+  /** Simulates one minute. */
   QuarantineSimulation run() {
     for (int box = 0; box < plan.boxCount(); box++) {
       boxes.add(new Quarantine(() -> TimeUnit.MILLISECONDS.toNanos(nowMillis)));
@@ -129,12 +128,12 @@
       upstreams.add(new Upstream());
     }
     for (int request = 0; request < REQUESTS_PER_SECOND * DURATION_MILLIS / 1_000; request++) {
-      int popular = (int) (DISTINCT_REQUESTS * Math.pow(random.nextDouble(), 2));
-      scheduleArrival(new RequestFingerprint(HARMLESS, popular, popular), false);
+      int requestNumber = (int) (DISTINCT_REQUESTS * Math.pow(random.nextDouble(), 2));
+      scheduleArrival(new RequestFingerprint(HARMLESS, requestNumber, requestNumber), false);
     }
-    for (int guilty = 0; guilty < plan.crashingRequests(); guilty++) {
+    for (int requestNumber = 0; requestNumber < plan.crashingRequests(); requestNumber++) {
       for (int copy = 0; copy < 40; copy++) {
-        scheduleArrival(new RequestFingerprint(CRASHING, guilty, -1 - guilty), true);
+        scheduleArrival(new RequestFingerprint(CRASHING, requestNumber, -1 - requestNumber), true);
       }
     }
     for (int crash = 0; crash < plan.crashesPerSecond() * DURATION_MILLIS / 1_000; crash++) {
@@ -150,36 +149,36 @@
     return this;
   }
 
-  private void scheduleArrival(RequestFingerprint request, boolean guilty) {
+  private void scheduleArrival(RequestFingerprint fingerprint, boolean crashesUpstream) {
     Quarantine box = boxes.get(random.nextInt(boxes.size()));
     schedule(
         random.nextInt((int) DURATION_MILLIS),
-        () -> new SimulatedRequest(request, guilty, box).send());
+        () -> new SimulatedRequest(fingerprint, crashesUpstream, box).send());
   }
 
   private void crash(Upstream upstream) {
     if (upstream.down) {
       return;
     }
-    String start = upstreams.indexOf(upstream) + "*" + upstream.incarnation;
+    String incarnationId = upstreams.indexOf(upstream) + "*" + upstream.incarnation;
     upstream.down = true;
     upstream.incarnation++;
-    List<SimulatedRequest> lost = List.copyOf(upstream.running);
+    List<SimulatedRequest> interrupted = List.copyOf(upstream.running);
     upstream.running.clear();
-    lost.forEach(run -> run.onCrash(start));
+    interrupted.forEach(request -> request.onCrash(incarnationId));
     schedule(DOWN_MILLIS, () -> upstream.down = false);
   }
 
-  private void broadcast(Quarantine from) {
-    SuspectUpdate news = from.takeUpdate();
-    if (!news.isEmpty()) {
+  private void broadcast(Quarantine sender) {
+    SuspectUpdate update = sender.takeUpdate();
+    if (!update.isEmpty()) {
       boxes.stream()
-          .filter(box -> box != from)
+          .filter(box -> box != sender)
           .forEach(
               box ->
                   schedule(
                       1 + random.nextInt((int) plan.maxPropagationMillis()),
-                      () -> box.merge(news)));
+                      () -> box.merge(update)));
     }
   }
 
@@ -199,7 +198,7 @@
     return harmlessSent;
   }
 
-  /** Returns how many innocent requests some box still holds back. */
+  /** Returns the number of harmless requests that any box still quarantines. */
   long harmlessQuarantinedAtEnd() {
     return boxes.stream()
         .flatMap(box -> box.quarantined().stream())
--- a/gradeledge-core/src/test/java/org/gradeledge/quarantine/QuarantineTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/quarantine/QuarantineTests.java
@@ -88,7 +88,10 @@
     assertThat(quarantine.isQuarantined(other)).isTrue();
   }
 
-  /** A box that is cut off takes all upstreams to have ended; the others hear them. */
+  /**
+   * A partitioned box records crashes of all upstreams; the other boxes still receive data from
+   * them.
+   */
   @Test
   void refutesCrashOfUpstreamThatSendsLater() {
     recordCrashes(HARMLESS, "a", "b", "c");
@@ -128,7 +131,9 @@
     assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
   }
 
-  /** An upstream takes hundreds along; the one that is looked for must not be lost among them. */
+  /**
+   * Guards against evicting the crashing request in favour of the many requests that crashed once.
+   */
   @Test
   void evictsRequestsWithFewestCrashesFirst() {
     recordCrashes(CRASHING, "a", "b");
@@ -143,7 +148,6 @@
         .hasSizeLessThanOrEqualTo(SuspectRegistry.MAX_REQUESTS);
   }
 
-  /** Whoever saw which end, and however the news travels, all boxes come to the same verdict. */
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
   void verdictIsIndependentOfOrderAndRepetitionOfUpdates(@ForAll long seed) {
     Random random = new Random(seed);
@@ -151,20 +155,21 @@
     for (int box = 0; box < 4; box++) {
       boxes.add(new Quarantine(() -> now));
     }
-    int ends = 1 + random.nextInt(6);
-    for (int end = 0; end < ends; end++) {
-      boxes.get(random.nextInt(4)).recordCrash(CRASHING, "start-" + end);
-      boxes.get(random.nextInt(4)).recordCrash(HARMLESS, "start-" + random.nextInt(2));
+    int crashes = 1 + random.nextInt(6);
+    for (int crash = 0; crash < crashes; crash++) {
+      boxes.get(random.nextInt(4)).recordCrash(CRASHING, "incarnation-" + crash);
+      boxes.get(random.nextInt(4)).recordCrash(HARMLESS, "incarnation-" + random.nextInt(2));
     }
-    List<SuspectUpdate> news = new ArrayList<>();
-    boxes.forEach(box -> news.addAll(List.of(box.snapshot(), box.snapshot(), box.takeUpdate())));
+    List<SuspectUpdate> updates = new ArrayList<>();
+    boxes.forEach(box -> updates.addAll(List.of(box.snapshot(), box.snapshot(), box.takeUpdate())));
     for (Quarantine box : boxes) {
-      Collections.shuffle(news, random);
-      news.forEach(box::merge);
+      Collections.shuffle(updates, random);
+      updates.forEach(box::merge);
     }
 
     for (Quarantine box : boxes) {
-      assertThat(box.isQuarantined(CRASHING)).isEqualTo(ends >= Quarantine.CRASHES_TO_QUARANTINE);
+      assertThat(box.isQuarantined(CRASHING))
+          .isEqualTo(crashes >= Quarantine.CRASHES_TO_QUARANTINE);
       assertThat(box.isQuarantined(HARMLESS)).isFalse();
       assertThat(box.digest()).isEqualTo(boxes.get(0).digest());
     }
@@ -182,7 +187,7 @@
     assertThat(other.takeUpdate().isEmpty()).isTrue();
   }
 
-  /** The store tells a verdict of before all boxes were lost. */
+  /** A stored verdict applies after a restart of all boxes. */
   @Test
   void appliesReportedVerdict() {
     SuspectReport report =
@@ -218,9 +223,9 @@
     assertThat(other.isQuarantined(CRASHING)).isFalse();
   }
 
-  private void recordCrashes(RequestFingerprint fingerprint, String... starts) {
-    for (String start : starts) {
-      quarantine.recordCrash(fingerprint, start);
+  private void recordCrashes(RequestFingerprint fingerprint, String... incarnationIds) {
+    for (String incarnationId : incarnationIds) {
+      quarantine.recordCrash(fingerprint, incarnationId);
     }
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/quarantine/RequestFingerprintTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/quarantine/RequestFingerprintTests.java
@@ -13,9 +13,9 @@
 
   @Test
   void differsWhenAnyPartOfIdentityDiffers() {
-    RequestFingerprint one = fingerprint("account", "POST", "host", "/path?q=1", "body");
+    RequestFingerprint fingerprint = fingerprint("account", "POST", "host", "/path?q=1", "body");
 
-    assertThat(fingerprint("account", "POST", "host", "/path?q=1", "body")).isEqualTo(one);
+    assertThat(fingerprint("account", "POST", "host", "/path?q=1", "body")).isEqualTo(fingerprint);
     assertThat(
             Stream.of(
                 fingerprint("other", "POST", "host", "/path?q=1", "body"),
@@ -25,23 +25,24 @@
                 fingerprint("account", "POST", "host", "/path?q=1", "bodz"),
                 fingerprint("accountP", "OST", "host", "/path?q=1", "body"),
                 fingerprint("account", "POST", "host/", "path?q=1", "body")))
-        .doesNotContain(one);
+        .doesNotContain(fingerprint);
   }
 
   @Test
   void shapeHashDependsOnPathAndBodyLength() {
-    int shape = new RequestIdentity("", "", "host", "/path", new byte[3]).shapeHash();
+    int shapeHash = new RequestIdentity("", "", "host", "/path", new byte[3]).shapeHash();
 
-    assertThat(fingerprint("account", "POST", "host", "/path", "abc").shapeHash()).isEqualTo(shape);
+    assertThat(fingerprint("account", "POST", "host", "/path", "abc").shapeHash())
+        .isEqualTo(shapeHash);
     assertThat(fingerprint("account", "POST", "host", "/path", "abcd").shapeHash())
-        .isNotEqualTo(shape);
+        .isNotEqualTo(shapeHash);
     assertThat(fingerprint("account", "POST", "host", "/other", "abc").shapeHash())
-        .isNotEqualTo(shape);
+        .isNotEqualTo(shapeHash);
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void parsesOwnText(@ForAll long high, @ForAll long low, @ForAll int shape) {
-    RequestFingerprint fingerprint = new RequestFingerprint(high, low, shape);
+  void parsesOwnText(@ForAll long high, @ForAll long low, @ForAll int shapeHash) {
+    RequestFingerprint fingerprint = new RequestFingerprint(high, low, shapeHash);
 
     assertThat(RequestFingerprint.parse(fingerprint.toString())).contains(fingerprint);
   }
