--- a/gradeledge-core/src/main/java/org/gradeledge/verdict/GradeledgeException.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/verdict/GradeledgeException.java
@@ -3,13 +3,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Root of the exceptions that this library throws on purpose.
+ * Base class of the exceptions of this library.
  *
  * @since 0.1
  */
 public abstract class GradeledgeException extends RuntimeException {
 
-  /** Creates an exception whose message names the place and what must hold there. */
+  /** Creates an exception with a message and an optional cause. */
   protected GradeledgeException(String message, @Nullable Throwable cause) {
     super(message, cause);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/verdict/RefusalException.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/verdict/RefusalException.java
@@ -5,10 +5,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request that gets no result: its verdict, reason, stage and when to come back.
+ * Signals that a request gets no result, with verdict, reason, stage and time to wait before a
+ * retry.
  *
  * <p>Immutable. Built by {@link #forReason(RefusalReason)}; the verdict is {@link Verdict#NOT_RUN}
- * unless another is set.
+ * unless another one is set.
  *
  * @since 0.1
  */
@@ -32,7 +33,7 @@
             : Optional.empty();
   }
 
-  /** Starts a refusal for the given reason. */
+  /** Returns a builder for the given reason. */
   public static Builder forReason(RefusalReason reason) {
     return new Builder(reason);
   }
@@ -47,17 +48,17 @@
     return reason;
   }
 
-  /** Returns the stage at which the request ended, where it had reached one. */
+  /** Returns the stage at which the request failed, if it had reached one. */
   public Optional<String> stage() {
     return stage;
   }
 
-  /** Returns how long the caller should wait before it asks again, where that may help. */
+  /** Returns how long the caller should wait before a retry, empty if a retry cannot succeed. */
   public Optional<Duration> retryAfter() {
     return retryAfter;
   }
 
-  /** Returns a copy whose verdict also covers what had run before. */
+  /** Returns a copy whose verdict includes that of work done before. */
   public RefusalException withEarlierVerdict(Verdict earlier) {
     return forReason(reason)
         .verdict(verdict.combine(earlier))
@@ -89,19 +90,19 @@
       return this;
     }
 
-    /** Sets the text for a person; it must hold no secret. */
+    /** Sets the detail for a human reader; it must not contain a secret. */
     public Builder detail(@Nullable String value) {
       this.detail = value == null ? reason.wireName() : value;
       return this;
     }
 
-    /** Sets the stage at which the request ended. */
+    /** Sets the stage at which the request failed. */
     public Builder stage(@Nullable String value) {
       this.stage = value;
       return this;
     }
 
-    /** Sets the time to wait before asking again; ignored where asking again cannot help. */
+    /** Sets the time to wait before a retry; ignored if a retry cannot succeed. */
     public Builder retryAfter(@Nullable Duration value) {
       this.retryAfter = value;
       return this;
--- a/gradeledge-core/src/main/java/org/gradeledge/verdict/RefusalReason.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/verdict/RefusalReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /**
- * Why a request was not answered with a result, with the HTTP status that tells it.
+ * Reasons for which a request gets no result, with their HTTP status.
  *
  * @since 0.1
  */
@@ -39,12 +39,15 @@
     this.retryable = worthRetrying;
   }
 
-  /** Returns the HTTP status that goes with this reason. */
+  /** Returns the HTTP status of this reason. */
   public int httpStatus() {
     return httpStatus;
   }
 
-  /** Returns whether the same request may succeed later, so that Retry-After is given. */
+  /**
+   * Returns whether the same request may succeed later; the answer then has a {@code Retry-After}
+   * header.
+   */
   public boolean isRetryable() {
     return retryable;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/verdict/Verdict.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/verdict/Verdict.java
@@ -1,29 +1,28 @@
 package org.gradeledge.verdict;
 
 /**
- * Says whether a request may have run.
+ * Whether a request may have run.
  *
- * <p>A verdict only ever moves forward, from {@link #NOT_RUN} to {@link #MAY_HAVE_RUN} to {@link
- * #COMPLETED}. Source: the brief, "A refusal that says 'not run' is true".
+ * <p>A verdict only advances, from {@link #NOT_RUN} to {@link #MAY_HAVE_RUN} to {@link #COMPLETED}.
  *
  * @since 0.1
  */
 public enum Verdict {
-  /** No stage call was handed to a connection, or the upstream itself said that it did not run. */
+  /** No stage call was handed to a connection, or the upstream reported that it did not run. */
   NOT_RUN("not-run") {
     @Override
     public boolean allowsRetry() {
       return true;
     }
   },
-  /** A stage call was handed over and its effect is not known. */
+  /** A stage call was handed to a connection and its effect is unknown. */
   MAY_HAVE_RUN("may-have-run") {
     @Override
     public boolean allowsRetry() {
       return false;
     }
   },
-  /** The work was done and its result is known. */
+  /** The work is complete and its result is known. */
   COMPLETED("completed") {
     @Override
     public boolean allowsRetry() {
@@ -37,7 +36,7 @@
     this.wireName = wireName;
   }
 
-  /** Returns whether doing the work again cannot do it twice. */
+  /** Returns whether a retry cannot run the work twice. */
   public abstract boolean allowsRetry();
 
   /** Returns the name used in answers and headers. */
@@ -45,7 +44,10 @@
     return wireName;
   }
 
-  /** Returns the verdict for work of which this is one part and {@code other} another part. */
+  /**
+   * Returns the verdict for work that consists of a part with this verdict and one with the other
+   * verdict.
+   */
   public Verdict combine(Verdict other) {
     return compareTo(other) >= 0 ? this : other;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/verdict/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/verdict/package-info.java
@@ -1,4 +1,4 @@
-/** What became of a request: the verdict, the reason and the exceptions that carry them. */
+/** Outcomes of requests: verdicts, reasons of refusals, and the exceptions that carry them. */
 @NullMarked
 package org.gradeledge.verdict;
 
