--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
@@ -104,10 +104,10 @@
    * limit.
    */
   public OptionalDouble limitOf(String incarnationId) {
-    KnownLimit known = byIncarnation.get(incarnationId);
-    return known == null || !known.isLimit()
+    KnownLimit current = byIncarnation.get(incarnationId);
+    return current == null || !current.isLimit()
         ? OptionalDouble.empty()
-        : OptionalDouble.of(known.requestsPerSecond());
+        : OptionalDouble.of(current.requestsPerSecond());
   }
 
   /** Returns the number of incarnations with a limit. */
@@ -140,16 +140,16 @@
   }
 
   private void liftLimit(UpstreamRecord upstream, long sentNanos) {
-    KnownLimit known = byIncarnation.get(upstream.start());
-    if (known == null || sentNanos - known.confirmedNanos() <= 0) {
+    KnownLimit current = byIncarnation.get(upstream.start());
+    if (current == null || sentNanos - current.confirmedNanos() <= 0) {
       return;
     }
-    if (known.isLimit()) {
+    if (current.isLimit()) {
       put(upstream.start(), new KnownLimit(LimitReport.LIFTED, sentNanos), "answer");
       changeListener.run();
     } else {
       // Keeps an older report of another box from counting as more recent.
-      byIncarnation.put(upstream.start(), known.confirmedAt(sentNanos));
+      byIncarnation.put(upstream.start(), current.confirmedAt(sentNanos));
     }
   }
 
@@ -168,12 +168,12 @@
   private boolean merge(String box, LimitReport report, long ageMillis) {
     long confirmedNanos = clock.nanos() - (report.ageMillis() + ageMillis) * NANOS_PER_MILLI;
     KnownLimit reported = new KnownLimit(report.requestsPer1000Seconds(), confirmedNanos);
-    KnownLimit known = byIncarnation.get(report.incarnationId());
+    KnownLimit current = byIncarnation.get(report.incarnationId());
     boolean isNew =
-        known == null
+        current == null
             ? reported.isLimit()
-            : known.requestsPer1000Seconds() != reported.requestsPer1000Seconds()
-                && reported.confirmedNanos() - known.confirmedNanos() > 0;
+            : current.requestsPer1000Seconds() != reported.requestsPer1000Seconds()
+                && reported.confirmedNanos() - current.confirmedNanos() > 0;
     return isNew && put(report.incarnationId(), reported, box);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/ColdStartLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/ColdStartLimiter.java
@@ -15,41 +15,39 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Keeps boxes from overrunning an upstream that is cold. It is the least loaded of all, so that
- * each box would choose it at once; instead each takes an even share of what the upstream bears,
- * without asking anybody: a token bucket that holds one request and starts at a random level, so
- * that the boxes' first requests are spread over the time that a share takes.
+ * Limits the requests that boxes send to cold upstreams. A cold upstream has the lowest load, so
+ * all boxes would select it at once; each box instead uses an equal share of its limit, without
+ * coordination: a token bucket of one request with a random initial level, which spreads the first
+ * requests of the boxes over time.
  *
- * <p>A box counts as many others as it has ever heard, so that a part that is cut off does not take
- * the whole for itself, and sends nothing to a cold upstream before it has had the time to hear
- * them. Confined to the event loop.
+ * <p>The share is based on the largest number of boxes seen so far, so that a partitioned box does
+ * not use more than its share. A box that has just started sends nothing to a cold upstream until
+ * it has had time to discover its peers. Confined to the event loop.
  *
  * @since 0.3
  */
 public final class ColdStartLimiter implements SendLimiter {
 
   /**
-   * Part of what a cold upstream bears that the boxes take together. Requests of many boxes that do
-   * not know of each other come as in a Poisson process, and two halves that do not hear each other
-   * take twice as much: with a mean of 3.4 in a second 16 or more, which a limit of 6.7 a second
-   * with the usual slack refuses, come once in a million; with twice that mean once in 600.
+   * Fraction of the limit that all boxes together use; leaves a reserve for uncoordinated requests
+   * of many boxes and for network partitions.
    */
   private static final double USED_FRACTION = 0.25;
 
-  /** By then a box that has started hears the others. */
+  /** Time within which a box that starts discovers its peers. */
   private static final Duration PEER_DISCOVERY_TIME = Duration.ofSeconds(3);
 
   private static final double MAX_TOKENS = 1;
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** What one box may still send to one cold upstream. */
+  /** Token bucket of this box for one cold incarnation. */
   private static final class Allowance {
 
     private final TokenBucket bucket;
     private long endNanos;
 
-    Allowance(long nowNanos, double level) {
-      this.bucket = new TokenBucket(level, nowNanos);
+    Allowance(long nowNanos, double initialTokens) {
+      this.bucket = new TokenBucket(initialTokens, nowNanos);
       this.endNanos = nowNanos;
     }
   }
@@ -63,29 +61,29 @@
   private int maxBoxCount = 1;
 
   /**
-   * Creates it without any cold upstream.
+   * Creates an instance without cold upstreams.
    *
-   * @param boxes how many boxes are heard, this one included
-   * @param limits what an upstream of a service bears
+   * @param boxCount returns the number of live boxes, including this one
+   * @param coldStartLimits returns the limit of cold upstreams of a service
    */
   public ColdStartLimiter(
       MonotonicClock clock,
       RandomGenerator random,
-      IntSupplier boxes,
-      Function<String, Optional<ColdStart>> limits) {
+      IntSupplier boxCount,
+      Function<String, Optional<ColdStart>> coldStartLimits) {
     this.clock = clock;
     this.random = random;
-    this.boxCount = boxes;
-    this.coldStartLimits = limits;
+    this.boxCount = boxCount;
+    this.coldStartLimits = coldStartLimits;
     this.createdNanos = clock.nanos();
   }
 
-  /** Notes that an upstream said for how long it is cold. */
+  /** Limits an upstream for the time for which it announced to be cold. */
   public void onColdAnnounced(UpstreamRecord upstream) {
     extend(upstream.start(), Duration.ofMillis(upstream.coldMillis()));
   }
 
-  /** Takes upstreams that were out of use as if they had just started. */
+  /** Limits upstreams that return to service as after a start. */
   public void onRestored(Collection<UpstreamRecord> upstreams) {
     upstreams.forEach(
         upstream ->
@@ -94,17 +92,17 @@
                 .ifPresent(limit -> extend(upstream.start(), limit.lasts())));
   }
 
-  /** Forgets an upstream that is gone. */
+  /** Removes an upstream that is gone. */
   public void remove(UpstreamRecord upstream) {
     allowances.remove(upstream.start());
   }
 
-  private void extend(String start, Duration lasts) {
+  private void extend(String incarnationId, Duration duration) {
     long now = clock.nanos();
     Allowance allowance =
-        allowances.computeIfAbsent(start, key -> new Allowance(now, random.nextDouble()));
-    if (now + lasts.toNanos() - allowance.endNanos > 0) {
-      allowance.endNanos = now + lasts.toNanos();
+        allowances.computeIfAbsent(incarnationId, key -> new Allowance(now, random.nextDouble()));
+    if (now + duration.toNanos() - allowance.endNanos > 0) {
+      allowance.endNanos = now + duration.toNanos();
     }
   }
 
@@ -136,12 +134,12 @@
         .orElse(Double.POSITIVE_INFINITY);
   }
 
-  /** Returns how much longer this box has to listen who else is there. */
+  /** Returns the time left for the discovery of peers. */
   private double peerDiscoveryMillisLeft() {
     return (PEER_DISCOVERY_TIME.toNanos() - (clock.nanos() - createdNanos)) / NANOS_PER_MILLI;
   }
 
-  /** Returns what this box may still send to an upstream, empty where that is not cold. */
+  /** Returns the refilled bucket of an upstream, empty if it is not cold. */
   private Optional<TokenBucket> refilledBucket(UpstreamRecord upstream) {
     Allowance allowance = allowances.get(upstream.start());
     if (allowance == null) {
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/Demand.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/Demand.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * What a request asks of an upstream.
+ * The properties of a request that influence the selection of its upstream.
  *
- * @param affinityKey names what an upstream may still keep of it, such as a shared part of its
- *     prompt
- * @param sharedPromptTokens tokens that need not be read again where they are kept
- * @param memoryTokens tokens of memory that it may need, zero where that means nothing
- * @param preferredZone zone that it is best served in, such as that of its inputs
- * @param crossZoneBytes bytes that cross zones if it is served in another one
+ * @param affinityKey key of the data that an upstream may have cached for it, such as a shared
+ *     prompt prefix
+ * @param sharedPromptTokens tokens that are not processed again where they are cached
+ * @param memoryTokens memory that it may require in tokens, zero if not applicable
+ * @param preferredZone preferred availability zone, such as that of its inputs
+ * @param crossZoneBytes bytes transferred between zones if it is served in another zone
  * @since 0.2
  */
 public record Demand(
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
@@ -7,8 +7,8 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * Takes the upstream where a request is expected to be done first, by the requests under way at all
- * boxes and the usual time of a request; a nearer zone wins where that is even.
+ * Selects the upstream with the lowest expected completion time, derived from its latency and the
+ * requests in flight from all boxes; at similar times the same zone is preferred.
  *
  * @since 0.2
  */
@@ -22,8 +22,8 @@
   private final RandomGenerator random;
 
   /** Creates the chooser. */
-  public LeastLoadedChooser(UpstreamLoads board, RandomGenerator random) {
-    this.loads = board;
+  public LeastLoadedChooser(UpstreamLoads loads, RandomGenerator random) {
+    this.loads = loads;
     this.random = random;
   }
 
@@ -32,14 +32,17 @@
     record Scored(UpstreamRecord upstream, double score) {}
 
     List<UpstreamRecord> preferred = loads.preferred(candidates);
-    double unknown = lowestLatencyMillis(preferred);
+    double defaultMillis = lowestLatencyMillis(preferred);
     return preferred.stream()
-        .map(each -> new Scored(each, score(each, demand, unknown)))
+        .map(each -> new Scored(each, score(each, demand, defaultMillis)))
         .min(Comparator.comparingDouble(Scored::score))
         .map(Scored::upstream);
   }
 
-  /** One that was never used counts as fast as the fastest, so that it is tried. */
+  /**
+   * Returns the lowest known latency, which is also assumed for unused upstreams so that they are
+   * tried.
+   */
   private double lowestLatencyMillis(List<UpstreamRecord> upstreams) {
     return upstreams.stream()
         .mapToDouble(each -> loads.load(each.start()).latencyMillis())
@@ -48,13 +51,17 @@
         .orElse(DEFAULT_LATENCY_MILLIS);
   }
 
-  private double score(UpstreamRecord upstream, Demand demand, double unknownMillis) {
+  private double score(UpstreamRecord upstream, Demand demand, double defaultMillis) {
     UpstreamLoad load = loads.load(upstream.start());
     int slots = Math.max(1, upstream.slots());
-    double queue = 1 + (double) load.totalInFlight() / slots;
-    double full = load.totalInFlight() >= slots ? 1 + load.totalInFlight() - slots : 1;
-    double zone = upstream.zone().equals(demand.preferredZone()) ? 1 : OTHER_ZONE_FACTOR;
-    double noise = 1 + NOISE * random.nextDouble();
-    return load.expectedMillis(unknownMillis) * queue * full * zone * noise;
+    double queueFactor = 1 + (double) load.totalInFlight() / slots;
+    double overloadFactor = load.totalInFlight() >= slots ? 1 + load.totalInFlight() - slots : 1;
+    double zoneFactor = upstream.zone().equals(demand.preferredZone()) ? 1 : OTHER_ZONE_FACTOR;
+    double noiseFactor = 1 + NOISE * random.nextDouble();
+    return load.expectedMillis(defaultMillis)
+        * queueFactor
+        * overloadFactor
+        * zoneFactor
+        * noiseFactor;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
@@ -7,24 +7,20 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * Sends requests that share a part of their prompt to the same upstream, which all boxes agree on
- * without a word: the one that ranks first by rendezvous hashing, as long as its load is within a
- * bound of the mean (rendezvous hashing with bounded load), else the next one in rank.
+ * Sends requests with the same affinity key to the same upstream by rendezvous hashing with bounded
+ * loads: to the upstream of the highest weight whose load is within a bound of the mean. All boxes
+ * agree without coordination.
  *
  * @since 0.2
  */
 public final class PrefixAffinityChooser implements UpstreamChooser {
 
-  /**
-   * How far an upstream's load may be above the mean before a shared part is read elsewhere. With 2
-   * instead of 1.4 a third fewer shared tokens are read again, and prompts start no later: while
-   * stage work binds, generating upstreams have places free.
-   */
+  /** Maximum ratio of the load of an upstream to the mean load. */
   private static final double MAX_LOAD_FACTOR = 2.0;
 
   private static final double MAX_MEMORY_FRACTION = 0.85;
 
-  /** Bytes between zones that are worth as much as one token that is not read again. */
+  /** Bytes between zones that cost as much as processing one token again. */
   private static final long CROSS_ZONE_BYTES_PER_TOKEN = 4_000;
 
   private static final Comparator<Candidate> HIGHEST_WEIGHT =
@@ -32,7 +28,7 @@
   private static final Comparator<Candidate> LEAST_LOADED =
       Comparator.comparingLong(Candidate::usedMemoryTokens);
 
-  /** An upstream with its rank for one prompt part and what is under way there. */
+  /** An upstream with its weight for an affinity key and its memory in use. */
   private record Candidate(UpstreamRecord upstream, long weight, long usedMemoryTokens) {}
 
   private final UpstreamLoads loads;
@@ -42,15 +38,13 @@
   /**
    * Creates the chooser.
    *
-   * @param withoutAffinity chooses for requests that share nothing
-   * @param memoryTokens tokens that an upstream has memory for, zero if not known
+   * @param fallback selects the upstream of requests without an affinity key
+   * @param memoryTokens returns the memory of an upstream in tokens, zero if unknown
    */
   public PrefixAffinityChooser(
-      UpstreamLoads board,
-      UpstreamChooser withoutAffinity,
-      ToLongFunction<UpstreamRecord> memoryTokens) {
-    this.loads = board;
-    this.fallback = withoutAffinity;
+      UpstreamLoads loads, UpstreamChooser fallback, ToLongFunction<UpstreamRecord> memoryTokens) {
+    this.loads = loads;
+    this.fallback = fallback;
     this.memoryTokens = memoryTokens;
   }
 
@@ -60,19 +54,19 @@
       return fallback.choose(candidates, demand);
     }
     String key = demand.affinityKey().get();
-    List<Candidate> known =
+    List<Candidate> ranked =
         restrictToZoneIfCheaper(loads.preferred(candidates), demand).stream()
             .map(each -> candidate(each, key))
             .toList();
-    double mean = known.stream().mapToLong(Candidate::usedMemoryTokens).average().orElse(0);
-    double bound = (mean + demand.memoryTokens()) * MAX_LOAD_FACTOR;
-    return known.stream()
+    double meanLoad = ranked.stream().mapToLong(Candidate::usedMemoryTokens).average().orElse(0);
+    double maxLoad = (meanLoad + demand.memoryTokens()) * MAX_LOAD_FACTOR;
+    return ranked.stream()
         .filter(
             each ->
                 each.usedMemoryTokens() + demand.memoryTokens()
-                    <= Math.min(bound, usableMemory(each.upstream())))
+                    <= Math.min(maxLoad, usableMemory(each.upstream())))
         .min(HIGHEST_WEIGHT)
-        .or(() -> known.stream().min(LEAST_LOADED.thenComparing(HIGHEST_WEIGHT)))
+        .or(() -> ranked.stream().min(LEAST_LOADED.thenComparing(HIGHEST_WEIGHT)))
         .map(Candidate::upstream);
   }
 
@@ -82,13 +76,13 @@
   }
 
   private static List<UpstreamRecord> restrictToZoneIfCheaper(
-      List<UpstreamRecord> all, Demand demand) {
+      List<UpstreamRecord> candidates, Demand demand) {
     if (demand.crossZoneBytes() <= demand.sharedPromptTokens() * CROSS_ZONE_BYTES_PER_TOKEN) {
-      return all;
+      return candidates;
     }
-    List<UpstreamRecord> near =
-        all.stream().filter(each -> each.zone().equals(demand.preferredZone())).toList();
-    return near.isEmpty() ? all : near;
+    List<UpstreamRecord> inZone =
+        candidates.stream().filter(each -> each.zone().equals(demand.preferredZone())).toList();
+    return inZone.isEmpty() ? candidates : inZone;
   }
 
   private double usableMemory(UpstreamRecord upstream) {
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/RendezvousHash.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/RendezvousHash.java
@@ -5,8 +5,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Weights of rendezvous hashing (highest random weight): for each key, all who know the same
- * members rank them alike, and a member that comes or goes moves only the keys that are its own.
+ * Rendezvous hashing (highest random weight): all boxes with the same members rank them equally for
+ * each key, and a member that joins or leaves only moves its own keys.
  *
  * @since 0.2
  */
@@ -17,7 +17,7 @@
 
   private RendezvousHash() {}
 
-  /** Returns the order in which members rank for a key, the first one first. */
+  /** Returns a comparator that sorts members by descending weight for a key. */
   public static Comparator<String> byRank(String key) {
     return Comparator.comparingLong((String member) -> weight(key, member)).reversed();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamChooser.java
@@ -5,13 +5,13 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * Chooses the upstream of a request.
+ * Selects the upstream of a request.
  *
  * @since 0.2
  */
 @FunctionalInterface
 public interface UpstreamChooser {
 
-  /** Returns one of the candidates, empty where there are none. */
+  /** Returns one of the candidates, empty if there are none. */
   Optional<UpstreamRecord> choose(List<UpstreamRecord> candidates, Demand demand);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoad.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoad.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** What the box knows of one upstream's load and health. Confined to the event loop. */
+/** Load and health of one incarnation of an upstream. Confined to the event loop. */
 final class UpstreamLoad {
 
   private static final double SMOOTHING_FACTOR = 0.2;
@@ -25,14 +25,14 @@
   private long avoidedUntilNanos = Long.MIN_VALUE;
   private long lastActivityNanos;
 
-  void recordStart(long demandedTokens) {
+  void recordStart(long requestMemory) {
     inFlight++;
-    memory += demandedTokens;
+    memory += requestMemory;
   }
 
-  void recordEnd(long demandedTokens) {
+  void recordEnd(long requestMemory) {
     inFlight--;
-    memory -= demandedTokens;
+    memory -= requestMemory;
   }
 
   void recordSuccess(double millis) {
@@ -42,7 +42,7 @@
     latencyMillis += latencyMillis == 0 ? millis : SMOOTHING_FACTOR * (millis - latencyMillis);
   }
 
-  /** Counts a failure; returns whether the upstream is avoided from now on. */
+  /** Records a failure; returns whether the upstream is avoided from now on. */
   boolean recordFailure(boolean certain, long nowNanos) {
     consecutiveFailures++;
     failureRate += SMOOTHING_FACTOR * (1 - failureRate);
@@ -70,20 +70,20 @@
     return (nowNanos - lastActivityNanos) / 1_000_000;
   }
 
-  void setPeerLoad(String box, BoxLoad share) {
-    subtract(loadByPeer.put(box, share));
-    inFlightAtPeers += share.inFlight();
-    memoryAtPeers += share.memory();
+  void setPeerLoad(String box, BoxLoad load) {
+    subtract(loadByPeer.put(box, load));
+    inFlightAtPeers += load.inFlight();
+    memoryAtPeers += load.memory();
   }
 
   void removePeerLoad(String box) {
     subtract(loadByPeer.remove(box));
   }
 
-  private void subtract(@Nullable BoxLoad share) {
-    if (share != null) {
-      inFlightAtPeers -= share.inFlight();
-      memoryAtPeers -= share.memory();
+  private void subtract(@Nullable BoxLoad load) {
+    if (load != null) {
+      inFlightAtPeers -= load.inFlight();
+      memoryAtPeers -= load.memory();
     }
   }
 
@@ -91,9 +91,9 @@
     return new BoxLoad(inFlight, memory);
   }
 
-  /** Counts memory that is taken although no request is under way, or given back. */
-  void adjustMemory(long demandedTokens) {
-    memory = Math.max(0, memory + demandedTokens);
+  /** Adds memory that is in use without a request in flight; negative to release it. */
+  void adjustMemory(long delta) {
+    memory = Math.max(0, memory + delta);
   }
 
   int inFlightAtPeers() {
@@ -112,14 +112,14 @@
     return memory + memoryAtPeers();
   }
 
-  /** Returns the usual time of a request there, zero if none was measured. */
+  /** Returns the smoothed latency, zero before the first measurement. */
   double latencyMillis() {
     return latencyMillis;
   }
 
-  /** Returns about how long a request takes there, failures counted as slowness. */
-  double expectedMillis(double unknownMillis) {
-    double latency = latencyMillis == 0 ? unknownMillis : latencyMillis;
+  /** Returns the expected duration of a request, increased by the rate of failures. */
+  double expectedMillis(double defaultMillis) {
+    double latency = latencyMillis == 0 ? defaultMillis : latencyMillis;
     return latency * (1 + FAILURE_WEIGHT * failureRate);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoads.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoads.java
@@ -11,8 +11,8 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * What the box knows of the load and health of all upstreams: its own requests, what its peers tell
- * of theirs, and how calls end. Confined to the event loop.
+ * Load and health of all upstreams: requests of this box, loads reported by its peers, and results
+ * of calls. Confined to the event loop.
  *
  * @since 0.2
  */
@@ -23,13 +23,13 @@
   private final Map<String, UpstreamLoad> byIncarnation = new HashMap<>();
   private final Map<String, Set<String>> reportedByBox = new HashMap<>();
 
-  /** Creates a board that knows nothing. */
+  /** Creates an instance without loads. */
   public UpstreamLoads(MonotonicClock clock, EventLog events) {
     this.clock = clock;
     this.events = events;
   }
 
-  /** Counts a request sent to an upstream. */
+  /** Records a request sent to an upstream. */
   public void recordStart(UpstreamRecord upstream, long tokens) {
     UpstreamLoad load = load(upstream.start());
     if (load.ownLoad().inFlight() == 0) {
@@ -38,92 +38,92 @@
     load.recordStart(tokens);
   }
 
-  /** Counts the end of a request, however it ended. */
+  /** Records the end of a request, whatever its result. */
   public void recordEnd(UpstreamRecord upstream, long tokens) {
     load(upstream.start()).recordEnd(tokens);
   }
 
-  /** Counts memory that results take at a start of an upstream, negative where it is given back. */
-  public void adjustMemory(String start, long memory) {
-    UpstreamLoad load = memory > 0 ? load(start) : byIncarnation.get(start);
+  /** Adds memory that results occupy at an incarnation of an upstream; negative to release it. */
+  public void adjustMemory(String incarnationId, long memory) {
+    UpstreamLoad load = memory > 0 ? load(incarnationId) : byIncarnation.get(incarnationId);
     if (load != null) {
       load.adjustMemory(memory);
     }
   }
 
-  /** Returns how many requests other boxes have under way at an upstream. */
+  /** Returns the number of requests that other boxes have in flight at an upstream. */
   public int inFlightAtPeers(UpstreamRecord upstream) {
     return load(upstream.start()).inFlightAtPeers();
   }
 
-  /** Returns how much memory other boxes take at an upstream. */
+  /** Returns the memory that other boxes use at an upstream. */
   public long memoryAtPeers(UpstreamRecord upstream) {
     return load(upstream.start()).memoryAtPeers();
   }
 
-  /** Notes an answer in good order after so many milliseconds. */
+  /** Records a successful call and its latency in milliseconds. */
   public void recordSuccess(UpstreamRecord upstream, double millis) {
     load(upstream.start()).recordSuccess(millis);
   }
 
   /**
-   * Notes a failure.
+   * Records a failed call.
    *
-   * @param certain whether it alone says that the upstream cannot be used now
+   * @param certain whether this failure alone shows that the upstream is unavailable
    */
-  public void recordFailure(UpstreamRecord upstream, boolean certain, String why) {
+  public void recordFailure(UpstreamRecord upstream, boolean certain, String reason) {
     if (load(upstream.start()).recordFailure(certain, clock.nanos())) {
       events
           .change("upstream-avoided")
           .with("upstream", upstream.id())
           .with("service", upstream.service())
-          .with("why", why)
+          .with("why", reason)
           .write();
     }
   }
 
-  /** Sends nothing to an upstream for a while, as it said that it is full. */
+  /** Avoids an upstream for some time after it reported that it is full. */
   public void avoidFor(UpstreamRecord upstream, long millis) {
     load(upstream.start()).avoidFor(millis, clock.nanos());
   }
 
-  /** Notes that bytes came from an upstream. */
+  /** Records that data was received from an upstream. */
   public void recordActivity(UpstreamRecord upstream) {
     load(upstream.start()).recordActivity(clock.nanos());
   }
 
-  /** Returns for how long an upstream has sent nothing while the box had requests there. */
+  /** Returns the time in milliseconds since data was last received from an upstream. */
   public long silentMillis(UpstreamRecord upstream) {
     return load(upstream.start()).silentMillis(clock.nanos());
   }
 
-  /** Takes the place of what a peer told before. */
-  public void setPeerLoads(String box, Map<String, BoxLoad> shares) {
-    Set<String> before = reportedByBox.getOrDefault(box, Set.of());
-    before.stream()
-        .filter(id -> !shares.containsKey(id))
-        .flatMap(id -> Optional.ofNullable(byIncarnation.get(id)).stream())
+  /** Replaces the loads reported by a peer. */
+  public void setPeerLoads(String box, Map<String, BoxLoad> loads) {
+    Set<String> previous = reportedByBox.getOrDefault(box, Set.of());
+    previous.stream()
+        .filter(incarnationId -> !loads.containsKey(incarnationId))
+        .flatMap(incarnationId -> Optional.ofNullable(byIncarnation.get(incarnationId)).stream())
         .forEach(load -> load.removePeerLoad(box));
-    shares.forEach((id, share) -> load(id).setPeerLoad(box, share));
-    setReportedByBox(box, shares.keySet());
+    loads.forEach((incarnationId, load) -> load(incarnationId).setPeerLoad(box, load));
+    setReportedByBox(box, loads.keySet());
   }
 
-  private void setReportedByBox(String box, Set<String> upstreams) {
-    if (upstreams.isEmpty()) {
+  private void setReportedByBox(String box, Set<String> incarnationIds) {
+    if (incarnationIds.isEmpty()) {
       reportedByBox.remove(box);
     } else {
-      reportedByBox.put(box, Set.copyOf(upstreams));
+      reportedByBox.put(box, Set.copyOf(incarnationIds));
     }
   }
 
-  /** Returns what this box has under way, by upstream. */
+  /** Returns the loads of this box by incarnation. */
   public Map<String, BoxLoad> ownLoads() {
     return byIncarnation.entrySet().stream()
         .filter(entry -> entry.getValue().ownLoad().isNonZero())
         .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue().ownLoad()));
   }
 
-  /** Forgets an upstream that has nothing under way. */
+  /** Removes an upstream without requests in flight. */
   public void remove(UpstreamRecord upstream) {
     UpstreamLoad load = byIncarnation.get(upstream.start());
     if (load != null && load.ownLoad().inFlight() == 0) {
@@ -131,14 +131,14 @@
     }
   }
 
-  /** Returns those that are not avoided, or all if there are none. */
+  /** Returns the candidates that are not avoided, or all if there are none. */
   public List<UpstreamRecord> preferred(List<UpstreamRecord> candidates) {
-    List<UpstreamRecord> sound =
+    List<UpstreamRecord> available =
         candidates.stream().filter(each -> !load(each.start()).isAvoided(clock.nanos())).toList();
-    return sound.isEmpty() ? candidates : sound;
+    return available.isEmpty() ? candidates : available;
   }
 
-  UpstreamLoad load(String start) {
-    return byIncarnation.computeIfAbsent(start, unknown -> new UpstreamLoad());
+  UpstreamLoad load(String incarnationId) {
+    return byIncarnation.computeIfAbsent(incarnationId, key -> new UpstreamLoad());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/package-info.java
@@ -1,4 +1,4 @@
-/** Which upstream a request goes to, by load, health and kept prompt parts. */
+/** Selection of the upstream of a request by load, health and prompt affinity. */
 @NullMarked
 package org.gradeledge.selection;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
@@ -153,7 +153,7 @@
 
   @Test
   void removesLimitsOfUnknownUpstreams() {
-    limits.merge(OTHER_BOX, List.of(new LimitReport("unheard-of", 1_000, 0)), 0);
+    limits.merge(OTHER_BOX, List.of(new LimitReport("unknown", 1_000, 0)), 0);
     assertThat(limits.limitedCount()).isZero();
     answer(LimitAnnouncement.named(1), 0);
 
--- a/gradeledge-core/src/test/java/org/gradeledge/selection/ChoiceBenchmark.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/selection/ChoiceBenchmark.java
@@ -23,8 +23,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Time of the choice of an upstream for one request, and of taking in what one other box tells of
- * its load. Not a test: {@code scripts/choice-benchmark.sh} runs it.
+ * Benchmarks the selection of an upstream for a request and the update of the load of one peer. Not
+ * a test: {@code scripts/choice-benchmark.sh} runs it.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SampleTime)
@@ -33,7 +33,7 @@
 @Measurement(iterations = 5, time = 1)
 public class ChoiceBenchmark {
 
-  /** Boxes and upstreams of the deployments of today and of the grown ones. */
+  /** Numbers of boxes and upstreams. */
   @Param({"8x13", "74x63"})
   public String size;
 
@@ -44,7 +44,7 @@
   private Map<String, BoxLoad> peerLoads;
   private int boxCount;
 
-  /** Creates upstreams and what all boxes have told of their load. */
+  /** Creates upstreams and the loads reported by all boxes. */
   @Setup(Level.Trial)
   public void setUp() {
     String[] parts = size.split("x");
@@ -65,20 +65,20 @@
         "i-" + number, "service", "10.0.0." + number, 80, "zone-" + number % 4, 32, false);
   }
 
-  /** Chooses for a request that shares a part of its prompt with others. */
+  /** Selects an upstream for a request with an affinity key. */
   @Benchmark
   public Optional<UpstreamRecord> chooseBySharedPrompt() {
     Optional<String> key = Optional.of("part-" + random.nextInt(1_000));
     return chooser.choose(upstreams, new Demand(key, 6_300, 9_190, "zone-1", 0));
   }
 
-  /** Chooses for a request that shares nothing. */
+  /** Selects an upstream for a request without an affinity key. */
   @Benchmark
   public Optional<UpstreamRecord> chooseByLoad() {
     return chooser.choose(upstreams, new Demand(Optional.empty(), 0, 1_000, "zone-1", 0));
   }
 
-  /** Takes in what one other box tells. */
+  /** Updates the load of one peer. */
   @Benchmark
   public void updateLoadOfOnePeer() {
     loads.setPeerLoads("box-" + random.nextInt(boxCount), peerLoads);
--- a/gradeledge-core/src/test/java/org/gradeledge/selection/ColdStartLimiterTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/selection/ColdStartLimiterTests.java
@@ -17,7 +17,6 @@
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** An upstream comes back cold, and every box would choose it at once. */
 class ColdStartLimiterTests {
 
   private static final double REQUESTS_PER_SECOND = 6.7;
@@ -42,9 +41,9 @@
     advance(AFTER_PEER_DISCOVERY);
     boxes.forEach(box -> box.onColdAnnounced(COLD_UPSTREAM));
 
-    List<Long> sent = sendAllAllowed(boxes);
+    List<Long> sentMillis = sendAllAllowed(boxes);
 
-    assertThat((double) maxInOneSecond(sent))
+    assertThat((double) maxInOneSecond(sentMillis))
         .isLessThanOrEqualTo(REQUESTS_PER_SECOND * LIMIT_FACTOR + EXTRA_REQUESTS);
   }
 
@@ -129,27 +128,27 @@
   }
 
   private List<Long> sendAllAllowed(List<ColdStartLimiter> boxes) {
-    List<Long> sent = new ArrayList<>();
+    List<Long> sentMillis = new ArrayList<>();
     for (long millis = 0; millis < COLD_MILLIS - STEP_MILLIS; millis += STEP_MILLIS) {
       for (ColdStartLimiter box : boxes) {
         if (box.admits(COLD_UPSTREAM)) {
           box.recordSent(COLD_UPSTREAM);
-          sent.add(millis);
+          sentMillis.add(millis);
         }
       }
       advance(Duration.ofMillis(STEP_MILLIS));
     }
-    return sent;
+    return sentMillis;
   }
 
-  private void advance(Duration time) {
-    nowNanos += time.toNanos();
+  private void advance(Duration duration) {
+    nowNanos += duration.toNanos();
   }
 
-  private static long maxInOneSecond(List<Long> sent) {
-    return sent.stream()
+  private static long maxInOneSecond(List<Long> sentMillis) {
+    return sentMillis.stream()
         .mapToLong(
-            from -> sent.stream().filter(each -> each >= from && each < from + 1_000).count())
+            from -> sentMillis.stream().filter(each -> each >= from && each < from + 1_000).count())
         .max()
         .orElse(0);
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/selection/PrefixAffinityChooserTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/selection/PrefixAffinityChooserTests.java
@@ -88,13 +88,13 @@
     assertThat(chooser.choose(upstreams, demand("part", "zone-0", 0))).isPresent();
   }
 
-  private static PrefixAffinityChooser chooser(UpstreamLoads board) {
+  private static PrefixAffinityChooser chooser(UpstreamLoads loads) {
     return new PrefixAffinityChooser(
-        board, new LeastLoadedChooser(board, new Random(1)), upstream -> MEMORY_TOKENS);
+        loads, new LeastLoadedChooser(loads, new Random(1)), upstream -> MEMORY_TOKENS);
   }
 
-  private static Demand demand(String part, String zone, long zoneBytes) {
-    return new Demand(Optional.of(part), 500, 1_000, zone, zoneBytes);
+  private static Demand demand(String affinityKey, String preferredZone, long crossZoneBytes) {
+    return new Demand(Optional.of(affinityKey), 500, 1_000, preferredZone, crossZoneBytes);
   }
 
   private static UpstreamRecord upstream(String id, String zone) {
