--- a/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
@@ -54,19 +54,19 @@
       return fallback.choose(candidates, demand);
     }
     String key = demand.affinityKey().get();
-    List<Candidate> ranked =
+    List<Candidate> weighted =
         restrictToZoneIfCheaper(loads.preferred(candidates), demand).stream()
             .map(each -> candidate(each, key))
             .toList();
-    double meanLoad = ranked.stream().mapToLong(Candidate::usedMemoryTokens).average().orElse(0);
+    double meanLoad = weighted.stream().mapToLong(Candidate::usedMemoryTokens).average().orElse(0);
     double maxLoad = (meanLoad + demand.memoryTokens()) * MAX_LOAD_FACTOR;
-    return ranked.stream()
+    return weighted.stream()
         .filter(
             each ->
                 each.usedMemoryTokens() + demand.memoryTokens()
                     <= Math.min(maxLoad, usableMemory(each.upstream())))
         .min(HIGHEST_WEIGHT)
-        .or(() -> ranked.stream().min(LEAST_LOADED.thenComparing(HIGHEST_WEIGHT)))
+        .or(() -> weighted.stream().min(LEAST_LOADED.thenComparing(HIGHEST_WEIGHT)))
         .map(Candidate::upstream);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoads.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoads.java
@@ -30,17 +30,17 @@
   }
 
   /** Records a request sent to an upstream. */
-  public void recordStart(UpstreamRecord upstream, long tokens) {
+  public void recordStart(UpstreamRecord upstream, long memory) {
     UpstreamLoad load = load(upstream.start());
     if (load.ownLoad().inFlight() == 0) {
       load.recordActivity(clock.nanos());
     }
-    load.recordStart(tokens);
+    load.recordStart(memory);
   }
 
   /** Records the end of a request, whatever its result. */
-  public void recordEnd(UpstreamRecord upstream, long tokens) {
-    load(upstream.start()).recordEnd(tokens);
+  public void recordEnd(UpstreamRecord upstream, long memory) {
+    load(upstream.start()).recordEnd(memory);
   }
 
   /** Adds memory that results occupy at an incarnation of an upstream; negative to release it. */
@@ -92,7 +92,7 @@
     load(upstream.start()).recordActivity(clock.nanos());
   }
 
-  /** Returns the time in milliseconds since data was last received from an upstream. */
+  /** Returns how long an upstream has sent nothing while this box had requests in flight there. */
   public long silentMillis(UpstreamRecord upstream) {
     return load(upstream.start()).silentMillis(clock.nanos());
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamBackoffsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamBackoffsTests.java
@@ -19,7 +19,7 @@
 class UpstreamBackoffsTests {
 
   private static final UpstreamRecord UPSTREAM = upstream(1);
-  private static final int UNLIMITED_REQUESTS = 200;
+  private static final int REQUESTS_AFTER_RAMP_UP = 200;
 
   private long nowMillis = 100_000;
   private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(nowMillis);
@@ -94,7 +94,8 @@
     nowMillis += 1_000;
 
     assertThat(countSentWithin(999)).isBetween(9, 11);
-    assertThat(countSentWithin(UNLIMITED_REQUESTS)).isGreaterThanOrEqualTo(UNLIMITED_REQUESTS - 1);
+    assertThat(countSentWithin(REQUESTS_AFTER_RAMP_UP))
+        .isGreaterThanOrEqualTo(REQUESTS_AFTER_RAMP_UP - 1);
   }
 
   @Test
@@ -164,21 +165,21 @@
   @Property(tries = 500)
   void sendsNothingDuringBackoffsAndEverythingAfterRampUp(
       @ForAll @Size(max = 30) List<@IntRange(max = 400) Integer> steps) {
-    UpstreamBackoffs tracked = new UpstreamBackoffs(clock, EventLogs.silent());
+    UpstreamBackoffs tested = new UpstreamBackoffs(clock, EventLogs.silent());
     long endMillis = nowMillis;
     for (int step : steps) {
       long backoffMillis = step % 4 == 0 ? step * 10L : 0;
       if (backoffMillis > 0) {
-        tracked.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofMillis(backoffMillis)));
+        tested.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofMillis(backoffMillis)));
         endMillis = Math.max(endMillis, nowMillis + backoffMillis);
       }
       for (int passed = 0; passed < step; passed += 5) {
-        boolean admitted = tracked.admits(UPSTREAM);
+        boolean admitted = tested.admits(UPSTREAM);
         assertThat(admitted && nowMillis < endMillis).isFalse();
         assertThat(admitted || nowMillis < endMillis + UpstreamBackoffs.RAMP_UP.toMillis())
             .isTrue();
         if (admitted) {
-          tracked.recordSent(UPSTREAM);
+          tested.recordSent(UPSTREAM);
         }
         nowMillis += 5;
       }
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
@@ -170,14 +170,14 @@
     assertThat(limits.limitOf(INCARNATION_ID).getAsDouble()).isBetween(1e8, 1e10);
   }
 
-  private boolean merge(long perThousandSeconds, long ageMillis) {
+  private boolean merge(long requestsPer1000Seconds, long ageMillis) {
     return limits.merge(
-        OTHER_BOX, List.of(new LimitReport(INCARNATION_ID, perThousandSeconds, ageMillis)), 0);
+        OTHER_BOX, List.of(new LimitReport(INCARNATION_ID, requestsPer1000Seconds, ageMillis)), 0);
   }
 
-  private void answer(LimitAnnouncement statement, long sentMillisAgo) {
+  private void answer(LimitAnnouncement announcement, long sentMillisAgo) {
     limits.onAnswer(
-        UPSTREAM, clock.nanos() - TimeUnit.MILLISECONDS.toNanos(sentMillisAgo), statement);
+        UPSTREAM, clock.nanos() - TimeUnit.MILLISECONDS.toNanos(sentMillisAgo), announcement);
   }
 
   private void advance(long millis) {
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamRateLimiterTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamRateLimiterTests.java
@@ -160,7 +160,7 @@
     return sent;
   }
 
-  private void announceLimit(double perSecond) {
-    limits.onAnswer(UPSTREAM, clock.nanos(), LimitAnnouncement.named(perSecond));
+  private void announceLimit(double requestsPerSecond) {
+    limits.onAnswer(UPSTREAM, clock.nanos(), LimitAnnouncement.named(requestsPerSecond));
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/quarantine/QuarantineTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/quarantine/QuarantineTests.java
@@ -132,7 +132,7 @@
   }
 
   /**
-   * Guards against evicting the crashing request in favour of the many requests that crashed once.
+   * Guards against evicting the crashing request in favor of the many requests that crashed once.
    */
   @Test
   void evictsRequestsWithFewestCrashesFirst() {
