--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
@@ -4,9 +4,9 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 import java.util.Optional;
-import org.gradeledge.connection.AnswerBody;
 import org.gradeledge.connection.CallFailure;
 import org.gradeledge.connection.CallListener;
+import org.gradeledge.connection.ResponseBuffer;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.event.EventLog;
 
@@ -35,7 +35,7 @@
   private final BatchLimits limits;
   private final long startNanos;
   private final Listener listener;
-  private final AnswerBody body = new AnswerBody(MOST_BYTES);
+  private final ResponseBuffer body = new ResponseBuffer(MOST_BYTES);
   private int status;
   private boolean over;
 
@@ -137,7 +137,7 @@
 
   @Override
   public void onComplete() {
-    end(() -> listener.answered(this, status, body.bytes()));
+    end(() -> listener.answered(this, status, body.toByteArray()));
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.UpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
@@ -53,14 +53,14 @@
             builder.board,
             builder.budget,
             builder.caller,
-            new UpstreamEnds(builder.caller, builder.upstreams::hasLeft),
+            new LivenessChecker(builder.caller, builder.upstreams::hasLeft),
             builder.sending,
             builder.protocol,
             builder.events,
             builder.toCome,
             builder.limits,
             this::free);
-    builder.upstreams.onEnd(
+    builder.upstreams.onRetired(
         upstream ->
             Optional.ofNullable(queues.get(upstream.service())).ifPresent(BatchQueue::dispatch));
     builder.upstreams.onZonesChanged(() -> queues.values().forEach(BatchQueue::dispatch));
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.connection.CallFailure;
-import org.gradeledge.connection.UpstreamCall;
+import org.gradeledge.connection.CancellableCall;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.quarantine.Quarantine;
@@ -138,7 +138,7 @@
         chosen.stream()
             .map(p -> new CallItem(p.group().group(), p.index(), p.group().leftMillis(now)))
             .toList();
-    UpstreamCall running =
+    CancellableCall running =
         services
             .caller()
             .call(
@@ -148,7 +148,7 @@
     return true;
   }
 
-  private static void giveUp(BatchCall call, UpstreamCall running) {
+  private static void giveUp(BatchCall call, CancellableCall running) {
     if (!call.isOver()) {
       running.cancel();
       call.timedOut();
@@ -184,11 +184,11 @@
   @Override
   public void failed(BatchCall call, Optional<CallFailure> failure) {
     ended(call);
-    boolean sent = failure.map(CallFailure::sent).orElse(true);
+    boolean sent = failure.map(CallFailure::isRequestSent).orElse(true);
     String why = failure.map(CallFailure::name).orElse("no answer in time");
     if (failure.filter(CallFailure.NO_CONNECTION_FREE::equals).isPresent()) {
       pauseFull(call);
-    } else if (failure.map(CallFailure::blamesUpstream).orElse(true)) {
+    } else if (failure.map(CallFailure::isUpstreamFault).orElse(true)) {
       services.board().recordFailure(call.target().upstream(), !sent || failure.isEmpty(), why);
     }
     if (failure.filter(CallFailure.BROKEN::equals).isPresent()) {
@@ -234,7 +234,7 @@
       case LATE -> end(piece.group(), StageOutcome.LATE);
       case GONE -> end(piece.group(), StageOutcome.GONE);
       case NO_ROOM -> {
-        held.full(upstream.start());
+        held.full(upstream.incarnationId());
         tryAgain(List.of(piece), true, "no room", upstream);
       }
       case ERROR -> tryAgain(List.of(piece), true, "error", upstream);
@@ -248,7 +248,7 @@
       services.free(List.of(handle));
       return;
     }
-    held.add(handle, upstream.start(), group.group().resultBytes(), limits.resultMillis());
+    held.add(handle, upstream.incarnationId(), group.group().resultBytes(), limits.resultMillis());
     group.made(piece.index(), handle);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchServices.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.stream.Collectors;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.UpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
@@ -32,7 +32,7 @@
     UpstreamLoads board,
     RetryBudget budget,
     UpstreamCaller caller,
-    UpstreamEnds ends,
+    LivenessChecker ends,
     SendLimiter sending,
     StageProtocol protocol,
     EventLog events,
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
@@ -114,7 +114,7 @@
 
   /** Returns the room for results that an upstream has left. */
   long roomBytes(BatchUpstream target, BatchLimits limits) {
-    return held.isFull(target.upstream().start())
+    return held.isFull(target.upstream().incarnationId())
         ? 0
         : (long) (limits.roomBytes() * ROOM_USED) - occupiedBytes(target);
   }
@@ -143,7 +143,7 @@
   }
 
   private long occupiedBytes(BatchUpstream target) {
-    return held.bytesAt(target.upstream().start())
+    return held.bytesAt(target.upstream().incarnationId())
         + target.reservedBytes()
         + services.board().memoryAtPeers(target.upstream());
   }
@@ -151,7 +151,8 @@
   private List<BatchUpstream> usable() {
     byStart.values().removeIf(each -> !services.upstreams().isUsable(each.upstream()));
     return services.board().preferred(services.upstreams().usable(service)).stream()
-        .map(each -> byStart.computeIfAbsent(each.start(), start -> new BatchUpstream(each)))
+        .map(
+            each -> byStart.computeIfAbsent(each.incarnationId(), start -> new BatchUpstream(each)))
         .toList();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BrokenCalls.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BrokenCalls.java
@@ -2,8 +2,8 @@
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import org.gradeledge.connection.UpstreamEnds;
-import org.gradeledge.connection.UpstreamProof;
+import org.gradeledge.connection.LivenessChecker;
+import org.gradeledge.connection.LivenessResult;
 
 /**
  * Looks, before the pieces of a call that was lost are made again, whether the upstream has ended
@@ -17,10 +17,10 @@
    */
   private static final long PATIENCE_MILLIS = 60;
 
-  private final UpstreamEnds ends;
+  private final LivenessChecker ends;
   private final EventLoop loop;
 
-  BrokenCalls(UpstreamEnds ends, EventLoop loop) {
+  BrokenCalls(LivenessChecker ends, EventLoop loop) {
     this.ends = ends;
     this.loop = loop;
   }
@@ -28,11 +28,11 @@
   /** Looks, and runs what follows once. */
   void look(BatchCall call, Runnable then) {
     Once following = new Once(then);
-    ends.prove(
+    ends.check(
         call.target().upstream(),
         proof -> {
-          if (proof == UpstreamProof.REFUSED) {
-            String start = call.target().upstream().start();
+          if (proof == LivenessResult.REFUSED) {
+            String start = call.target().upstream().incarnationId();
             call.pieces().forEach(piece -> piece.group().upstreamEnded(start));
           }
           following.run();
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultRelease.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultRelease.java
@@ -107,7 +107,7 @@
   /** A result is lost with the start of the upstream that made it: the next one holds nothing. */
   private List<String> heldBy(UpstreamRecord upstream, List<String> handles) {
     return handles.stream()
-        .filter(handle -> makerOf.apply(handle).map(upstream.start()::equals).orElse(true))
+        .filter(handle -> makerOf.apply(handle).map(upstream.incarnationId()::equals).orElse(true))
         .toList();
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
@@ -1,6 +1,6 @@
 package org.gradeledge.connection;
 
-import org.gradeledge.discovery.LeavingStatement;
+import org.gradeledge.discovery.LeavingAnnouncement;
 import org.gradeledge.limit.BackoffAnnouncement;
 import org.gradeledge.limit.LimitAnnouncement;
 
@@ -13,10 +13,10 @@
  * @since 0.5
  */
 public record UpstreamSignals(
-    LimitAnnouncement limit, LeavingStatement leaving, BackoffAnnouncement backoff) {
+    LimitAnnouncement limit, LeavingAnnouncement leaving, BackoffAnnouncement backoff) {
 
   /** What an answer says that another upstream gave. */
   public static final UpstreamSignals NONE =
       new UpstreamSignals(
-          LimitAnnouncement.NOTHING, LeavingStatement.NOTHING, BackoffAnnouncement.NOTHING);
+          LimitAnnouncement.NOTHING, LeavingAnnouncement.NOTHING, BackoffAnnouncement.NOTHING);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamBackoffs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamBackoffs.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLog;
 import org.gradeledge.time.MonotonicClock;
@@ -68,7 +68,7 @@
 
   private final MonotonicClock clock;
   private final EventLog events;
-  private final UnreadableSignals unreadableSignals;
+  private final UnreadableSignalLog unreadableSignals;
   private final Map<String, Backoff> byIncarnation = new HashMap<>();
   private Consumer<UpstreamRecord> startListener = upstream -> {};
   private long skipped;
@@ -77,7 +77,7 @@
   public UpstreamBackoffs(MonotonicClock clock, EventLog events) {
     this.clock = clock;
     this.events = events;
-    this.unreadableSignals = new UnreadableSignals(events, "upstream-backoff-unreadable");
+    this.unreadableSignals = new UnreadableSignalLog(events, "upstream-backoff-unreadable");
   }
 
   /** Sets the action that is run when a backoff starts. */
@@ -89,7 +89,7 @@
   public void onAnswer(UpstreamRecord upstream, BackoffAnnouncement announcement) {
     switch (announcement.kind()) {
       case REQUESTED -> startOrExtend(upstream, announcement.duration());
-      case UNREADABLE -> unreadableSignals.note(upstream, announcement.text());
+      case UNREADABLE -> unreadableSignals.report(upstream, announcement.text());
       case NOTHING -> {}
       default ->
           throw new IllegalStateException("unknown announcement kind " + announcement.kind());
@@ -109,7 +109,7 @@
       return;
     }
     byIncarnation.values().removeIf(other -> other.isRampUpOver(now));
-    byIncarnation.put(upstream.start(), new Backoff(now, end));
+    byIncarnation.put(upstream.incarnationId(), new Backoff(now, end));
     events
         .change("upstream-backoff")
         .with("upstream", upstream.id())
@@ -183,13 +183,13 @@
   }
 
   private Optional<Backoff> findActive(UpstreamRecord upstream, long now) {
-    return Optional.ofNullable(byIncarnation.get(upstream.start()))
+    return Optional.ofNullable(byIncarnation.get(upstream.incarnationId()))
         .filter(each -> each.isActive(now));
   }
 
   /** Returns the backoff of an upstream, also during its ramp-up. */
   private Optional<Backoff> find(UpstreamRecord upstream, long now) {
-    Backoff backoff = byIncarnation.get(upstream.start());
+    Backoff backoff = byIncarnation.get(upstream.incarnationId());
     if (backoff == null) {
       return Optional.empty();
     }
@@ -198,7 +198,7 @@
       logEnd(upstream, backoff);
     }
     if (backoff.isRampUpOver(now)) {
-      byIncarnation.remove(upstream.start());
+      byIncarnation.remove(upstream.incarnationId());
       return Optional.empty();
     }
     return Optional.of(backoff);
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
@@ -11,7 +11,7 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLog;
 import org.gradeledge.time.MonotonicClock;
@@ -78,7 +78,7 @@
   private final Supplier<Collection<UpstreamRecord>> knownUpstreams;
   private final Map<String, KnownLimit> byIncarnation = new HashMap<>();
   private final Map<String, KnownLimit> lastLogged = new HashMap<>();
-  private final UnreadableSignals unreadableSignals;
+  private final UnreadableSignalLog unreadableSignals;
   private Runnable changeListener = () -> {};
 
   /**
@@ -91,7 +91,7 @@
     this.clock = clock;
     this.events = events;
     this.knownUpstreams = knownUpstreams;
-    this.unreadableSignals = new UnreadableSignals(events, "upstream-limit-unreadable");
+    this.unreadableSignals = new UnreadableSignalLog(events, "upstream-limit-unreadable");
   }
 
   /** Sets the action that is run when an answer to this box sets a first limit or lifts it. */
@@ -124,7 +124,7 @@
     switch (announcement.kind()) {
       case NAMED -> applyLimit(upstream, announcement.requestsPerSecond());
       case NO_LIMIT -> liftLimit(upstream, sentNanos);
-      case UNREADABLE -> unreadableSignals.note(upstream, announcement.text());
+      case UNREADABLE -> unreadableSignals.report(upstream, announcement.text());
       case NOTHING -> {}
       default ->
           throw new IllegalStateException("unknown announcement kind " + announcement.kind());
@@ -133,23 +133,23 @@
 
   private void applyLimit(UpstreamRecord upstream, double requestsPerSecond) {
     long rate = Math.round(Math.min(requestsPerSecond, MAX_REQUESTS_PER_SECOND) * THOUSAND_SECONDS);
-    boolean isNew = limitOf(upstream.start()).isEmpty();
-    if (put(upstream.start(), new KnownLimit(rate, clock.nanos()), "answer") && isNew) {
+    boolean isNew = limitOf(upstream.incarnationId()).isEmpty();
+    if (put(upstream.incarnationId(), new KnownLimit(rate, clock.nanos()), "answer") && isNew) {
       changeListener.run();
     }
   }
 
   private void liftLimit(UpstreamRecord upstream, long sentNanos) {
-    KnownLimit current = byIncarnation.get(upstream.start());
+    KnownLimit current = byIncarnation.get(upstream.incarnationId());
     if (current == null || sentNanos - current.confirmedNanos() <= 0) {
       return;
     }
     if (current.isLimit()) {
-      put(upstream.start(), new KnownLimit(LimitReport.LIFTED, sentNanos), "answer");
+      put(upstream.incarnationId(), new KnownLimit(LimitReport.LIFTED, sentNanos), "answer");
       changeListener.run();
     } else {
       // Keeps an older report of another box from counting as more recent.
-      byIncarnation.put(upstream.start(), current.confirmedAt(sentNanos));
+      byIncarnation.put(upstream.incarnationId(), current.confirmedAt(sentNanos));
     }
   }
 
@@ -180,7 +180,7 @@
   private boolean put(String incarnationId, KnownLimit newLimit, String source) {
     Optional<UpstreamRecord> upstream =
         knownUpstreams.get().stream()
-            .filter(each -> each.start().equals(incarnationId))
+            .filter(each -> each.incarnationId().equals(incarnationId))
             .findFirst();
     upstream.ifPresent(
         record -> {
@@ -191,9 +191,9 @@
   }
 
   private void log(UpstreamRecord upstream, KnownLimit newLimit, String source) {
-    @Nullable KnownLimit previous = lastLogged.get(upstream.start());
+    @Nullable KnownLimit previous = lastLogged.get(upstream.incarnationId());
     if (previous == null || newLimit.differsNoticeablyFrom(previous)) {
-      lastLogged.put(upstream.start(), newLimit);
+      lastLogged.put(upstream.incarnationId(), newLimit);
       events
           .change(newLimit.isLimit() ? "upstream-limit" : "upstream-limit-lifted")
           .with("upstream", upstream.id())
@@ -210,7 +210,7 @@
       return List.of();
     }
     Set<String> knownIncarnationIds =
-        knownUpstreams.get().stream().map(UpstreamRecord::start).collect(toSet());
+        knownUpstreams.get().stream().map(UpstreamRecord::incarnationId).collect(toSet());
     byIncarnation.keySet().retainAll(knownIncarnationIds);
     lastLogged.keySet().retainAll(knownIncarnationIds);
     long now = clock.nanos();
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamRateLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamRateLimiter.java
@@ -120,7 +120,7 @@
   }
 
   private Optional<Allocation> allocation(UpstreamRecord upstream) {
-    String incarnationId = upstream.start();
+    String incarnationId = upstream.incarnationId();
     OptionalDouble limit = limits.limitOf(incarnationId);
     if (limit.isEmpty()) {
       allocations.remove(incarnationId);
@@ -141,6 +141,6 @@
   private Optional<LimitShare> share(UpstreamRecord upstream, double limit) {
     return hasSingleSender.test(upstream.service())
         ? Optional.of(LimitShare.forSingleSender(limit))
-        : rank.apply(upstream.start()).flatMap(box -> LimitShare.of(limit, box));
+        : rank.apply(upstream.incarnationId()).flatMap(box -> LimitShare.of(limit, box));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshMessages.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshMessages.java
@@ -43,6 +43,6 @@
     network.register(StageCancel.class, new StageCancelFormat());
     network.register(StageFree.class, new StageFreeFormat());
     network.register(StageInputsTaken.class, new StageInputsTakenFormat());
-    network.register(SuspectUpdate.class, new SuspectNewsFormat());
+    network.register(SuspectUpdate.class, new SuspectsFormat());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxBeliefs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
@@ -15,17 +15,17 @@
  *
  * @param deployments configuration in force
  * @param upstreams upstreams that are known
- * @param board load and health of upstreams
- * @param toCome pieces that requests will want made
+ * @param upstreamLoads load and health of upstreams
+ * @param pendingPieces pieces that requests will want made
  * @param quarantine requests that end upstreams
  * @param limits limits that upstreams name
  * @since 0.3
  */
-public record BoxBeliefs(
+public record SharedBoxState(
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    UpstreamLoads board,
-    PiecesToCome toCome,
+    UpstreamLoads upstreamLoads,
+    PiecesToCome pendingPieces,
     Quarantine quarantine,
     UpstreamLimits limits) {
 
@@ -44,32 +44,32 @@
         deployments.revision(),
         upstreams.changedAt(),
         List.of(),
-        board.ownLoads(),
+        upstreamLoads.ownLoads(),
         backlogMillis,
-        toCome.own(),
+        pendingPieces.own(),
         upstreams.evacuations(),
         quarantine.digest(),
-        upstreams.trust().code(),
+        upstreams.listTrust().code(),
         number,
         limits.reports(),
-        upstreams.leavingAsTheySaid());
+        upstreams.announcedLeaving());
   }
 
   /** Forgets what a box told of itself, as it is lost. */
-  void forget(String box) {
-    board.setPeerLoads(box, Map.of());
-    toCome.forget(box);
+  void removeBox(String box) {
+    upstreamLoads.setPeerLoads(box, Map.of());
+    pendingPieces.forget(box);
   }
 
   /**
    * Takes in what a box tells; returns whether that orders the evacuation of other zones than
    * before, or tells of a limit or of an upstream that leaves which was not known.
    */
-  boolean heard(String box, Heartbeat beat, long ageMillis) {
-    board.setPeerLoads(box, beat.shares());
-    toCome.told(box, beat.piecesToCome());
+  boolean applyHeartbeat(String box, Heartbeat beat, long ageMillis) {
+    upstreamLoads.setPeerLoads(box, beat.loadShares());
+    pendingPieces.told(box, beat.pendingPieces());
     boolean limited = limits.merge(box, beat.limits(), ageMillis);
-    boolean leaving = upstreams.toldLeaving(box, beat.leavingUpstreams());
-    return upstreams.evacuate(beat.evacuations()) || limited || leaving;
+    boolean leaving = upstreams.applyPeerLeavingAnnouncements(box, beat.leavingUpstreams());
+    return upstreams.applyEvacuations(beat.evacuations()) || limited || leaving;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectNewsFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
@@ -10,7 +10,7 @@
 import org.msgpack.core.MessagePacker;
 
 /** News of requests under which upstreams ended, as arrays. */
-final class SuspectNewsFormat implements MessageFormat<SuspectUpdate> {
+final class SuspectsFormat implements MessageFormat<SuspectUpdate> {
 
   private static final int FIELDS = 2;
   private static final int REPORT_FIELDS = 5;
@@ -46,7 +46,7 @@
     int more = reader.beginRecord(FIELDS);
     SuspectUpdate news =
         new SuspectUpdate(
-            reader.list(SuspectNewsFormat::readReport), reader.list(MessageReader::text));
+            reader.list(SuspectsFormat::readReport), reader.list(MessageReader::text));
     reader.skip(more);
     return news;
   }
@@ -56,7 +56,7 @@
     SuspectReport report =
         new SuspectReport(
             new RequestFingerprint(reader.number(), reader.number(), reader.integer()),
-            reader.list(SuspectNewsFormat::readEnd),
+            reader.list(SuspectsFormat::readEnd),
             reader.flag());
     reader.skip(more);
     return report;
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
@@ -8,8 +8,8 @@
 import org.gradeledge.connection.SignalReader;
 import org.gradeledge.connection.UpstreamSignals;
 import org.gradeledge.deployment.ServiceDefinition;
-import org.gradeledge.discovery.LeavingStatement;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.LeavingAnnouncement;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
@@ -33,7 +33,7 @@
   private final Function<String, Optional<ServiceDefinition>> services;
   private final UpstreamLimits limits;
   private final UpstreamBackoffs backoffs;
-  private final UnreadableSignals unreadableLeaving;
+  private final UnreadableSignalLog unreadableLeaving;
 
   UpstreamSending(
       MonotonicClock clock,
@@ -45,7 +45,7 @@
     this.services = services;
     this.limits = new UpstreamLimits(clock, events, upstreams::all);
     this.backoffs = new UpstreamBackoffs(clock, events);
-    this.unreadableLeaving = new UnreadableSignals(events, "upstream-leaving-unreadable");
+    this.unreadableLeaving = new UnreadableSignalLog(events, "upstream-leaving-unreadable");
   }
 
   /** Returns the limits that are known. */
@@ -57,31 +57,31 @@
   void show(RelayMetrics metrics, UpstreamRateLimiter limited) {
     metrics.watchLimits(limits::limitedCount, limited::skipped);
     metrics.watchSignals(
-        () -> upstreams.leavingAsTheySaid().size(), backoffs::activeCount, backoffs::skipped);
+        () -> upstreams.announcedLeaving().size(), backoffs::activeCount, backoffs::skipped);
   }
 
   /** Reads what all answers say of their upstreams, and has the mesh tell what is new at once. */
   void listen(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
-    caller.onAnswer(
+    caller.onResponse(
         (upstream, head) -> {
           UpstreamSignals signals =
               reader.read(head.request().uri(), head.status(), head.headers());
-          limits.onAnswer(upstream, head.sentNanos(), signals.limit());
+          limits.onAnswer(upstream, head.sentAtNanos(), signals.limit());
           backoffs.onAnswer(upstream, signals.backoff());
           leaving(upstream, signals.leaving());
-          if (head.closes()) {
-            upstreams.closesConnections(upstream);
+          if (head.closesConnection()) {
+            upstreams.recordConnectionClose(upstream);
           }
         });
-    limits.onChange(mesh::tellNow);
-    upstreams.onAnnounced(mesh::tellNow);
-    backoffs.onBackoffStarted(caller::holdOff);
+    limits.onChange(mesh::announceNow);
+    upstreams.onLeavingAnnounced(mesh::announceNow);
+    backoffs.onBackoffStarted(caller::backOff);
   }
 
-  private void leaving(UpstreamRecord upstream, LeavingStatement statement) {
+  private void leaving(UpstreamRecord upstream, LeavingAnnouncement statement) {
     switch (statement.kind()) {
-      case LEAVES -> upstreams.announcesLeaving(upstream);
-      case UNREADABLE -> unreadableLeaving.note(upstream, statement.text());
+      case LEAVES -> upstreams.recordLeavingAnnouncement(upstream);
+      case UNREADABLE -> unreadableLeaving.report(upstream, statement.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("unknown statement " + statement.kind());
     }
@@ -116,7 +116,7 @@
             service -> services.apply(service).flatMap(ServiceDefinition::coldStart));
     upstreams.onCold(cold::onColdAnnounced);
     upstreams.onRestored(zones -> cold.onRestored(upstreams.inZones(zones)));
-    upstreams.onEnd(cold::remove);
+    upstreams.onRetired(cold::remove);
     return cold;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 import org.gradeledge.connection.CallFailure;
-import org.gradeledge.connection.UpstreamCall;
+import org.gradeledge.connection.CancellableCall;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.jspecify.annotations.Nullable;
 
@@ -15,7 +15,7 @@
   private final UpstreamRecord upstream;
   private final long tokens;
   private final long startNanos;
-  private @Nullable UpstreamCall call;
+  private @Nullable CancellableCall call;
   private boolean over;
   private boolean notRun;
 
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public final void started(UpstreamCall started) {
+  public final void started(CancellableCall started) {
     call = started;
     if (over) {
       started.cancel();
@@ -62,14 +62,14 @@
   @Override
   public final void giveUpSilent() {
     cancel();
-    services.caller().forget(upstream);
+    services.caller().discardConnections(upstream);
     services.board().recordFailure(upstream, true, "silent");
   }
 
   @Override
   public final void onHead(int status, HttpHeaders headers) {
     services.board().recordActivity(upstream);
-    services.quarantine().recordAlive(upstream.start());
+    services.quarantine().recordAlive(upstream.incarnationId());
     AnswerFacts facts = services.protocol().readAnswer(status, headers);
     notRun = facts.notRun();
     if (!notRun) {
@@ -92,14 +92,14 @@
   @Override
   public final void onFailure(CallFailure failure) {
     if (finish()) {
-      services.metrics().attempt(failure.sent() ? "broken" : "not_sent");
+      services.metrics().attempt(failure.isRequestSent() ? "broken" : "not_sent");
       noteFailure(failure);
       onBroken(failure);
     }
   }
 
   private void noteFailure(CallFailure failure) {
-    if (failure.blamesUpstream()) {
+    if (failure.isUpstreamFault()) {
       boolean certain = failure == CallFailure.NOT_CONNECTED;
       services.board().recordFailure(upstream, certain, failure.name());
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
@@ -174,7 +174,7 @@
   public void failed(Attempt ended, CallFailure failure) {
     timers.stopWatch();
     outcome.failed(ended.upstream(), failure);
-    if (failure.sent()) {
+    if (failure.isRequestSent()) {
       boolean mayRun = history.mayRunAgain();
       history.mayHaveRun();
       standing.broken(ended.upstream(), () -> brokenOff(mayRun, failure));
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
@@ -2,8 +2,8 @@
 
 import io.netty.channel.EventLoop;
 import org.gradeledge.batch.StageWorkClient;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.UpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
@@ -48,7 +48,7 @@
     SendLimiter sending,
     RetryBudget budget,
     UpstreamCaller caller,
-    UpstreamEnds ends,
+    LivenessChecker ends,
     Quarantine quarantine,
     QuarantineTrials trials,
     RelayProtocol protocol,
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestStanding.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestStanding.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.gradeledge.connection.UpstreamProof;
+import org.gradeledge.connection.LivenessResult;
 import org.gradeledge.deployment.ClientAccount;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.quarantine.Quarantine;
@@ -109,7 +109,7 @@
     boolean suspect = isKnown() && quarantine.crashCount(fingerprint()) > 0;
     services
         .ends()
-        .prove(
+        .check(
             upstream,
             proof -> {
               proved(upstream, proof);
@@ -123,18 +123,18 @@
   }
 
   /** Only a refusal shows an end: what is silent may be a network that parts this box from it. */
-  private void proved(UpstreamRecord upstream, UpstreamProof proof) {
+  private void proved(UpstreamRecord upstream, LivenessResult proof) {
     services
         .events()
         .problem("upstream-broke-off")
         .with("fingerprint", fingerprint().toString())
         .with("request", admitted.request().id())
-        .with("upstream", upstream.start())
+        .with("upstream", upstream.incarnationId())
         .with("service", upstream.service())
         .with("proof", proof.name())
         .write();
-    if (proof == UpstreamProof.REFUSED) {
-      quarantine.recordCrash(fingerprint(), upstream.start());
+    if (proof == LivenessResult.REFUSED) {
+      quarantine.recordCrash(fingerprint(), upstream.incarnationId());
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
@@ -58,7 +58,7 @@
   Optional<UpstreamRecord> next() {
     List<UpstreamRecord> left = notTried().filter(this::isAdmitted).toList();
     Optional<UpstreamRecord> chosen = services.chooser().choose(left, demand());
-    chosen.ifPresent(upstream -> tried.add(upstream.start()));
+    chosen.ifPresent(upstream -> tried.add(upstream.incarnationId()));
     chosen.ifPresent(services.sending()::recordSent);
     return chosen;
   }
@@ -80,7 +80,7 @@
 
   private Stream<UpstreamRecord> notTried() {
     return services.upstreams().usable(service).stream()
-        .filter(each -> !tried.contains(each.start()));
+        .filter(each -> !tried.contains(each.incarnationId()));
   }
 
   /**
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -110,7 +110,7 @@
     private Flux<UpstreamEvent> call(UpstreamState upstream) {
       attempts++;
       tried.add(upstream.definition().id());
-      upstream.started();
+      upstream.recordCallStarted();
       context.progress().callStarted();
       CallEnd end = new CallEnd(upstream, clock.nanos());
       return withinAttemptLimit(protocol.call(upstreamCall(upstream)))
@@ -207,11 +207,11 @@
         long nanos = clock.nanos() - startNanos;
         switch (result) {
           case USED -> {
-            upstream.succeeded(nanos);
+            upstream.recordCallSucceeded(nanos);
             context.limits().limiter(stage).completed(nanos);
           }
-          case FAILED -> upstream.failed();
-          default -> upstream.cancelled();
+          case FAILED -> upstream.recordCallFailed();
+          default -> upstream.recordCallCancelled();
         }
         metrics
             .costs()
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/ColdStartLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/ColdStartLimiter.java
@@ -80,7 +80,7 @@
 
   /** Limits an upstream for the time for which it announced to be cold. */
   public void onColdAnnounced(UpstreamRecord upstream) {
-    extend(upstream.start(), Duration.ofMillis(upstream.coldMillis()));
+    extend(upstream.incarnationId(), Duration.ofMillis(upstream.coldMillis()));
   }
 
   /** Limits upstreams that return to service as after a start. */
@@ -89,12 +89,12 @@
         upstream ->
             coldStartLimits
                 .apply(upstream.service())
-                .ifPresent(limit -> extend(upstream.start(), limit.lasts())));
+                .ifPresent(limit -> extend(upstream.incarnationId(), limit.lasts())));
   }
 
   /** Removes an upstream that is gone. */
   public void remove(UpstreamRecord upstream) {
-    allowances.remove(upstream.start());
+    allowances.remove(upstream.incarnationId());
   }
 
   private void extend(String incarnationId, Duration duration) {
@@ -115,7 +115,7 @@
 
   @Override
   public void recordSent(UpstreamRecord upstream) {
-    Optional.ofNullable(allowances.get(upstream.start()))
+    Optional.ofNullable(allowances.get(upstream.incarnationId()))
         .ifPresent(allowance -> allowance.bucket.take());
   }
 
@@ -141,14 +141,14 @@
 
   /** Returns the refilled bucket of an upstream, empty if it is not cold. */
   private Optional<TokenBucket> refilledBucket(UpstreamRecord upstream) {
-    Allowance allowance = allowances.get(upstream.start());
+    Allowance allowance = allowances.get(upstream.incarnationId());
     if (allowance == null) {
       return Optional.empty();
     }
     long now = clock.nanos();
     Optional<ColdStart> limit = coldStartLimits.apply(upstream.service());
     if (limit.isEmpty() || now - allowance.endNanos >= 0) {
-      allowances.remove(upstream.start());
+      allowances.remove(upstream.incarnationId());
       return Optional.empty();
     }
     allowance.bucket.refill(shareOfLimit(limit.get()), MAX_TOKENS, now);
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
@@ -45,14 +45,14 @@
    */
   private double lowestLatencyMillis(List<UpstreamRecord> upstreams) {
     return upstreams.stream()
-        .mapToDouble(each -> loads.load(each.start()).latencyMillis())
+        .mapToDouble(each -> loads.load(each.incarnationId()).latencyMillis())
         .filter(millis -> millis > 0)
         .min()
         .orElse(DEFAULT_LATENCY_MILLIS);
   }
 
   private double score(UpstreamRecord upstream, Demand demand, double defaultMillis) {
-    UpstreamLoad load = loads.load(upstream.start());
+    UpstreamLoad load = loads.load(upstream.incarnationId());
     int slots = Math.max(1, upstream.slots());
     double queueFactor = 1 + (double) load.totalInFlight() / slots;
     double overloadFactor = load.totalInFlight() >= slots ? 1 + load.totalInFlight() - slots : 1;
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
@@ -72,7 +72,7 @@
 
   private Candidate candidate(UpstreamRecord upstream, String key) {
     long weight = RendezvousHash.weight(key, upstream.id());
-    return new Candidate(upstream, weight, loads.load(upstream.start()).totalMemory());
+    return new Candidate(upstream, weight, loads.load(upstream.incarnationId()).totalMemory());
   }
 
   private static List<UpstreamRecord> restrictToZoneIfCheaper(
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoads.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoads.java
@@ -31,7 +31,7 @@
 
   /** Records a request sent to an upstream. */
   public void recordStart(UpstreamRecord upstream, long memory) {
-    UpstreamLoad load = load(upstream.start());
+    UpstreamLoad load = load(upstream.incarnationId());
     if (load.ownLoad().inFlight() == 0) {
       load.recordActivity(clock.nanos());
     }
@@ -40,7 +40,7 @@
 
   /** Records the end of a request, whatever its result. */
   public void recordEnd(UpstreamRecord upstream, long memory) {
-    load(upstream.start()).recordEnd(memory);
+    load(upstream.incarnationId()).recordEnd(memory);
   }
 
   /** Adds memory that results occupy at an incarnation of an upstream; negative to release it. */
@@ -53,17 +53,17 @@
 
   /** Returns the number of requests that other boxes have in flight at an upstream. */
   public int inFlightAtPeers(UpstreamRecord upstream) {
-    return load(upstream.start()).inFlightAtPeers();
+    return load(upstream.incarnationId()).inFlightAtPeers();
   }
 
   /** Returns the memory that other boxes use at an upstream. */
   public long memoryAtPeers(UpstreamRecord upstream) {
-    return load(upstream.start()).memoryAtPeers();
+    return load(upstream.incarnationId()).memoryAtPeers();
   }
 
   /** Records a successful call and its latency in milliseconds. */
   public void recordSuccess(UpstreamRecord upstream, double millis) {
-    load(upstream.start()).recordSuccess(millis);
+    load(upstream.incarnationId()).recordSuccess(millis);
   }
 
   /**
@@ -72,7 +72,7 @@
    * @param certain whether this failure alone shows that the upstream is unavailable
    */
   public void recordFailure(UpstreamRecord upstream, boolean certain, String reason) {
-    if (load(upstream.start()).recordFailure(certain, clock.nanos())) {
+    if (load(upstream.incarnationId()).recordFailure(certain, clock.nanos())) {
       events
           .change("upstream-avoided")
           .with("upstream", upstream.id())
@@ -84,17 +84,17 @@
 
   /** Avoids an upstream for some time after it reported that it is full. */
   public void avoidFor(UpstreamRecord upstream, long millis) {
-    load(upstream.start()).avoidFor(millis, clock.nanos());
+    load(upstream.incarnationId()).avoidFor(millis, clock.nanos());
   }
 
   /** Records that data was received from an upstream. */
   public void recordActivity(UpstreamRecord upstream) {
-    load(upstream.start()).recordActivity(clock.nanos());
+    load(upstream.incarnationId()).recordActivity(clock.nanos());
   }
 
   /** Returns how long an upstream has sent nothing while this box had requests in flight there. */
   public long silentMillis(UpstreamRecord upstream) {
-    return load(upstream.start()).silentMillis(clock.nanos());
+    return load(upstream.incarnationId()).silentMillis(clock.nanos());
   }
 
   /** Replaces the loads reported by a peer. */
@@ -125,16 +125,18 @@
 
   /** Removes an upstream without requests in flight. */
   public void remove(UpstreamRecord upstream) {
-    UpstreamLoad load = byIncarnation.get(upstream.start());
+    UpstreamLoad load = byIncarnation.get(upstream.incarnationId());
     if (load != null && load.ownLoad().inFlight() == 0) {
-      byIncarnation.remove(upstream.start());
+      byIncarnation.remove(upstream.incarnationId());
     }
   }
 
   /** Returns the candidates that are not avoided, or all if there are none. */
   public List<UpstreamRecord> preferred(List<UpstreamRecord> candidates) {
     List<UpstreamRecord> available =
-        candidates.stream().filter(each -> !load(each.start()).isAvoided(clock.nanos())).toList();
+        candidates.stream()
+            .filter(each -> !load(each.incarnationId()).isAvoided(clock.nanos()))
+            .toList();
     return available.isEmpty() ? candidates : available;
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
@@ -70,13 +70,13 @@
   void whatWaitsIsNotGivenToAnUpstreamThatHasJustEnded(End end) throws Exception {
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
     submit("under-way");
-    assertThat(caller.next().body()).isEqualTo("under-way:0");
+    assertThat(caller.nextCall().body()).isEqualTo("under-way:0");
     submit("waiting");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     onLoop(() -> end.news.accept(upstreams));
 
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -84,15 +84,15 @@
     UpstreamRecord other = new UpstreamRecord("u2", "service", "10.0.0.2", 2, "zone", 1, false);
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
     submit("under-way");
-    caller.next();
+    caller.nextCall();
     submit("waiting");
 
     onLoop(() -> upstreams.update(2, List.of(upstream(true), other), List.of()));
 
-    FakeUpstreamCaller.Call call = caller.next();
+    FakeUpstreamCaller.Call call = caller.nextCall();
     assertThat(call.target()).isEqualTo(other);
     assertThat(call.body()).isEqualTo("waiting:0");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   private void submit(String request) throws InterruptedException {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
@@ -87,7 +87,7 @@
 
     coordinator.submit(StageGroups.group("a", 2), result -> {});
 
-    assertThat(caller.next().target()).isEqualTo(SECOND);
+    assertThat(caller.nextCall().target()).isEqualTo(SECOND);
   }
 
   @Test
@@ -96,12 +96,12 @@
     rule.left.put(FIRST.id(), 0);
     coordinator.submit(StageGroups.group("a", 2), result -> {});
     pass(300);
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     rule.left.put(FIRST.id(), 1);
     pass(50);
 
-    assertThat(caller.next().target()).isEqualTo(FIRST);
+    assertThat(caller.nextCall().target()).isEqualTo(FIRST);
     assertThat(rule.left).containsEntry(FIRST.id(), 0);
   }
 
@@ -113,13 +113,13 @@
     pass(150);
     coordinator.free(List.of("10.0.0.1:1/y"));
     pass(150);
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     rule.left.put(FIRST.id(), 1);
     pass(150);
 
-    assertThat(caller.next().body().split(" ")).containsExactly("10.0.0.1:1/x", "10.0.0.1:1/y");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.nextCall().body().split(" ")).containsExactly("10.0.0.1:1/x", "10.0.0.1:1/y");
+    assertThat(caller.hasNoCalls()).isTrue();
     assertThat(rule.left).containsEntry(FIRST.id(), 0);
   }
 
@@ -134,7 +134,7 @@
     coordinator.free(List.of("10.0.0.1:2/y"));
     pass(10);
 
-    assertThat(caller.next().target()).isEqualTo(SECOND);
+    assertThat(caller.nextCall().target()).isEqualTo(SECOND);
   }
 
   // Guards against releases that gather without end for one that takes none for a long time.
@@ -149,7 +149,7 @@
     rule.left.put(FIRST.id(), 1);
     pass(150);
 
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
@@ -13,7 +13,7 @@
 class UpstreamLimitsTests {
 
   private static final UpstreamRecord UPSTREAM = upstream("u", 1);
-  private static final String INCARNATION_ID = UPSTREAM.start();
+  private static final String INCARNATION_ID = UPSTREAM.incarnationId();
   private static final String OTHER_BOX = "other";
 
   private long nowMillis = 100_000;
@@ -40,7 +40,7 @@
   void limitAppliesToOneIncarnation() {
     answer(LimitAnnouncement.named(1), 0);
 
-    assertThat(limits.limitOf(upstream("u", 2).start())).isEmpty();
+    assertThat(limits.limitOf(upstream("u", 2).incarnationId())).isEmpty();
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitsAmongBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitExchangeTests.java
@@ -17,14 +17,14 @@
 
 /** A limit that one box has heard is known to all, few or many, and each has its own place. */
 @Timeout(120)
-class LimitsAmongBoxesTests {
+class LimitExchangeTests {
 
   private static final int FEW = 4;
   private static final int MANY = 18;
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("u", "service", "10.0.0.1", 1, "zone", 8, false);
 
-  private final BoxesInOneProcess boxes = new BoxesInOneProcess();
+  private final InProcessBoxes boxes = new InProcessBoxes();
 
   @AfterEach
   void stop() {
@@ -37,10 +37,10 @@
     start(count);
 
     answer(LimitAnnouncement.named(1.3));
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isPresent()));
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isPresent()));
 
     answer(LimitAnnouncement.NO_LIMIT);
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isEmpty()));
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isEmpty()));
   }
 
   @ParameterizedTest
@@ -48,12 +48,12 @@
   void aBoxThatComesLaterHearsOfIt(int count) throws Exception {
     start(count);
     answer(LimitAnnouncement.named(2));
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isPresent()));
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isPresent()));
 
     boxes.startBox();
     list(count);
 
-    boxes.await(() -> boxes.limits().get(count).limitOf(UPSTREAM.start()).isPresent());
+    boxes.await(() -> boxes.limits().get(count).limitOf(UPSTREAM.incarnationId()).isPresent());
     assertThat(boxes.onLoop(() -> boxes.limits().get(count).reports()))
         .extracting(LimitReport::requestsPer1000Seconds)
         .containsExactly(2_000L);
@@ -69,7 +69,7 @@
 
   private List<Integer> ranks(int count) {
     return boxes.meshes().stream()
-        .flatMap(mesh -> mesh.rank(UPSTREAM.start()).stream())
+        .flatMap(mesh -> mesh.rank(UPSTREAM.incarnationId()).stream())
         .filter(rank -> rank.boxCount() == count)
         .map(rank -> rank.rank())
         .sorted()
@@ -84,7 +84,7 @@
     boxes.startBoxes(count);
     IntStream.range(0, count).forEach(this::list);
     if (count == MANY) {
-      boxes.awaitWholeViews(count);
+      boxes.awaitCompleteViews(count);
     }
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
@@ -147,7 +147,7 @@
               random.nextBoolean()));
     }
     SuspectUpdate news = new SuspectUpdate(reports, RandomMessages.texts(random));
-    SuspectNewsFormat format = new SuspectNewsFormat();
+    SuspectsFormat format = new SuspectsFormat();
 
     assertThat(MessageFormats.read(format, MessageFormats.write(format, news))).isEqualTo(news);
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/SuspectExchangeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/SuspectExchangeTests.java
@@ -19,7 +19,7 @@
   private static final RequestFingerprint GUILTY = new RequestFingerprint(1, 2, 3);
   private static final RequestFingerprint INNOCENT = new RequestFingerprint(4, 5, 6);
 
-  private final BoxesInOneProcess boxes = new BoxesInOneProcess();
+  private final InProcessBoxes boxes = new InProcessBoxes();
 
   @AfterEach
   void stop() {
@@ -76,7 +76,7 @@
 
   private void start(int count) throws Exception {
     boxes.startBoxes(count);
-    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.boxes() == count));
+    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == count));
   }
 
   private Quarantine newest() {
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/RelayInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/RelayInVirtualTime.java
@@ -15,8 +15,8 @@
 import java.util.function.Function;
 import org.gradeledge.connection.ConnectionReuse;
 import org.gradeledge.connection.FakeUpstreamCaller;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.OutgoingRequest;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
@@ -111,7 +111,7 @@
             sending,
             new RetryBudget(clock, 1, 100, Duration.ofSeconds(10), () -> 1),
             caller,
-            new UpstreamEnds(caller, upstreams::hasLeft),
+            new LivenessChecker(caller, upstreams::hasLeft),
             quarantine,
             trials,
             new PlainProtocol(),
