--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
@@ -1,8 +1,8 @@
 package org.gradeledge.connection;
 
 import org.gradeledge.discovery.LeavingAnnouncement;
-import org.gradeledge.limit.BackoffStatement;
-import org.gradeledge.limit.LimitStatement;
+import org.gradeledge.limit.BackoffAnnouncement;
+import org.gradeledge.limit.LimitAnnouncement;
 
 /**
  * What the head of a response reports about the upstream, independent of the request.
@@ -13,10 +13,10 @@
  * @since 0.5
  */
 public record UpstreamSignals(
-    LimitStatement limit, LeavingAnnouncement leaving, BackoffStatement backoff) {
+    LimitAnnouncement limit, LeavingAnnouncement leaving, BackoffAnnouncement backoff) {
 
   /** Signals of a response that was sent by another upstream. */
   public static final UpstreamSignals NONE =
       new UpstreamSignals(
-          LimitStatement.NOTHING, LeavingAnnouncement.NOTHING, BackoffStatement.NOTHING);
+          LimitAnnouncement.NOTHING, LeavingAnnouncement.NOTHING, BackoffAnnouncement.NOTHING);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
@@ -18,206 +18,213 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The limits that upstreams name in their answers, as this box and others have heard them. A limit
- * belongs to one start of an upstream and holds until that start names none any more or is gone.
+ * The rate limits that upstreams announced to this box and to others. A limit applies to one
+ * incarnation of an upstream until that incarnation no longer announces it or is gone.
  *
- * <p>Answers pass each other: one without a limit lifts it only if its request was sent after the
- * limit was last named. Of what boxes tell each other the younger holds. Confined to the event
- * loop.
+ * <p>Answers may overtake each other: an answer without a limit lifts it only if its request was
+ * sent after the limit was last announced. Of conflicting reports from boxes the more recent one
+ * applies. Confined to the event loop.
  *
  * @since 0.4
  */
 public final class UpstreamLimits {
 
-  /** Others still hear of a lifted limit for so long; 25 heartbeats among many boxes. */
-  private static final Duration LIFTED_TOLD = Duration.ofSeconds(10);
+  /** Time for which a lifted limit is reported to other boxes. */
+  private static final Duration LIFTED_REPORT_PERIOD = Duration.ofSeconds(10);
 
   private static final double THOUSAND_SECONDS = 1_000;
 
-  /** A rate beyond this is as good as none; it keeps sums of rates in bounds. */
-  private static final double MOST_PER_SECOND = 1e9;
+  /** Upper bound of a rate; keeps sums of rates finite. */
+  private static final double MAX_REQUESTS_PER_SECOND = 1e9;
 
-  /** An upstream may name another figure in each answer: only larger changes are worth a line. */
-  private static final double LOGGED_CHANGE = 1.2;
+  /** Smaller changes of a limit are not logged. */
+  private static final double MIN_LOGGED_CHANGE_FACTOR = 1.2;
 
-  private static final long NANOS_OF_MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * What is known of one start: a rate, or that there is none any more.
+   * The last announcement of one incarnation: a limit, or that it was lifted.
    *
-   * @param notedNanos when that was last shown
-   * @param sinceNanos when it was first shown
+   * @param confirmedNanos when it was last confirmed
+   * @param firstSeenNanos when it was first received
    */
-  private record Known(long perThousandSeconds, long notedNanos, long sinceNanos) {
+  private record KnownLimit(long requestsPer1000Seconds, long confirmedNanos, long firstSeenNanos) {
 
-    Known(long perThousandSeconds, long notedNanos) {
-      this(perThousandSeconds, notedNanos, notedNanos);
+    KnownLimit(long requestsPer1000Seconds, long confirmedNanos) {
+      this(requestsPer1000Seconds, confirmedNanos, confirmedNanos);
     }
 
-    Known shownAgain(long shownNanos) {
-      return new Known(perThousandSeconds, shownNanos, sinceNanos);
+    KnownLimit confirmedAt(long newConfirmedNanos) {
+      return new KnownLimit(requestsPer1000Seconds, newConfirmedNanos, firstSeenNanos);
     }
 
     boolean isLimit() {
-      return perThousandSeconds != LimitReport.LIFTED;
+      return requestsPer1000Seconds != LimitReport.LIFTED;
     }
 
-    double perSecond() {
-      return perThousandSeconds / THOUSAND_SECONDS;
+    double requestsPerSecond() {
+      return requestsPer1000Seconds / THOUSAND_SECONDS;
     }
 
-    boolean isFarFrom(Known other) {
-      double smaller = Math.min(perThousandSeconds, other.perThousandSeconds);
-      double larger = Math.max(perThousandSeconds, other.perThousandSeconds);
-      return isLimit() != other.isLimit() || larger > smaller * LOGGED_CHANGE;
+    boolean differsNoticeablyFrom(KnownLimit other) {
+      double smaller = Math.min(requestsPer1000Seconds, other.requestsPer1000Seconds);
+      double larger = Math.max(requestsPer1000Seconds, other.requestsPer1000Seconds);
+      return isLimit() != other.isLimit() || larger > smaller * MIN_LOGGED_CHANGE_FACTOR;
     }
   }
 
   private final MonotonicClock clock;
   private final EventLog events;
-  private final Supplier<Collection<UpstreamRecord>> listed;
-  private final Map<String, Known> byStart = new HashMap<>();
-  private final Map<String, Known> logged = new HashMap<>();
-  private final UnreadableSignalLog unreadable;
-  private Runnable onNews = () -> {};
+  private final Supplier<Collection<UpstreamRecord>> knownUpstreams;
+  private final Map<String, KnownLimit> byIncarnation = new HashMap<>();
+  private final Map<String, KnownLimit> lastLogged = new HashMap<>();
+  private final UnreadableSignalLog unreadableSignals;
+  private Runnable changeListener = () -> {};
 
   /**
-   * Creates it; no limit is known.
+   * Creates an instance without limits.
    *
-   * @param listed all upstreams that are known; what is told of others is passed over
+   * @param knownUpstreams all known upstreams; reports on others are ignored
    */
   public UpstreamLimits(
-      MonotonicClock clock, EventLog events, Supplier<Collection<UpstreamRecord>> listed) {
+      MonotonicClock clock, EventLog events, Supplier<Collection<UpstreamRecord>> knownUpstreams) {
     this.clock = clock;
     this.events = events;
-    this.listed = listed;
-    this.unreadable = new UnreadableSignalLog(events, "upstream-limit-unreadable");
+    this.knownUpstreams = knownUpstreams;
+    this.unreadableSignals = new UnreadableSignalLog(events, "upstream-limit-unreadable");
   }
 
-  /** Runs an action whenever this box itself hears a first limit of an upstream, or its end. */
-  public void onNews(Runnable action) {
-    onNews = action;
+  /** Sets the action that is run when an answer to this box sets a first limit or lifts it. */
+  public void onChange(Runnable action) {
+    changeListener = action;
   }
 
-  /** Returns how many requests a second a start takes from all boxes, empty without a limit. */
-  public OptionalDouble limitOf(String start) {
-    Known known = byStart.get(start);
-    return known == null || !known.isLimit()
+  /**
+   * Returns the limit of an incarnation in requests per second from all boxes, empty without a
+   * limit.
+   */
+  public OptionalDouble limitOf(String incarnationId) {
+    KnownLimit current = byIncarnation.get(incarnationId);
+    return current == null || !current.isLimit()
         ? OptionalDouble.empty()
-        : OptionalDouble.of(known.perSecond());
+        : OptionalDouble.of(current.requestsPerSecond());
   }
 
-  /** Returns how many starts have a limit. */
-  public long count() {
-    return byStart.values().stream().filter(Known::isLimit).count();
+  /** Returns the number of incarnations with a limit. */
+  public long limitedCount() {
+    return byIncarnation.values().stream().filter(KnownLimit::isLimit).count();
   }
 
   /**
-   * Takes in what an answer says.
+   * Applies the limit in an answer.
    *
    * @param sentNanos when its request was sent
    */
-  public void answered(UpstreamRecord upstream, long sentNanos, LimitStatement statement) {
-    switch (statement.kind()) {
-      case NAMED -> named(upstream, statement.perSecond());
-      case NO_LIMIT -> lifted(upstream, sentNanos);
-      case UNREADABLE -> unreadable.report(upstream, statement.text());
+  public void onAnswer(UpstreamRecord upstream, long sentNanos, LimitAnnouncement announcement) {
+    switch (announcement.kind()) {
+      case NAMED -> applyLimit(upstream, announcement.requestsPerSecond());
+      case NO_LIMIT -> liftLimit(upstream, sentNanos);
+      case UNREADABLE -> unreadableSignals.report(upstream, announcement.text());
       case NOTHING -> {}
-      default -> throw new IllegalStateException("unknown statement " + statement.kind());
+      default ->
+          throw new IllegalStateException("unknown announcement kind " + announcement.kind());
     }
   }
 
-  private void named(UpstreamRecord upstream, double perSecond) {
-    long rate = Math.round(Math.min(perSecond, MOST_PER_SECOND) * THOUSAND_SECONDS);
-    boolean news = limitOf(upstream.incarnationId()).isEmpty();
-    if (put(upstream.incarnationId(), new Known(rate, clock.nanos()), "answer") && news) {
-      onNews.run();
+  private void applyLimit(UpstreamRecord upstream, double requestsPerSecond) {
+    long rate = Math.round(Math.min(requestsPerSecond, MAX_REQUESTS_PER_SECOND) * THOUSAND_SECONDS);
+    boolean isNew = limitOf(upstream.incarnationId()).isEmpty();
+    if (put(upstream.incarnationId(), new KnownLimit(rate, clock.nanos()), "answer") && isNew) {
+      changeListener.run();
     }
   }
 
-  private void lifted(UpstreamRecord upstream, long sentNanos) {
-    Known known = byStart.get(upstream.incarnationId());
-    if (known == null || sentNanos - known.notedNanos() <= 0) {
+  private void liftLimit(UpstreamRecord upstream, long sentNanos) {
+    KnownLimit current = byIncarnation.get(upstream.incarnationId());
+    if (current == null || sentNanos - current.confirmedNanos() <= 0) {
       return;
     }
-    if (known.isLimit()) {
-      put(upstream.incarnationId(), new Known(LimitReport.LIFTED, sentNanos), "answer");
-      onNews.run();
+    if (current.isLimit()) {
+      put(upstream.incarnationId(), new KnownLimit(LimitReport.LIFTED, sentNanos), "answer");
+      changeListener.run();
     } else {
-      // Otherwise a word of before, which another box has heard meanwhile, would count as younger.
-      byStart.put(upstream.incarnationId(), known.shownAgain(sentNanos));
+      // Keeps an older report of another box from counting as more recent.
+      byIncarnation.put(upstream.incarnationId(), current.confirmedAt(sentNanos));
     }
   }
 
   /**
-   * Takes in what another box told so many milliseconds ago; returns whether any of it is other
-   * than was known.
+   * Merges reports of another box, sent the given number of milliseconds ago; returns whether any
+   * of them changed a limit.
    */
-  public boolean told(String box, Collection<LimitReport> reports, long ageMillis) {
-    return reports.stream().filter(report -> told(box, report, ageMillis)).count() > 0;
+  public boolean merge(String box, Collection<LimitReport> reports, long ageMillis) {
+    return reports.stream().filter(report -> merge(box, report, ageMillis)).count() > 0;
   }
 
   /**
-   * One that says the same changes nothing, not even the age: what goes round between boxes would
-   * grow younger by the time that each message takes.
+   * A report with the same limit changes nothing, not even the age: reports would otherwise appear
+   * more recent with each transfer between boxes.
    */
-  private boolean told(String box, LimitReport report, long ageMillis) {
-    long noted = clock.nanos() - (report.ageMillis() + ageMillis) * NANOS_OF_MILLI;
-    Known told = new Known(report.perThousandSeconds(), noted);
-    Known known = byStart.get(report.start());
-    boolean news =
-        known == null
-            ? told.isLimit()
-            : known.perThousandSeconds() != told.perThousandSeconds()
-                && told.notedNanos() - known.notedNanos() > 0;
-    return news && put(report.start(), told, box);
+  private boolean merge(String box, LimitReport report, long ageMillis) {
+    long confirmedNanos = clock.nanos() - (report.ageMillis() + ageMillis) * NANOS_PER_MILLI;
+    KnownLimit reported = new KnownLimit(report.requestsPer1000Seconds(), confirmedNanos);
+    KnownLimit current = byIncarnation.get(report.incarnationId());
+    boolean isNew =
+        current == null
+            ? reported.isLimit()
+            : current.requestsPer1000Seconds() != reported.requestsPer1000Seconds()
+                && reported.confirmedNanos() - current.confirmedNanos() > 0;
+    return isNew && put(report.incarnationId(), reported, box);
   }
 
-  private boolean put(String start, Known now, String from) {
+  private boolean put(String incarnationId, KnownLimit newLimit, String source) {
     Optional<UpstreamRecord> upstream =
-        listed.get().stream().filter(each -> each.incarnationId().equals(start)).findFirst();
+        knownUpstreams.get().stream()
+            .filter(each -> each.incarnationId().equals(incarnationId))
+            .findFirst();
     upstream.ifPresent(
         record -> {
-          byStart.put(start, now);
-          log(record, now, from);
+          byIncarnation.put(incarnationId, newLimit);
+          log(record, newLimit, source);
         });
     return upstream.isPresent();
   }
 
-  private void log(UpstreamRecord upstream, Known now, String from) {
-    @Nullable Known before = logged.get(upstream.incarnationId());
-    if (before == null || now.isFarFrom(before)) {
-      logged.put(upstream.incarnationId(), now);
+  private void log(UpstreamRecord upstream, KnownLimit newLimit, String source) {
+    @Nullable KnownLimit previous = lastLogged.get(upstream.incarnationId());
+    if (previous == null || newLimit.differsNoticeablyFrom(previous)) {
+      lastLogged.put(upstream.incarnationId(), newLimit);
       events
-          .change(now.isLimit() ? "upstream-limit" : "upstream-limit-lifted")
+          .change(newLimit.isLimit() ? "upstream-limit" : "upstream-limit-lifted")
           .with("upstream", upstream.id())
           .with("service", upstream.service())
-          .with("in-1000-s", now.perThousandSeconds())
-          .with("from", from)
+          .with("in-1000-s", newLimit.requestsPer1000Seconds())
+          .with("from", source)
           .write();
     }
   }
 
-  /** Returns what is told to all others; what is known of upstreams that are gone is dropped. */
+  /** Returns the limits to report to other boxes, after removing those of unknown upstreams. */
   public List<LimitReport> reports() {
-    if (byStart.isEmpty()) {
+    if (byIncarnation.isEmpty()) {
       return List.of();
     }
-    Set<String> there = listed.get().stream().map(UpstreamRecord::incarnationId).collect(toSet());
-    byStart.keySet().retainAll(there);
-    logged.keySet().retainAll(there);
+    Set<String> knownIncarnationIds =
+        knownUpstreams.get().stream().map(UpstreamRecord::incarnationId).collect(toSet());
+    byIncarnation.keySet().retainAll(knownIncarnationIds);
+    lastLogged.keySet().retainAll(knownIncarnationIds);
     long now = clock.nanos();
-    return byStart.entrySet().stream()
+    return byIncarnation.entrySet().stream()
         .filter(
             entry ->
                 entry.getValue().isLimit()
-                    || now - entry.getValue().sinceNanos() < LIFTED_TOLD.toNanos())
+                    || now - entry.getValue().firstSeenNanos() < LIFTED_REPORT_PERIOD.toNanos())
         .map(
             entry ->
                 new LimitReport(
                     entry.getKey(),
-                    entry.getValue().perThousandSeconds(),
-                    (now - entry.getValue().notedNanos()) / NANOS_OF_MILLI))
+                    entry.getValue().requestsPer1000Seconds(),
+                    (now - entry.getValue().confirmedNanos()) / NANOS_PER_MILLI))
         .toList();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
@@ -7,7 +7,7 @@
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.limit.UpstreamLimits;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 
 /**
  * State that a box exchanges with the other boxes. Confined to the event loop.
@@ -23,7 +23,7 @@
 public record SharedBoxState(
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    LoadBoard upstreamLoads,
+    UpstreamLoads upstreamLoads,
     PiecesToCome pendingPieces,
     Quarantine quarantine,
     UpstreamLimits limits) {
@@ -43,7 +43,7 @@
         deployments.revision(),
         upstreams.changedAt(),
         List.of(),
-        upstreamLoads.ownShares(),
+        upstreamLoads.ownLoads(),
         backlogMillis,
         pendingPieces.own(),
         upstreams.evacuations(),
@@ -56,7 +56,7 @@
 
   /** Removes the state that a lost box reported. */
   void removeBox(String box) {
-    upstreamLoads.setPeerShares(box, Map.of());
+    upstreamLoads.setPeerLoads(box, Map.of());
     pendingPieces.forget(box);
   }
 
@@ -65,9 +65,9 @@
    * reported a limit or a leaving upstream that was not known.
    */
   boolean applyHeartbeat(String box, Heartbeat heartbeat, long ageMillis) {
-    upstreamLoads.setPeerShares(box, heartbeat.loadShares());
+    upstreamLoads.setPeerLoads(box, heartbeat.loadShares());
     pendingPieces.told(box, heartbeat.pendingPieces());
-    boolean limitsChanged = limits.told(box, heartbeat.limits(), ageMillis);
+    boolean limitsChanged = limits.merge(box, heartbeat.limits(), ageMillis);
     boolean leavingChanged =
         upstreams.applyPeerLeavingAnnouncements(box, heartbeat.leavingUpstreams());
     return upstreams.applyEvacuations(heartbeat.evacuations()) || limitsChanged || leavingChanged;
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectReport.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectReport.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What is known of one request, as boxes tell each other.
+ * The crashes of one suspect request, as reported between boxes.
  *
- * @param fingerprint which request
- * @param ends the upstreams that ended under it
- * @param barred whether the box that tells holds it back
+ * @param fingerprint fingerprint of the request
+ * @param crashes crashes of upstreams that served it
+ * @param quarantined whether the reporting box quarantines it
  * @since 0.3
  */
-public record SuspectReport(RequestFingerprint fingerprint, List<EndReport> ends, boolean barred) {
+public record SuspectReport(
+    RequestFingerprint fingerprint, List<CrashReport> crashes, boolean quarantined) {
 
   /** Copies the list. */
   public SuspectReport {
-    ends = List.copyOf(ends);
+    crashes = List.copyOf(crashes);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/Demand.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/Demand.java
@@ -3,14 +3,19 @@
 import java.util.Optional;
 
 /**
- * What a request asks of an upstream.
+ * The properties of a request that influence the selection of its upstream.
  *
- * @param affinity names what an upstream may still keep of it, such as a shared part of its prompt
- * @param sharedTokens tokens that need not be read again where they are kept
- * @param tokens tokens of memory that it may need, zero where that means nothing
- * @param zone zone that it is best served in, such as that of its inputs
- * @param zoneBytes bytes that cross zones if it is served in another one
+ * @param affinityKey key of the data that an upstream may have cached for it, such as a shared
+ *     prompt prefix
+ * @param sharedPromptTokens tokens that are not processed again where they are cached
+ * @param memoryTokens memory that it may require in tokens, zero if not applicable
+ * @param preferredZone preferred availability zone, such as that of its inputs
+ * @param crossZoneBytes bytes transferred between zones if it is served in another zone
  * @since 0.2
  */
 public record Demand(
-    Optional<String> affinity, long sharedTokens, long tokens, String zone, long zoneBytes) {}
+    Optional<String> affinityKey,
+    long sharedPromptTokens,
+    long memoryTokens,
+    String preferredZone,
+    long crossZoneBytes) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
@@ -7,23 +7,23 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * Takes the upstream where a request is expected to be done first, by the requests under way at all
- * boxes and the usual time of a request; a nearer zone wins where that is even.
+ * Selects the upstream with the lowest expected completion time, derived from its latency and the
+ * requests in flight from all boxes; at similar times the same zone is preferred.
  *
  * @since 0.2
  */
 public final class LeastLoadedChooser implements UpstreamChooser {
 
-  private static final double NOTHING_KNOWN_MILLIS = 10;
-  private static final double OTHER_ZONE = 1.1;
+  private static final double DEFAULT_LATENCY_MILLIS = 10;
+  private static final double OTHER_ZONE_FACTOR = 1.1;
   private static final double NOISE = 0.2;
 
-  private final LoadBoard board;
+  private final UpstreamLoads loads;
   private final RandomGenerator random;
 
   /** Creates the chooser. */
-  public LeastLoadedChooser(LoadBoard board, RandomGenerator random) {
-    this.board = board;
+  public LeastLoadedChooser(UpstreamLoads loads, RandomGenerator random) {
+    this.loads = loads;
     this.random = random;
   }
 
@@ -31,30 +31,37 @@
   public Optional<UpstreamRecord> choose(List<UpstreamRecord> candidates, Demand demand) {
     record Scored(UpstreamRecord upstream, double score) {}
 
-    List<UpstreamRecord> preferred = board.preferred(candidates);
-    double unknown = fastestMillis(preferred);
+    List<UpstreamRecord> preferred = loads.preferred(candidates);
+    double defaultMillis = lowestLatencyMillis(preferred);
     return preferred.stream()
-        .map(each -> new Scored(each, score(each, demand, unknown)))
+        .map(each -> new Scored(each, score(each, demand, defaultMillis)))
         .min(Comparator.comparingDouble(Scored::score))
         .map(Scored::upstream);
   }
 
-  /** One that was never used counts as fast as the fastest, so that it is tried. */
-  private double fastestMillis(List<UpstreamRecord> upstreams) {
+  /**
+   * Returns the lowest known latency, which is also assumed for unused upstreams so that they are
+   * tried.
+   */
+  private double lowestLatencyMillis(List<UpstreamRecord> upstreams) {
     return upstreams.stream()
-        .mapToDouble(each -> board.load(each.incarnationId()).latencyMillis())
+        .mapToDouble(each -> loads.load(each.incarnationId()).latencyMillis())
         .filter(millis -> millis > 0)
         .min()
-        .orElse(NOTHING_KNOWN_MILLIS);
+        .orElse(DEFAULT_LATENCY_MILLIS);
   }
 
-  private double score(UpstreamRecord upstream, Demand demand, double unknownMillis) {
-    UpstreamLoad load = board.load(upstream.incarnationId());
+  private double score(UpstreamRecord upstream, Demand demand, double defaultMillis) {
+    UpstreamLoad load = loads.load(upstream.incarnationId());
     int slots = Math.max(1, upstream.slots());
-    double queue = 1 + (double) load.totalRunning() / slots;
-    double full = load.totalRunning() >= slots ? 1 + load.totalRunning() - slots : 1;
-    double zone = upstream.zone().equals(demand.zone()) ? 1 : OTHER_ZONE;
-    double noise = 1 + NOISE * random.nextDouble();
-    return load.cost(unknownMillis) * queue * full * zone * noise;
+    double queueFactor = 1 + (double) load.totalInFlight() / slots;
+    double overloadFactor = load.totalInFlight() >= slots ? 1 + load.totalInFlight() - slots : 1;
+    double zoneFactor = upstream.zone().equals(demand.preferredZone()) ? 1 : OTHER_ZONE_FACTOR;
+    double noiseFactor = 1 + NOISE * random.nextDouble();
+    return load.expectedMillis(defaultMillis)
+        * queueFactor
+        * overloadFactor
+        * zoneFactor
+        * noiseFactor;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
@@ -7,88 +7,86 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * Sends requests that share a part of their prompt to the same upstream, which all boxes agree on
- * without a word: the one that ranks first by rendezvous hashing, as long as its load is within a
- * bound of the mean (rendezvous hashing with bounded load), else the next one in rank.
+ * Sends requests with the same affinity key to the same upstream by rendezvous hashing with bounded
+ * loads: to the upstream of the highest weight whose load is within a bound of the mean. All boxes
+ * agree without coordination.
  *
  * @since 0.2
  */
 public final class PrefixAffinityChooser implements UpstreamChooser {
 
-  /**
-   * How far an upstream's load may be above the mean before a shared part is read elsewhere. With 2
-   * instead of 1.4 a third fewer shared tokens are read again, and prompts start no later: while
-   * stage work binds, generating upstreams have places free.
-   */
-  private static final double MOST_OF_MEAN = 2.0;
+  /** Maximum ratio of the load of an upstream to the mean load. */
+  private static final double MAX_LOAD_FACTOR = 2.0;
 
-  private static final double MOST_OF_MEMORY = 0.85;
+  private static final double MAX_MEMORY_FRACTION = 0.85;
 
-  /** Bytes between zones that are worth as much as one token that is not read again. */
-  private static final long BYTES_OF_TOKEN = 4_000;
+  /** Bytes between zones that cost as much as processing one token again. */
+  private static final long CROSS_ZONE_BYTES_PER_TOKEN = 4_000;
 
-  private static final Comparator<Candidate> FIRST_IN_RANK =
+  private static final Comparator<Candidate> HIGHEST_WEIGHT =
       Comparator.comparingLong(Candidate::weight).reversed();
   private static final Comparator<Candidate> LEAST_LOADED =
-      Comparator.comparingLong(Candidate::tokens);
+      Comparator.comparingLong(Candidate::usedMemoryTokens);
 
-  /** An upstream with its rank for one prompt part and what is under way there. */
-  private record Candidate(UpstreamRecord upstream, long weight, long tokens) {}
+  /** An upstream with its weight for an affinity key and its memory in use. */
+  private record Candidate(UpstreamRecord upstream, long weight, long usedMemoryTokens) {}
 
-  private final LoadBoard board;
-  private final UpstreamChooser withoutAffinity;
+  private final UpstreamLoads loads;
+  private final UpstreamChooser fallback;
   private final ToLongFunction<UpstreamRecord> memoryTokens;
 
   /**
    * Creates the chooser.
    *
-   * @param withoutAffinity chooses for requests that share nothing
-   * @param memoryTokens tokens that an upstream has memory for, zero if not known
+   * @param fallback selects the upstream of requests without an affinity key
+   * @param memoryTokens returns the memory of an upstream in tokens, zero if unknown
    */
   public PrefixAffinityChooser(
-      LoadBoard board,
-      UpstreamChooser withoutAffinity,
-      ToLongFunction<UpstreamRecord> memoryTokens) {
-    this.board = board;
-    this.withoutAffinity = withoutAffinity;
+      UpstreamLoads loads, UpstreamChooser fallback, ToLongFunction<UpstreamRecord> memoryTokens) {
+    this.loads = loads;
+    this.fallback = fallback;
     this.memoryTokens = memoryTokens;
   }
 
   @Override
   public Optional<UpstreamRecord> choose(List<UpstreamRecord> candidates, Demand demand) {
-    if (demand.affinity().isEmpty() || candidates.isEmpty()) {
-      return withoutAffinity.choose(candidates, demand);
+    if (demand.affinityKey().isEmpty() || candidates.isEmpty()) {
+      return fallback.choose(candidates, demand);
     }
-    String key = demand.affinity().get();
-    List<Candidate> known =
-        inZoneIfWorth(board.preferred(candidates), demand).stream()
+    String key = demand.affinityKey().get();
+    List<Candidate> weighted =
+        restrictToZoneIfCheaper(loads.preferred(candidates), demand).stream()
             .map(each -> candidate(each, key))
             .toList();
-    double mean = known.stream().mapToLong(Candidate::tokens).average().orElse(0);
-    double bound = (mean + demand.tokens()) * MOST_OF_MEAN;
-    return known.stream()
-        .filter(each -> each.tokens() + demand.tokens() <= Math.min(bound, memory(each.upstream())))
-        .min(FIRST_IN_RANK)
-        .or(() -> known.stream().min(LEAST_LOADED.thenComparing(FIRST_IN_RANK)))
+    double meanLoad = weighted.stream().mapToLong(Candidate::usedMemoryTokens).average().orElse(0);
+    double maxLoad = (meanLoad + demand.memoryTokens()) * MAX_LOAD_FACTOR;
+    return weighted.stream()
+        .filter(
+            each ->
+                each.usedMemoryTokens() + demand.memoryTokens()
+                    <= Math.min(maxLoad, usableMemory(each.upstream())))
+        .min(HIGHEST_WEIGHT)
+        .or(() -> weighted.stream().min(LEAST_LOADED.thenComparing(HIGHEST_WEIGHT)))
         .map(Candidate::upstream);
   }
 
   private Candidate candidate(UpstreamRecord upstream, String key) {
     long weight = RendezvousHash.weight(key, upstream.id());
-    return new Candidate(upstream, weight, board.load(upstream.incarnationId()).totalTokens());
+    return new Candidate(upstream, weight, loads.load(upstream.incarnationId()).totalMemory());
   }
 
-  private static List<UpstreamRecord> inZoneIfWorth(List<UpstreamRecord> all, Demand demand) {
-    if (demand.zoneBytes() <= demand.sharedTokens() * BYTES_OF_TOKEN) {
-      return all;
+  private static List<UpstreamRecord> restrictToZoneIfCheaper(
+      List<UpstreamRecord> candidates, Demand demand) {
+    if (demand.crossZoneBytes() <= demand.sharedPromptTokens() * CROSS_ZONE_BYTES_PER_TOKEN) {
+      return candidates;
     }
-    List<UpstreamRecord> near =
-        all.stream().filter(each -> each.zone().equals(demand.zone())).toList();
-    return near.isEmpty() ? all : near;
+    List<UpstreamRecord> inZone =
+        candidates.stream().filter(each -> each.zone().equals(demand.preferredZone())).toList();
+    return inZone.isEmpty() ? candidates : inZone;
   }
 
-  private double memory(UpstreamRecord upstream) {
+  private double usableMemory(UpstreamRecord upstream) {
     long tokens = memoryTokens.applyAsLong(upstream);
-    return tokens == 0 ? Double.MAX_VALUE : tokens * MOST_OF_MEMORY;
+    return tokens == 0 ? Double.MAX_VALUE : tokens * MAX_MEMORY_FRACTION;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/RendezvousHash.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/RendezvousHash.java
@@ -5,19 +5,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * Weights of rendezvous hashing (highest random weight): for each key, all who know the same
- * members rank them alike, and a member that comes or goes moves only the keys that are its own.
+ * Rendezvous hashing (highest random weight): all boxes with the same members rank them equally for
+ * each key, and a member that joins or leaves only moves its own keys.
  *
  * @since 0.2
  */
 public abstract class RendezvousHash {
 
-  private static final long MIX_1 = 0xff51afd7ed558ccdL;
-  private static final long MIX_2 = 0xc4ceb9fe1a85ec53L;
+  private static final long MULTIPLIER_1 = 0xff51afd7ed558ccdL;
+  private static final long MULTIPLIER_2 = 0xc4ceb9fe1a85ec53L;
 
   private RendezvousHash() {}
 
-  /** Returns the order in which members rank for a key, the first one first. */
+  /** Returns a comparator that sorts members by descending weight for a key. */
   public static Comparator<String> byRank(String key) {
     return Comparator.comparingLong((String member) -> weight(key, member)).reversed();
   }
@@ -34,8 +34,8 @@
   }
 
   private static long mix(long value) {
-    long mixed = (value ^ value >>> 33) * MIX_1;
-    mixed = (mixed ^ mixed >>> 33) * MIX_2;
+    long mixed = (value ^ value >>> 33) * MULTIPLIER_1;
+    mixed = (mixed ^ mixed >>> 33) * MULTIPLIER_2;
     return mixed ^ mixed >>> 33;
   }
 }
