--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroup.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroup.java
@@ -18,8 +18,8 @@
  * @param priority 0 is the most urgent
  * @param dueMillis time left until the results come late for the request's target, may be negative
  * @param remainingMillis time left until they are worth nothing
- * @param waitMillis how long its pieces may wait before the request is better given up
- * @param first whether nothing was done for the request yet, so that it can be refused cheaply
+ * @param maxWaitMillis how long its pieces may wait before the request is better given up
+ * @param noWorkDone whether nothing was done for the request yet, so that it can be refused cheaply
  * @since 0.2
  */
 public record StageGroup(
@@ -35,5 +35,5 @@
     int priority,
     long dueMillis,
     long remainingMillis,
-    long waitMillis,
-    boolean first) {}
+    long maxWaitMillis,
+    boolean noWorkDone) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxBeliefs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxBeliefs.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.limit.UpstreamLimits;
@@ -25,7 +25,7 @@
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
     LoadBoard board,
-    PiecesToCome toCome,
+    PendingPieces toCome,
     Quarantine quarantine,
     UpstreamLimits limits) {
 
@@ -46,7 +46,7 @@
         List.of(),
         board.ownShares(),
         backlogMillis,
-        toCome.own(),
+        toCome.ownCounts(),
         upstreams.evacuations(),
         quarantine.digest(),
         upstreams.trust().code(),
@@ -58,7 +58,7 @@
   /** Forgets what a box told of itself, as it is lost. */
   void forget(String box) {
     board.setPeerShares(box, Map.of());
-    toCome.forget(box);
+    toCome.removePeer(box);
   }
 
   /**
@@ -67,7 +67,7 @@
    */
   boolean heard(String box, Heartbeat beat, long ageMillis) {
     board.setPeerShares(box, beat.shares());
-    toCome.told(box, beat.piecesToCome());
+    toCome.setPeerCounts(box, beat.piecesToCome());
     boolean limited = limits.told(box, beat.limits(), ageMillis);
     boolean leaving = upstreams.toldLeaving(box, beat.leavingUpstreams());
     return upstreams.evacuate(beat.evacuations()) || limited || leaving;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -118,7 +118,7 @@
         (from, message) -> done(() -> coordinator.cancel(message.service(), message.requestId())));
     network.register(
         MeshMessages.STAGE_FREE,
-        (from, message) -> done(() -> coordinator.free(message.handles())));
+        (from, message) -> done(() -> coordinator.release(message.handles())));
     backlogs = coordinator::backlogMillis;
     MeshStageWorkClient client =
         new MeshStageWorkClient(self, links, peers, coordinator, loop, beliefs.toCome());
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshStageWorkClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshStageWorkClient.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import org.gradeledge.batch.BatchCoordinator;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.batch.StageGroup;
 import org.gradeledge.batch.StageGroupResult;
 import org.gradeledge.batch.StageWorkClient;
@@ -31,7 +31,7 @@
   private final PeerBoard peers;
   private final BatchCoordinator local;
   private final EventLoop loop;
-  private final PiecesToCome toCome;
+  private final PendingPieces toCome;
   private final PlacedGroups placed = new PlacedGroups();
   private final Map<String, String> makers = new HashMap<>();
   private final Map<String, Map<String, List<Long>>> toldBacklogs = new HashMap<>();
@@ -44,7 +44,7 @@
       PeerBoard peers,
       BatchCoordinator local,
       EventLoop loop,
-      PiecesToCome toCome) {
+      PendingPieces toCome) {
     this.self = self;
     this.links = links;
     this.peers = peers;
@@ -108,11 +108,11 @@
 
   private void answered(PlacedGroup placement, StageGroupResult result) {
     if (!placed.remove(placement)) {
-      local.free(result.handles());
+      local.release(result.handles());
       return;
     }
     result.handles().forEach(handle -> makers.put(handle, result.box()));
-    placement.listener().ended(result);
+    placement.listener().onEnd(result);
   }
 
   private void takeOver(PlacedGroup placement) {
@@ -126,7 +126,7 @@
     placed.ofRequest(message.requestId()).stream()
         .filter(placement -> placement.box().equals(box))
         .filter(placement -> placement.group().stage() == message.stage())
-        .forEach(placement -> placement.listener().inputsTaken());
+        .forEach(placement -> placement.listener().onInputsFetched());
   }
 
   /** Does the work itself that a box had which is not heard any more. */
@@ -182,7 +182,7 @@
   }
 
   @Override
-  public void free(String service, List<String> handles) {
+  public void release(String service, List<String> handles) {
     Map<String, List<String>> byBox =
         handles.stream()
             .collect(Collectors.groupingBy(handle -> makers.getOrDefault(handle, self)));
@@ -192,7 +192,7 @@
 
   private void freeAt(String box, List<String> handles) {
     if (box.equals(self) || !peers.isAlive(box)) {
-      local.free(handles);
+      local.release(handles);
     } else {
       links.tell(box, MeshMessages.STAGE_FREE, new StageFree(handles));
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageWorkHandler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageWorkHandler.java
@@ -49,16 +49,16 @@
     }
 
     @Override
-    public void ended(StageGroupResult result) {
+    public void onEnd(StageGroupResult result) {
       if (wanted.get()) {
         sink.success(result);
       } else {
-        coordinator.free(result.handles());
+        coordinator.release(result.handles());
       }
     }
 
     @Override
-    public void inputsTaken() {
+    public void onInputsFetched() {
       links.tell(
           box,
           MeshMessages.STAGE_INPUTS_TAKEN,
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.batch.BatchCoordinator;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.batch.StageWorkClient;
 import org.gradeledge.connection.PooledUpstreamCaller;
 import org.gradeledge.connection.UpstreamEnds;
@@ -61,7 +61,7 @@
   private final EventLog events;
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final PiecesToCome toCome = new PiecesToCome();
+  private final PendingPieces toCome = new PendingPieces();
   private final BoxMesh mesh;
   private final RelayMetrics metrics = new RelayMetrics();
   private final BoxMetrics boxMetrics = new BoxMetrics();
@@ -103,9 +103,9 @@
             .box(peerName(settings), loop, clock)
             .upstreams(upstreams, service -> service(service).flatMap(ServiceDefinition::batch))
             .calls(caller, adapters.stages())
-            .beliefs(board, budget, events)
-            .toCome(toCome)
-            .sending(SendingRule.allOf(limited, sending.backoffs()))
+            .loadAndRetries(board, budget, events)
+            .pendingPieces(toCome)
+            .sendingRule(SendingRule.allOf(limited, sending.backoffs()))
             .build();
     StageWorkClient stageWork = mesh.stageWork(coordinator);
     RelayServices services =
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeParts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeParts.java
@@ -64,8 +64,8 @@
 
   /** Counts the request for the retry budgets of all services that it needs. */
   void countRequest() {
-    services.budget().requested(admitted.service());
-    admitted.route().stages().forEach(stage -> services.budget().requested(stage.service()));
+    services.budget().recordRequest(admitted.service());
+    admitted.route().stages().forEach(stage -> services.budget().recordRequest(stage.service()));
   }
 
   /** Returns whether the retry budget allows to send the request again, and counts that. */
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
@@ -208,12 +208,12 @@
     }
 
     @Override
-    public void ended(StageGroupResult result) {
+    public void onEnd(StageGroupResult result) {
       StagePlan.this.ended(stage, result);
     }
 
     @Override
-    public void inputsTaken() {
+    public void onInputsFetched() {
       if (!over && running.contains(stage)) {
         results.inputsTaken(stage);
       }
@@ -224,7 +224,7 @@
     running.remove(stage);
     timeline.ended(stage, result);
     if (over) {
-      client.free(stages.get(stage).service(), result.handles());
+      client.release(stages.get(stage).service(), result.handles());
       return;
     }
     if (result.outcome() == StageOutcome.MADE) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
@@ -78,7 +78,7 @@
   void forgetInputs(int stage) {
     fetched.remove(stage);
     for (int before : stages.get(stage).after()) {
-      client.free(stages.get(before).service(), of(before));
+      client.release(stages.get(before).service(), of(before));
       handles.remove(before);
       fetched.remove(before);
       if (stages.get(before).after().stream().anyMatch(this::isFreed)) {
@@ -89,7 +89,7 @@
 
   /** Gives up all results. */
   void freeAll() {
-    handles.forEach((stage, made) -> client.free(stages.get(stage).service(), made));
+    handles.forEach((stage, made) -> client.release(stages.get(stage).service(), made));
     handles.clear();
     fetched.clear();
   }
@@ -123,7 +123,7 @@
   }
 
   private void free(int stage) {
-    client.free(stages.get(stage).service(), of(stage));
+    client.release(stages.get(stage).service(), of(stage));
     handles.replace(stage, List.of());
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -94,7 +94,7 @@
     Duration limit = CallerChecks.deadline(account, request);
     CallerChecks.idempotencyKey(version.file(), request);
     PipelineLimits stageLimits = limits.pipeline(version.file());
-    stageLimits.checkReachable(version.file(), account, limit);
+    stageLimits.checkDeadline(version.file(), account, limit);
     RequestContext context =
         new RequestContext(
             request,
@@ -104,7 +104,7 @@
             stageLimits,
             new RequestProgress());
     var accountLimiter = limits.account(version.file(), account);
-    accountLimiter.enter(account);
+    accountLimiter.acquire(account);
     gate.started();
     Flux<AnswerEvent> answer =
         (request.idempotencyKey().isPresent()
@@ -112,7 +112,7 @@
                 : runBounded(context))
             .doFinally(
                 signal -> {
-                  accountLimiter.leave();
+                  accountLimiter.release();
                   gate.ended();
                 });
     return request.idempotencyKey().isPresent() ? detached(answer) : answer;
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.TimeoutException;
-import org.gradeledge.admission.RetryBudget;
+import org.gradeledge.admission.RetryTokenBucket;
 import org.gradeledge.admission.StageTicket;
 import org.gradeledge.configuration.StageDefinition;
 import org.gradeledge.metrics.AttemptResult;
@@ -44,7 +44,7 @@
   private final UpstreamProtocol protocol;
   private final BoxMetrics metrics;
   private final MonotonicClock clock;
-  private final RetryBudget budget = new RetryBudget();
+  private final RetryTokenBucket budget = new RetryTokenBucket();
 
   StageRunner(Router router, UpstreamProtocol protocol, BoxMetrics metrics, MonotonicClock clock) {
     this.router = router;
@@ -57,7 +57,7 @@
   Flux<UpstreamEvent> run(RequestContext context, int stageIndex, JsonNode input) {
     return Flux.defer(
         () -> {
-          budget.firstAttempt(context.file().retryShare());
+          budget.recordFirstAttempt(context.file().retryShare());
           return new Run(context, stageIndex, input).attempt();
         });
   }
@@ -94,7 +94,7 @@
       return new StageTicket(
           context.account(),
           context.deadline(),
-          context.limits().neededToStart(rest, context.account()));
+          context.limits().minimumTimeToStart(rest, context.account()));
     }
 
     private Flux<UpstreamEvent> dispatch() {
@@ -125,7 +125,7 @@
      * that a frozen upstream is found out and another one asked while there is time.
      */
     private Flux<UpstreamEvent> withinAttemptLimit(Flux<UpstreamEvent> events) {
-      Duration slow = context.limits().times(stage).slow();
+      Duration slow = context.limits().latencies(stage).percentile99();
       if (!stage.repeatable() || slow.isZero()) {
         return events;
       }
@@ -160,7 +160,7 @@
           harmless
               && attempts < MOST_ATTEMPTS
               && !context.deadline().passed()
-              && budget.takeExtra();
+              && budget.tryAcquire();
       return again ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
     }
 
@@ -208,7 +208,7 @@
         switch (result) {
           case USED -> {
             upstream.succeeded(nanos);
-            context.limits().limiter(stage).completed(nanos);
+            context.limits().limiter(stage).recordCompletion(nanos);
           }
           case FAILED -> upstream.failed();
           default -> upstream.cancelled();
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
@@ -116,7 +116,7 @@
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
     assertThat(caller.isQuiet()).isTrue();
 
-    loop.submit(() -> coordinator.free(List.of("10.0.0.1:1/a"))).sync();
+    loop.submit(() -> coordinator.release(List.of("10.0.0.1:1/a"))).sync();
     FakeUpstreamCaller.Call free = caller.next();
     assertThat(caller.isQuiet()).isTrue();
     answer(free, "");
@@ -153,7 +153,7 @@
     answer(caller.next(), "10.0.0.1:1/a");
     assertThat(loop.submit(board::ownShares).get()).containsEntry("u1", new LoadShare(0, 100));
 
-    loop.submit(() -> coordinator.free(List.of("10.0.0.1:1/a"))).sync();
+    loop.submit(() -> coordinator.release(List.of("10.0.0.1:1/a"))).sync();
     answer(caller.next(), "");
 
     assertThat(loop.submit(board::ownShares).get()).isEmpty();
@@ -224,7 +224,7 @@
     StageGroupResult result = results.poll(10, TimeUnit.SECONDS);
 
     assertThat(result.outcome()).isEqualTo(StageOutcome.LATE);
-    assertThat(result.comeBackMillis()).isGreaterThan(500);
+    assertThat(result.retryAfterMillis()).isGreaterThan(500);
   }
 
   @Test
