--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ArrivalRates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ArrivalRates.java
@@ -4,12 +4,11 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * How many pieces arrive for one service, for each priority: sums that fade, so that a rate follows
- * a change within seconds and no arrival has to be remembered. Confined to the event loop.
+ * Estimates the arrival rate of pieces for one service and each priority by exponentially decaying
+ * counts. Confined to the event loop.
  */
 final class ArrivalRates {
 
-  /** Long against a call of some 300 ms, short against bursts of several seconds. */
   private static final double DECAY_SECONDS = 2;
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -23,13 +22,12 @@
     this.decayedAtNanos = clock.nanos();
   }
 
-  /** Counts pieces that have just arrived. */
   void recordArrivals(int priority, int pieces) {
     decay();
     decayedCounts[Math.max(0, Math.min(priority, decayedCounts.length - 1))] += pieces;
   }
 
-  /** Returns how many pieces arrive in a second that are more urgent than a priority. */
+  /** Returns the number of pieces per second that are more urgent than the given priority. */
   double ratePerSecondAbove(int priority) {
     decay();
     double sum = 0;
@@ -41,10 +39,10 @@
 
   private void decay() {
     long now = clock.nanos();
-    double kept = Math.exp((decayedAtNanos - now) / (DECAY_SECONDS * NANOS_PER_SECOND));
+    double factor = Math.exp((decayedAtNanos - now) / (DECAY_SECONDS * NANOS_PER_SECOND));
     decayedAtNanos = now;
     for (int level = 0; level < decayedCounts.length; level++) {
-      decayedCounts[level] *= kept;
+      decayedCounts[level] *= factor;
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchAssembler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchAssembler.java
@@ -5,46 +5,40 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The pieces that are put together for one call, within the number of pieces and the room for
- * results that the call has. Confined to the event loop.
+ * Assembles the pieces of one call within its limits on items and result memory. Confined to the
+ * event loop.
  *
- * <p>A group goes as a whole where it can: results of a group in parts take room at their upstream
- * until the last part is made, and where room is what binds, fewer groups are done in the same
- * time. The most urgent group goes in parts where it does not fit, so that large groups are not
- * passed over for ever by small ones, and so does one that was begun.
+ * <p>A group is normally added as a whole, as the results of a partial group occupy memory until
+ * its last piece is computed. The most urgent group and groups that were already split are added in
+ * part, so that small groups cannot starve them.
  *
- * <p>Groups under which an upstream ended go apart from each other, so that the one that ends
- * upstreams is told from those that were in its call; one under which two have ended goes alone.
- * They are not all put alone at once, as the end of an upstream mostly has another cause, and calls
- * that are not full are what a service has too few of.
+ * <p>Groups that were in flight during an upstream crash do not share a call with each other, so
+ * that the group that causes crashes can be identified. A group with two crashes is sent alone.
  */
 final class BatchAssembler {
 
-  /**
-   * By chance this happens to one group in some thousands, even where an upstream ends a minute.
-   */
   private static final int CRASHES_BEFORE_ISOLATION = 2;
 
   private final int maxPieces;
   private long freeBytes;
   private final List<StagePiece> pieces = new ArrayList<>();
 
-  /** The group in the call under which upstreams have ended. */
+  /** The group in this call that was in flight during a crash, if any. */
   private @Nullable GroupInProgress suspect;
 
-  BatchAssembler(int mostPieces, long roomBytes) {
-    this.maxPieces = mostPieces;
-    this.freeBytes = roomBytes;
+  BatchAssembler(int maxPieces, long freeBytes) {
+    this.maxPieces = maxPieces;
+    this.freeBytes = freeBytes;
   }
 
-  /** Puts in what fits of a group, the most urgent group first. */
+  /** Adds the pieces of a group that fit; groups must be offered most urgent first. */
   void offer(GroupInProgress group, List<StagePiece> waiting) {
     if (!canShareCall(group)) {
       return;
     }
     int fitting = Math.min(waiting.size(), countFitting(group.group().resultBytes()));
-    boolean begun = waiting.size() < group.group().pieces();
-    if (fitting == waiting.size() || begun || pieces.isEmpty()) {
+    boolean alreadySplit = waiting.size() < group.group().pieces();
+    if (fitting == waiting.size() || alreadySplit || pieces.isEmpty()) {
       pieces.addAll(waiting.subList(0, fitting));
       freeBytes -= fitting * group.group().resultBytes();
       if (fitting > 0 && group.crashCount() > 0) {
@@ -57,20 +51,21 @@
     if (pieces.isEmpty()) {
       return true;
     }
-    boolean alone = group.crashCount() >= CRASHES_BEFORE_ISOLATION;
-    boolean besideOneAlone = suspect != null && suspect.crashCount() >= CRASHES_BEFORE_ISOLATION;
+    boolean requiresIsolation = group.crashCount() >= CRASHES_BEFORE_ISOLATION;
+    boolean suspectRequiresIsolation =
+        suspect != null && suspect.crashCount() >= CRASHES_BEFORE_ISOLATION;
     boolean bothSuspects = suspect != null && group.crashCount() > 0;
-    return !alone && !besideOneAlone && !bothSuspects;
+    return !requiresIsolation && !suspectRequiresIsolation && !bothSuspects;
   }
 
-  /** Returns the pieces of the call, most urgent first; empty where none fits. */
+  /** Returns the pieces of the call, most urgent first; empty if none fits. */
   List<StagePiece> pieces() {
     return List.copyOf(pieces);
   }
 
   private int countFitting(long resultBytes) {
-    int places = maxPieces - pieces.size();
-    long room = resultBytes == 0 ? places : Math.max(0, freeBytes) / resultBytes;
-    return (int) Math.min(places, room);
+    int slots = maxPieces - pieces.size();
+    long fittingResults = resultBytes == 0 ? slots : Math.max(0, freeBytes) / resultBytes;
+    return (int) Math.min(slots, fittingResults);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
@@ -10,19 +10,24 @@
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.event.EventLog;
 
-/** One call for a batch of pieces; gathers the answer. Confined to the event loop. */
+/**
+ * A call to an upstream for a batch of pieces, which collects the response. Confined to the event
+ * loop.
+ */
 final class BatchCall implements CallListener {
 
-  /** Hears how the call goes. */
+  /** Receives the events of a call. */
   interface Listener {
 
-    /** The call was handed to an open connection. */
+    /** Called when the request was handed to an open connection. */
     void onCallSent(BatchCall call);
 
-    /** The upstream answered. */
+    /** Called when the response is complete. */
     void onCallAnswered(BatchCall call, int status, byte[] body);
 
-    /** There is no whole answer. */
+    /**
+     * Called when the call ended without a complete response; the failure is empty on a timeout.
+     */
     void onCallFailed(BatchCall call, Optional<CallFailure> failure);
   }
 
@@ -60,7 +65,6 @@
     return pieces;
   }
 
-  /** Returns the limits that held for the service when the call was made. */
   BatchLimits limits() {
     return limits;
   }
@@ -74,9 +78,9 @@
   }
 
   /**
-   * Tells how the call went.
+   * Logs the completed call.
    *
-   * @param waitingAfter pieces that wait for the next call
+   * @param waitingAfter number of pieces that wait for the next call
    */
   void writeEvent(EventLog events, String service, int waitingAfter, long nowNanos) {
     StageGroup first = pieces.get(0).group().group();
@@ -103,7 +107,9 @@
         .orElse(0);
   }
 
-  /** Notes that the upstream has fetched the inputs of the pieces, if it is still at work. */
+  /**
+   * Records that the upstream has fetched the inputs of the pieces, unless the call has finished.
+   */
   void inputsFetched() {
     if (!finished) {
       pieces.forEach(piece -> piece.group().inputsFetched(piece.index()));
@@ -124,8 +130,8 @@
   }
 
   @Override
-  public void onHead(int answeredStatus, HttpHeaders headers) {
-    status = answeredStatus;
+  public void onHead(int responseStatus, HttpHeaders headers) {
+    status = responseStatus;
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchContext.java
@@ -18,12 +18,12 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * What the queues of a box share.
+ * Dependencies that the batch queues of a box share.
  *
- * @param box name of the box
- * @param pendingPieces pieces that are on their way
- * @param limitsByService limits of a service's upstreams, empty where it makes no pieces
- * @param releaser gives results up
+ * @param box id of the box
+ * @param pendingPieces pieces that admitted requests will submit
+ * @param limitsByService limits of a service's upstreams, empty for a service without batching
+ * @param releaser releases results at their upstreams
  */
 record BatchContext(
     String box,
@@ -44,9 +44,7 @@
     return limitsByService.apply(service);
   }
 
-  /**
-   * Returns the zone that most inputs of a group lie in, else the one its results are wanted in.
-   */
+  /** Returns the zone that stores most inputs of a group, or else the zone of its consumer. */
   String zoneOfInputs(StageGroup group) {
     return group.inputs().stream()
         .flatMap(handle -> zoneOf(handle).stream())
@@ -58,7 +56,7 @@
         .orElse(group.zone());
   }
 
-  /** Returns the zone that a result lies in. */
+  /** Returns the zone of the upstream that stores a result. */
   Optional<String> zoneOf(String handle) {
     return upstreams.atAddress(protocol.addressOf(handle)).map(UpstreamRecord::zone);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
@@ -21,7 +21,7 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Makes the pieces of all requests that are handed to this box, in shared calls.
+ * Batches the pieces of all requests that are assigned to this box into shared upstream calls.
  *
  * <p>Confined to the event loop.
  *
@@ -66,27 +66,29 @@
     builder.upstreams.onZonesChanged(() -> queues.values().forEach(BatchQueue::dispatch));
   }
 
-  /** Starts the work on a group; the listener hears once how it ended, unless it is cancelled. */
+  /**
+   * Starts a group of pieces; the listener receives the result once, unless the group is cancelled.
+   */
   public void submit(StageGroup group, StageWorkListener listener) {
     queueOf(group.service()).submit(group, listener);
   }
 
-  /** Drops the pieces of a request that wait for a service. */
+  /** Discards the pieces of a request that wait for a service. */
   public void cancel(String service, String requestId) {
     queueOf(service).cancel(requestId);
   }
 
-  /** Gives results up that nobody needs any more. */
+  /** Releases results that are no longer required. */
   public void release(List<String> handles) {
     releaser.release(handles);
   }
 
-  /** Returns the zone that a result lies in. */
+  /** Returns the availability zone of the upstream that stores a result. */
   public Optional<String> zoneOf(String handle) {
     return context.zoneOf(handle);
   }
 
-  /** Returns which start of an upstream made a result, if that was called from here. */
+  /** Returns the upstream incarnation that stores a result, if this box made the call. */
   private Optional<String> incarnationOf(String handle) {
     return queues.values().stream()
         .flatMap(queue -> queue.incarnationOf(handle).stream())
@@ -98,9 +100,9 @@
   }
 
   /**
-   * Returns how long what waits here or is on its way keeps each service busy, in milliseconds: for
-   * each priority from 0 what is as urgent or more; priorities after the first that has all of it
-   * are left out, as heartbeats carry these lists.
+   * Returns the expected time in milliseconds to process the waiting and pending pieces of each
+   * service. The element at index {@code p} covers the pieces of priority {@code p} and all more
+   * urgent ones; a list ends at the first priority that covers all pieces.
    */
   public Map<String, List<Long>> backlogMillis() {
     queues.values().forEach(BatchQueue::expireResults);
@@ -109,8 +111,8 @@
   }
 
   /**
-   * Returns how long what waits here for a service, or is on its way to it, and is as urgent as a
-   * priority or more keeps its upstreams busy, in milliseconds.
+   * Returns the expected time in milliseconds to process the waiting and pending pieces of a
+   * service that have the given priority or a more urgent one.
    */
   public long backlogMillisOf(String service, int priority) {
     BatchQueue queue = queues.get(service);
@@ -118,24 +120,26 @@
   }
 
   private static List<Long> byPriority(BatchQueue queue) {
-    long all = queue.backlogMillis(PendingPieces.PRIORITY_LEVELS - 1);
-    Stream<Long> rising =
+    long total = queue.backlogMillis(PendingPieces.PRIORITY_LEVELS - 1);
+    Stream<Long> partial =
         IntStream.range(0, PendingPieces.PRIORITY_LEVELS)
             .mapToObj(queue::backlogMillis)
-            .takeWhile(millis -> millis < all);
-    return Stream.concat(rising, Stream.of(all)).toList();
+            .takeWhile(millis -> millis < total);
+    return Stream.concat(partial, Stream.of(total)).toList();
   }
 
   private BatchQueue queueOf(String service) {
     return queues.computeIfAbsent(service, name -> new BatchQueue(name, context, loop));
   }
 
-  /** Returns a builder without any part. */
+  /** Returns an empty builder. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Builds a coordinator; all but the pieces to come and a rule on sending must be given. */
+  /**
+   * Builds a coordinator; all parts except the pending pieces and the sending rule are required.
+   */
   public static final class Builder {
 
     private String box;
@@ -153,7 +157,7 @@
 
     private Builder() {}
 
-    /** Sets the name of the box and where its work is done. */
+    /** Sets the id of the box, its event loop and its clock. */
     public Builder box(String name, EventLoop eventLoop, MonotonicClock monotonicClock) {
       this.box = name;
       this.loop = eventLoop;
@@ -161,22 +165,22 @@
       return this;
     }
 
-    /** Sets where the upstreams and their limits are known. */
+    /** Sets the registry of upstreams and the batch limits by service. */
     public Builder upstreams(
-        UpstreamRegistry registry, Function<String, Optional<BatchLimits>> limitsOf) {
+        UpstreamRegistry registry, Function<String, Optional<BatchLimits>> limitsByService) {
       this.upstreams = registry;
-      this.limits = limitsOf;
+      this.limits = limitsByService;
       return this;
     }
 
-    /** Sets how upstreams are called. */
+    /** Sets the client that calls upstreams and the format of the calls. */
     public Builder calls(UpstreamCaller upstreamCaller, StageProtocol stageProtocol) {
       this.caller = upstreamCaller;
       this.protocol = stageProtocol;
       return this;
     }
 
-    /** Sets what the box believes of upstreams, and what it may repeat. */
+    /** Sets the load table, the retry budget and the event log. */
     public Builder loadAndRetries(LoadBoard loadBoard, RetryBudget retryBudget, EventLog eventLog) {
       this.loads = loadBoard;
       this.retryBudget = retryBudget;
@@ -184,19 +188,19 @@
       return this;
     }
 
-    /** Sets the pieces that are on their way, none if not given. */
-    public Builder pendingPieces(PendingPieces piecesToCome) {
-      this.pendingPieces = piecesToCome;
+    /** Sets the pieces that admitted requests will submit; none by default. */
+    public Builder pendingPieces(PendingPieces pieces) {
+      this.pendingPieces = pieces;
       return this;
     }
 
-    /** Sets which upstreams take one more request now; all do if it is not given. */
+    /** Sets the rule that limits the requests to an upstream; unlimited by default. */
     public Builder sendingRule(SendingRule rule) {
       this.sendingRule = rule;
       return this;
     }
 
-    /** Returns the coordinator. */
+    /** Creates the coordinator. */
     public BatchCoordinator build() {
       return new BatchCoordinator(this);
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -12,9 +12,11 @@
 import org.gradeledge.quarantine.Quarantine;
 
 /**
- * The pieces that wait for one service, and the calls that make them. An upstream that is free gets
- * a call at once with as many of the most urgent pieces as it takes; while all are busy the queue
- * grows, and with it the calls. Confined to the event loop.
+ * The waiting pieces of one service and the calls that process them.
+ *
+ * <p>A free upstream immediately receives a call with the most urgent pieces, up to its limits.
+ * While all upstreams are processing calls, the queue grows and so do the next batches. Confined to
+ * the event loop.
  */
 final class BatchQueue implements BatchCall.Listener {
 
@@ -24,10 +26,7 @@
   private static final long TIMEOUT_EXTRA_MILLIS = 400;
   private static final double FULL_PAUSE_SHARE = 0.6;
 
-  /**
-   * An upstream fetches inputs as soon as a call's turn comes, which is at once where it is free. A
-   * part of the fixed time of a call, so that a slow upstream gets longer.
-   */
+  /** Share of a call's fixed time after which its inputs count as fetched. */
   private static final double INPUT_FETCH_SHARE = 0.5;
 
   private final String service;
@@ -41,29 +40,29 @@
   private final CrashCheck crashCheck;
   private final DelayedRecheck recheck;
 
-  BatchQueue(String service, BatchContext services, EventLoop loop) {
+  BatchQueue(String service, BatchContext context, EventLoop loop) {
     this.service = service;
-    this.context = services;
+    this.context = context;
     this.loop = loop;
-    this.resultMemory = new ResultMemory(services.clock(), services.loads());
-    this.upstreams = new BatchUpstreams(service, services, resultMemory);
-    this.retries = new PieceRetries(service, services);
+    this.resultMemory = new ResultMemory(context.clock(), context.loads());
+    this.upstreams = new BatchUpstreams(service, context, resultMemory);
+    this.retries = new PieceRetries(service, context);
     this.recheck = new DelayedRecheck(loop, this::dispatch);
-    this.crashCheck = new CrashCheck(services.livenessChecks(), loop);
-    this.forecast = new QueueForecast(service, services, waiting, upstreams);
+    this.crashCheck = new CrashCheck(context.livenessChecks(), loop);
+    this.forecast = new QueueForecast(service, context, waiting, upstreams);
   }
 
   void submit(StageGroup group, StageWorkListener listener) {
-    GroupInProgress started =
+    GroupInProgress progress =
         new GroupInProgress(
             group, context.zoneOfInputs(group), context.box(), context.clock().nanos(), listener);
     BatchLimits limits = context.limits(service).orElse(null);
-    if (limits == null || forecast.isUnreachableFirstGroup(started, limits)) {
-      endGroup(started, StageOutcome.LATE);
+    if (limits == null || forecast.isUnreachableFirstGroup(progress, limits)) {
+      endGroup(progress, StageOutcome.LATE);
       return;
     }
     forecast.recordArrival(group);
-    waiting.add(started);
+    waiting.add(progress);
     dispatch();
   }
 
@@ -75,7 +74,7 @@
     waiting.cancel(requestId);
   }
 
-  /** Returns which start of an upstream holds a result, if it is known here. */
+  /** Returns the upstream incarnation that stores a result, if this queue made the call. */
   Optional<String> incarnationOf(String handle) {
     return resultMemory.incarnationOf(handle);
   }
@@ -85,12 +84,12 @@
     dispatch();
   }
 
-  /** Returns how long what is as urgent as a priority or more keeps the upstreams busy. */
+  /** Returns the expected time to process the pieces of this priority or a more urgent one. */
   long backlogMillis(int priority) {
     return forecast.backlogMillis(priority);
   }
 
-  /** Makes calls as long as there are pieces and upstreams that are free. */
+  /** Starts calls while there are waiting pieces and free upstreams. */
   void dispatch() {
     Optional<BatchLimits> limits = context.limits(service);
     if (waiting.isEmpty() || limits.isEmpty()) {
@@ -100,9 +99,9 @@
     double shortest = limits.get().expectedMillis(1);
     waiting.removeExpired(shortest, now).forEach(group -> endGroup(group, StageOutcome.LATE));
     waiting.sort(shortest, now);
-    boolean called = true;
-    while (called && !waiting.isEmpty()) {
-      called = callNext(limits.get(), now);
+    boolean callStarted = true;
+    while (callStarted && !waiting.isEmpty()) {
+      callStarted = callNext(limits.get(), now);
     }
     if (!waiting.isEmpty()) {
       recheck.schedule();
@@ -116,45 +115,48 @@
   }
 
   private boolean tryCall(BatchUpstream target, BatchLimits limits, long now) {
-    List<StagePiece> chosen =
+    List<StagePiece> batch =
         waiting.takeBatch(
             limits.itemsPerCall(),
             upstreams.freeBytes(target, limits),
             upstreams.eligibility(target, limits, now));
-    if (chosen.isEmpty()) {
+    if (batch.isEmpty()) {
       return false;
     }
-    chosen.forEach(piece -> piece.group().recordCall(target.upstream().zone(), now));
-    BatchCall call = new BatchCall(target, chosen, limits, now, this);
-    double expected = target.expectedMillis(limits, chosen.size());
+    batch.forEach(piece -> piece.group().recordCall(target.upstream().zone(), now));
+    BatchCall call = new BatchCall(target, batch, limits, now, this);
+    double expected = target.expectedMillis(limits, batch.size());
     target.callStarted(call.resultBytes(), expected, now);
     context.loads().started(target.upstream(), call.resultBytes());
     context.sendingRule().sent(target.upstream());
     List<CallItem> items =
-        chosen.stream()
-            .map(p -> new CallItem(p.group().group(), p.index(), p.group().remainingMillis(now)))
+        batch.stream()
+            .map(
+                piece ->
+                    new CallItem(
+                        piece.group().group(), piece.index(), piece.group().remainingMillis(now)))
             .toList();
-    UpstreamCall running =
+    UpstreamCall upstreamCall =
         context
             .caller()
             .call(target.upstream(), context.protocol().encodeCall(target.upstream(), items), call);
-    long limit = (long) (expected * TIMEOUT_FACTOR) + TIMEOUT_EXTRA_MILLIS;
-    loop.schedule(() -> timeOut(call, running), limit, TimeUnit.MILLISECONDS);
+    long timeout = (long) (expected * TIMEOUT_FACTOR) + TIMEOUT_EXTRA_MILLIS;
+    loop.schedule(() -> timeOut(call, upstreamCall), timeout, TimeUnit.MILLISECONDS);
     return true;
   }
 
-  private static void timeOut(BatchCall call, UpstreamCall running) {
+  private static void timeOut(BatchCall call, UpstreamCall upstreamCall) {
     if (!call.isFinished()) {
-      running.cancel();
+      upstreamCall.cancel();
       call.onTimeout();
     }
   }
 
   @Override
   public void onCallSent(BatchCall call) {
-    double fixed = call.target().expectedMillis(call.limits(), 0);
-    long fetched = (long) (fixed * INPUT_FETCH_SHARE);
-    loop.schedule(call::inputsFetched, fetched, TimeUnit.MILLISECONDS);
+    double fixedMillis = call.target().expectedMillis(call.limits(), 0);
+    long fetchMillis = (long) (fixedMillis * INPUT_FETCH_SHARE);
+    loop.schedule(call::inputsFetched, fetchMillis, TimeUnit.MILLISECONDS);
   }
 
   @Override
@@ -165,7 +167,7 @@
           .protocol()
           .decodeAnswer(body, call.pieces().size())
           .peek(results -> handleResults(call, results))
-          .peekLeft(why -> retry(call, true, why));
+          .peekLeft(reason -> retry(call, true, reason));
     } else if (status == HTTP_UNAVAILABLE) {
       pauseFullUpstream(call);
       retry(call, true, "full");
@@ -180,25 +182,25 @@
   public void onCallFailed(BatchCall call, Optional<CallFailure> failure) {
     recordCallEnd(call);
     boolean sent = failure.map(CallFailure::sent).orElse(true);
-    String why = failure.map(CallFailure::name).orElse("no answer in time");
+    String reason = failure.map(CallFailure::name).orElse("no answer in time");
     if (failure.filter(CallFailure.NO_CONNECTION_FREE::equals).isPresent()) {
       pauseFullUpstream(call);
     } else if (failure.map(CallFailure::blamesUpstream).orElse(true)) {
-      context.loads().failed(call.target().upstream(), !sent || failure.isEmpty(), why);
+      context.loads().failed(call.target().upstream(), !sent || failure.isEmpty(), reason);
     }
     if (failure.filter(CallFailure.BROKEN::equals).isPresent()) {
-      crashCheck.check(call, () -> retryAndDispatch(call, sent, why));
+      crashCheck.check(call, () -> retryAndDispatch(call, sent, reason));
     } else {
-      retryAndDispatch(call, sent, why);
+      retryAndDispatch(call, sent, reason);
     }
   }
 
-  private void retryAndDispatch(BatchCall call, boolean sent, String why) {
-    retry(call, sent, why);
+  private void retryAndDispatch(BatchCall call, boolean sent, String reason) {
+    retry(call, sent, reason);
     dispatch();
   }
 
-  /** What keeps an upstream full is calls, of which one ends within the time of a call. */
+  /** Pauses a full upstream for about the time in which one of its calls ends. */
   private void pauseFullUpstream(BatchCall call) {
     long millis = (long) (call.limits().expectedMillis(1) * FULL_PAUSE_SHARE);
     context.loads().pause(call.target().upstream(), millis);
@@ -218,11 +220,11 @@
     }
     context.loads().succeeded(call.target().upstream(), millis);
     for (int i = 0; i < results.size(); i++) {
-      handleResults(call, call.pieces().get(i), results.get(i), limits);
+      handleResult(call, call.pieces().get(i), results.get(i), limits);
     }
   }
 
-  private void handleResults(
+  private void handleResult(
       BatchCall call, StagePiece piece, PieceResult result, BatchLimits limits) {
     UpstreamRecord upstream = call.target().upstream();
     switch (result.kind()) {
@@ -234,7 +236,7 @@
         retry(List.of(piece), true, "no room", upstream);
       }
       case ERROR -> retry(List.of(piece), true, "error", upstream);
-      default -> throw new IllegalStateException("unknown result " + result.kind());
+      default -> throw new IllegalStateException("Unsupported result kind: " + result.kind());
     }
   }
 
@@ -249,20 +251,22 @@
     group.pieceCompleted(piece.index(), handle);
   }
 
-  private void retry(BatchCall call, boolean sent, String why) {
-    retry(call.pieces(), sent, why, call.target().upstream());
+  private void retry(BatchCall call, boolean sent, String reason) {
+    retry(call.pieces(), sent, reason, call.target().upstream());
   }
 
-  private void retry(List<StagePiece> pieces, boolean sent, String why, UpstreamRecord from) {
+  private void retry(
+      List<StagePiece> pieces, boolean sent, String reason, UpstreamRecord upstream) {
     pieces.stream()
         .map(StagePiece::group)
         .filter(group -> group.crashCount() >= Quarantine.ENDS_OF_VERDICT)
         .forEach(group -> endGroup(group, StageOutcome.FAILED));
-    List<StagePiece> wanted = pieces.stream().filter(piece -> !piece.group().hasEnded()).toList();
-    if (retries.tryAcquire(wanted, sent, why, from)) {
-      waiting.addAll(wanted);
+    List<StagePiece> unfinished =
+        pieces.stream().filter(piece -> !piece.group().hasEnded()).toList();
+    if (retries.tryAcquire(unfinished, sent, reason, upstream)) {
+      waiting.addAll(unfinished);
     } else {
-      wanted.forEach(piece -> endGroup(piece.group(), StageOutcome.FAILED));
+      unfinished.forEach(piece -> endGroup(piece.group(), StageOutcome.FAILED));
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstream.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstream.java
@@ -3,7 +3,7 @@
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** One upstream that makes pieces, as the box that calls it sees it. Confined to the event loop. */
+/** The calls in flight to one upstream and its observed speed. Confined to the event loop. */
 final class BatchUpstream {
 
   private static final double SMOOTHING_FACTOR = 0.4;
@@ -34,7 +34,7 @@
     return limits.expectedMillis(items) * slowdown;
   }
 
-  /** Returns about when a call that waits for this upstream would end, from now. */
+  /** Returns the expected time until a call that waits for this upstream completes. */
   double millisUntilCompletion(BatchLimits limits, int items, long nowNanos) {
     double wait = hasFreeSlot(limits) ? 0 : Math.max(0, (freeAtNanos - nowNanos) / 1e6);
     return wait + expectedMillis(limits, items);
@@ -51,7 +51,7 @@
     reservedBytes -= bytes;
   }
 
-  /** Takes in how a call's time compares with what the configuration says. */
+  /** Records the ratio of a call's duration to the configured one. */
   void recordSlowdown(double ratio) {
     slowdown += SMOOTHING_FACTOR * (ratio - slowdown);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
@@ -9,22 +9,18 @@
 import java.util.stream.Collectors;
 import org.gradeledge.deployment.BatchLimits;
 
-/** The upstreams of one service and which of them to call next. Confined to the event loop. */
+/** Selects the upstreams of one service to call next. Confined to the event loop. */
 final class BatchUpstreams {
 
   private static final double SLOWDOWN_TOLERANCE = 1.15;
 
-  /**
-   * Results are told with about their size, and what a box knows of room that others gave up lags
-   * by a call, so that a little is left. With 0.85 eight results fitted where there is room for
-   * ten, and room is what binds under load; pieces that find none rose from 6.2 to 7.5 of 1,000.
-   */
+  /** Leaves a reserve, as result sizes are approximate and releases by peers are reported late. */
   private static final double USABLE_MEMORY_SHARE = 0.97;
 
   private static final double URGENT_CALLS = 2;
   private static final double MILLIS_PER_SECOND = 1e3;
 
-  /** Each call's results are given up by a release or so, which counts as a request too. */
+  /** Each call is followed by about one release, which also counts as a request. */
   private static final double CALLS_PER_REQUEST = 0.5;
 
   private final String service;
@@ -32,116 +28,118 @@
   private final ResultMemory resultMemory;
   private final Map<String, BatchUpstream> byIncarnation = new HashMap<>();
 
-  BatchUpstreams(String service, BatchContext services, ResultMemory held) {
+  BatchUpstreams(String service, BatchContext context, ResultMemory resultMemory) {
     this.service = service;
-    this.context = services;
-    this.resultMemory = held;
+    this.context = context;
+    this.resultMemory = resultMemory;
   }
 
   /**
-   * Returns the upstreams that are free and have room, fastest first; one so slow that waiting for
-   * another would be faster is left out.
+   * Returns the upstreams that have a free slot and free memory, fastest first, without those that
+   * are slower than waiting for another upstream.
    */
   List<BatchUpstream> candidates(BatchLimits limits, int items, long now) {
-    List<BatchUpstream> known =
+    List<BatchUpstream> upstreams =
         usable().stream().filter(each -> freeBytes(each, limits) > 0).toList();
-    double soonest =
-        known.stream()
+    double earliestMillis =
+        upstreams.stream()
             .mapToDouble(each -> millisUntilCompletion(each, limits, items, now))
             .min()
             .orElse(0);
     Comparator<BatchUpstream> fastest =
         Comparator.comparingDouble(each -> each.expectedMillis(limits, items));
-    return known.stream()
+    return upstreams.stream()
         .filter(each -> hasFreeSlot(each, limits) && context.sendingRule().admits(each.upstream()))
-        .filter(each -> each.expectedMillis(limits, items) <= soonest * SLOWDOWN_TOLERANCE)
+        .filter(each -> each.expectedMillis(limits, items) <= earliestMillis * SLOWDOWN_TOLERANCE)
         .sorted(fastest.thenComparingLong(this::occupiedBytes))
         .toList();
   }
 
-  /** Returns about how long so many pieces keep all upstreams busy, what is under way included. */
+  /** Returns the expected time to process the given number of pieces after the calls in flight. */
   double backlogMillis(BatchLimits limits, long pieces, long now) {
-    List<BatchUpstream> known = usable();
-    if (known.isEmpty()) {
+    List<BatchUpstream> upstreams = usable();
+    if (upstreams.isEmpty()) {
       return Double.MAX_VALUE;
     }
     double fullCalls = Math.ceil((double) pieces / limits.itemsPerCall());
     double work = fullCalls * limits.callMillis() + pieces * limits.itemMillis();
-    double soonestFree =
-        known.stream()
+    double earliestFreeMillis =
+        upstreams.stream()
                 .mapToDouble(each -> millisUntilCompletion(each, limits, 0, now))
                 .min()
                 .orElse(0)
             - limits.expectedMillis(0);
-    double slowness =
-        known.stream().mapToDouble(each -> each.expectedMillis(limits, 1)).average().orElse(0)
+    double meanSlowdown =
+        upstreams.stream().mapToDouble(each -> each.expectedMillis(limits, 1)).average().orElse(0)
             / limits.expectedMillis(1);
-    return Math.max(0, soonestFree) + work * slowness / effectiveUpstreams(known, limits);
+    return Math.max(0, earliestFreeMillis)
+        + work * meanSlowdown / effectiveUpstreams(upstreams, limits);
   }
 
-  /** Returns the time of all upstreams together that a piece takes in full calls. */
+  /** Returns the mean time per piece in full calls to all upstreams. */
   double secondsPerPiece(BatchLimits limits) {
-    int most = limits.itemsPerCall();
-    double each = limits.expectedMillis(most) / most / MILLIS_PER_SECOND;
-    return each / Math.max(1, effectiveUpstreams(usable(), limits));
+    int maxItems = limits.itemsPerCall();
+    double upstreamSeconds = limits.expectedMillis(maxItems) / maxItems / MILLIS_PER_SECOND;
+    return upstreamSeconds / Math.max(1, effectiveUpstreams(usable(), limits));
   }
 
-  /** Returns about when a call would end, from now, also where its upstream names a limit. */
+  /** Returns the expected time until a call completes, including the wait for the sending rule. */
   private double millisUntilCompletion(
-      BatchUpstream each, BatchLimits limits, int items, long now) {
-    double turn = context.sendingRule().millisUntilAdmitted(each.upstream(), 0);
+      BatchUpstream target, BatchLimits limits, int items, long now) {
+    double admissionMillis = context.sendingRule().millisUntilAdmitted(target.upstream(), 0);
     return Math.max(
-        each.millisUntilCompletion(limits, items, now), turn + each.expectedMillis(limits, items));
+        target.millisUntilCompletion(limits, items, now),
+        admissionMillis + target.expectedMillis(limits, items));
   }
 
   /**
-   * Returns how many upstreams without limits make as much as these: one that takes fewer calls
-   * than it could make counts for a part. Where none takes any now, all count, as the wait for the
-   * first of them is counted besides.
+   * Returns the number of unlimited upstreams with the same throughput; an upstream that the
+   * sending rule limits counts in part. If no upstream accepts calls now, all count in full, as
+   * callers add the wait for the first one.
    */
-  private double effectiveUpstreams(List<BatchUpstream> known, BatchLimits limits) {
-    double whole = effectiveUpstreamsNow(known, limits);
-    return whole > 0 ? whole : known.size();
+  private double effectiveUpstreams(List<BatchUpstream> upstreams, BatchLimits limits) {
+    double effective = effectiveUpstreamsNow(upstreams, limits);
+    return effective > 0 ? effective : upstreams.size();
   }
 
-  private double effectiveUpstreamsNow(List<BatchUpstream> known, BatchLimits limits) {
-    return known.stream()
+  private double effectiveUpstreamsNow(List<BatchUpstream> upstreams, BatchLimits limits) {
+    return upstreams.stream()
         .mapToDouble(
             each -> {
-              double calls = context.sendingRule().perSecond(each.upstream()) * CALLS_PER_REQUEST;
-              double full = each.expectedMillis(limits, limits.itemsPerCall());
-              return Math.min(1, calls * full / MILLIS_PER_SECOND);
+              double callsPerSecond =
+                  context.sendingRule().perSecond(each.upstream()) * CALLS_PER_REQUEST;
+              double fullCallMillis = each.expectedMillis(limits, limits.itemsPerCall());
+              return Math.min(1, callsPerSecond * fullCallMillis / MILLIS_PER_SECOND);
             })
         .sum();
   }
 
-  /** Returns the room for results that an upstream has left. */
+  /** Returns the free memory for results at an upstream. */
   long freeBytes(BatchUpstream target, BatchLimits limits) {
     return resultMemory.isFull(target.upstream().start())
         ? 0
         : (long) (limits.roomBytes() * USABLE_MEMORY_SHARE) - occupiedBytes(target);
   }
 
-  /** Another box may still be calling the upstream, as it did this work until a moment ago. */
+  /** Counts calls of peers as well: the previous owner of the service may have calls in flight. */
   private boolean hasFreeSlot(BatchUpstream target, BatchLimits limits) {
-    int others = context.loads().runningAtPeers(target.upstream());
-    return target.hasFreeSlot(limits) && others < limits.calls();
+    int peerCalls = context.loads().runningAtPeers(target.upstream());
+    return target.hasFreeSlot(limits) && peerCalls < limits.calls();
   }
 
   /**
-   * Returns whose pieces an upstream may make now. Pieces wait a while for an upstream of the zone
-   * that their inputs lie in or their results are wanted in (delay scheduling), unless they are in
-   * a hurry.
+   * Returns which groups an upstream may process now. A group waits a limited time for an upstream
+   * in its own zone (delay scheduling), unless its target time is near.
    */
   Predicate<GroupInProgress> eligibility(BatchUpstream target, BatchLimits limits, long now) {
     Set<String> zones =
         usable().stream().map(each -> each.upstream().zone()).collect(Collectors.toSet());
-    double hurryMillis = limits.expectedMillis(1) * URGENT_CALLS;
+    double urgentMillis = limits.expectedMillis(1) * URGENT_CALLS;
     return group ->
         group.zone().isEmpty()
             || group.zone().equals(target.upstream().zone())
             || group.waitedMillis(now) >= group.localityWaitMillis()
-            || !group.meetsTargetAfter(hurryMillis, now)
+            || !group.meetsTargetAfter(urgentMillis, now)
             || !zones.contains(group.zone());
   }
 
@@ -154,7 +152,9 @@
   private List<BatchUpstream> usable() {
     byIncarnation.values().removeIf(each -> !context.upstreams().isUsable(each.upstream()));
     return context.loads().preferred(context.upstreams().usable(service)).stream()
-        .map(each -> byIncarnation.computeIfAbsent(each.start(), start -> new BatchUpstream(each)))
+        .map(
+            each ->
+                byIncarnation.computeIfAbsent(each.start(), incarnation -> new BatchUpstream(each)))
         .toList();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/CallItem.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/CallItem.java
@@ -1,11 +1,11 @@
 package org.gradeledge.batch;
 
 /**
- * One piece as it is put into a call.
+ * A piece in a call.
  *
- * @param group the group that it belongs to
- * @param index its number in the group
- * @param remainingMillis time left until its result is worth nothing
+ * @param group the group of the piece
+ * @param index index of the piece within the group
+ * @param remainingMillis time until the result is no longer useful
  * @since 0.2
  */
 public record CallItem(StageGroup group, int index, long remainingMillis) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/CrashCheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/CrashCheck.java
@@ -6,41 +6,38 @@
 import org.gradeledge.connection.UpstreamProof;
 
 /**
- * Looks, before the pieces of a call that was lost are made again, whether the upstream has ended
- * under them. Confined to the event loop.
+ * Checks whether an upstream crashed while it processed a call, before the pieces of the call are
+ * retried. Confined to the event loop.
  */
 final class CrashCheck {
 
-  /**
-   * An upstream that has ended refuses a connection at once, within the way there and back; what is
-   * still silent then is not waited for.
-   */
+  /** Longer than a network round trip: a crashed upstream refuses connections immediately. */
   private static final long TIMEOUT_MILLIS = 60;
 
   private final UpstreamEnds livenessChecks;
   private final EventLoop loop;
 
-  CrashCheck(UpstreamEnds ends, EventLoop loop) {
-    this.livenessChecks = ends;
+  CrashCheck(UpstreamEnds livenessChecks, EventLoop loop) {
+    this.livenessChecks = livenessChecks;
     this.loop = loop;
   }
 
-  /** Looks, and runs what follows once. */
-  void check(BatchCall call, Runnable then) {
-    Once following = new Once(then);
+  /** Checks the upstream and runs the continuation once, after the check or a timeout. */
+  void check(BatchCall call, Runnable continuation) {
+    Once once = new Once(continuation);
     livenessChecks.prove(
         call.target().upstream(),
-        proof -> {
-          if (proof == UpstreamProof.REFUSED) {
-            String start = call.target().upstream().start();
-            call.pieces().forEach(piece -> piece.group().recordCrash(start));
+        result -> {
+          if (result == UpstreamProof.REFUSED) {
+            String incarnation = call.target().upstream().start();
+            call.pieces().forEach(piece -> piece.group().recordCrash(incarnation));
           }
-          following.run();
+          once.run();
         });
-    loop.schedule(following, TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(once, TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** An action that is run by whoever comes first. */
+  /** Runs an action on the first invocation only. */
   private static final class Once implements Runnable {
 
     private final Runnable action;
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/DelayedRecheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/DelayedRecheck.java
@@ -3,19 +3,19 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** Looks at a queue again a little later, once however often that is asked for meanwhile. */
+/** Runs an action after a short delay and coalesces the requests made in the meantime. */
 final class DelayedRecheck {
 
-  /** A small part of a call's time, within which an upstream may have become free unheard. */
+  /** Bounds how late a free upstream is detected when no event reports it. */
   private static final long DELAY_MILLIS = 25;
 
   private final EventLoop loop;
   private final Runnable action;
   private boolean scheduled;
 
-  DelayedRecheck(EventLoop loop, Runnable look) {
+  DelayedRecheck(EventLoop loop, Runnable action) {
     this.loop = loop;
-    this.action = look;
+    this.action = action;
   }
 
   void schedule() {
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/GroupInProgress.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/GroupInProgress.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** A group whose pieces are being made. Confined to the event loop. */
+/** A group of pieces that waits or is being computed. Confined to the event loop. */
 final class GroupInProgress {
 
   private static final long NANOS_PER_PRIORITY = 400_000_000L;
@@ -47,32 +47,34 @@
     return group;
   }
 
-  /** Returns the zone that the pieces are best made in. */
+  /** Returns the preferred zone of the pieces; empty if there is none. */
   String zone() {
     return zone;
   }
 
-  /** Notes that an upstream ended while it made a piece. */
-  void recordCrash(String start) {
-    crashedUpstreams.add(start);
+  /** Records that an upstream crashed while it computed a piece. */
+  void recordCrash(String incarnation) {
+    crashedUpstreams.add(incarnation);
   }
 
-  /** Returns how many upstreams have ended while they made pieces. */
+  /** Returns the number of upstream incarnations that crashed while they computed pieces. */
   int crashCount() {
     return crashedUpstreams.size();
   }
 
-  /** Notes when and where a piece is made, so that the others are made nearby. */
-  void recordCall(String firstZone, long nowNanos) {
+  /**
+   * Records the time and zone of a call; the first zone becomes the preferred one if none is set.
+   */
+  void recordCall(String callZone, long nowNanos) {
     lastCallNanos = nowNanos;
     if (zone.isEmpty()) {
-      zone = firstZone;
+      zone = callZone;
     }
   }
 
   /**
-   * Returns how long the pieces may wait for an upstream of the zone: a part of the time there is,
-   * where many bytes would cross zones otherwise.
+   * Returns how long the pieces may wait for an upstream of the preferred zone; zero if little data
+   * would cross zones.
    */
   long localityWaitMillis() {
     long bytes = group.pieces() * Math.max(group.inputBytes(), group.resultBytes());
@@ -91,26 +93,26 @@
     return (expiryNanos - nowNanos) / 1_000_000;
   }
 
-  /** Returns whether the request is better given up than kept waiting any longer. */
+  /** Returns whether the group has waited longer than the request allows. */
   boolean hasExceededWait(long nowNanos) {
     return waitedMillis(nowNanos) > group.maxWaitMillis();
   }
 
-  /** Returns whether results that come after so many milliseconds are still in time. */
+  /** Returns whether results meet the target time if they are available after the given delay. */
   boolean meetsTargetAfter(double millis, long nowNanos) {
     return nowNanos + (long) (millis * 1e6) <= dueNanos;
   }
 
-  /** Returns the moment by which groups are put in order; a less urgent one counts as due later. */
+  /** Returns the sort key of the group: its target time plus a delay for each priority level. */
   long sortKeyNanos() {
     return dueNanos + group.priority() * NANOS_PER_PRIORITY;
   }
 
-  /** Notes that an upstream has fetched the inputs for a piece. */
+  /** Records that an upstream has fetched the inputs of a piece. */
   void inputsFetched(int index) {
-    boolean hadAll = hasAllInputs();
+    boolean hadAllInputs = hasAllInputs();
     piecesWithInputs.set(index);
-    if (!ended && !hadAll && hasAllInputs() && !group.inputs().isEmpty()) {
+    if (!ended && !hadAllInputs && hasAllInputs() && !group.inputs().isEmpty()) {
       listener.onInputsFetched();
     }
   }
@@ -128,27 +130,27 @@
     inputsFetched(index);
   }
 
-  void fail(StageOutcome outcome, long comeBackMillis) {
+  void fail(StageOutcome outcome, long retryAfterMillis) {
     if (!ended) {
-      end(outcome, List.of(), comeBackMillis);
+      end(outcome, List.of(), retryAfterMillis);
     }
   }
 
-  /** Ends without telling anybody. */
+  /** Ends the group without notifying the listener. */
   void cancel() {
     ended = true;
   }
 
-  /** Returns the results that exist although nobody wants them any more. */
+  /** Returns the results computed so far, to be released if the group fails. */
   List<String> unusedHandles() {
     return Arrays.stream(handles).filter(Objects::nonNull).map(Objects::requireNonNull).toList();
   }
 
-  private void end(StageOutcome outcome, List<String> made, long comeBackMillis) {
+  private void end(StageOutcome outcome, List<String> results, long retryAfterMillis) {
     ended = true;
     long waited = Math.max(0, lastCallNanos - startNanos) / 1_000_000;
     listener.onEnd(
         new StageGroupResult(
-            outcome, made, box, comeBackMillis, waited, List.copyOf(crashedUpstreams)));
+            outcome, results, box, retryAfterMillis, waited, List.copyOf(crashedUpstreams)));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/PendingPieces.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/PendingPieces.java
@@ -8,34 +8,34 @@
 import org.gradeledge.deployment.Urgency;
 
 /**
- * The pieces that admitted requests will want made once their earlier stages are done: those of
- * this box's requests, and what its peers tell of theirs. Without them the queue of a later stage
- * looks short while the work for it is on its way. Confined to the event loop.
+ * Counts the pieces that admitted requests will submit once their earlier stages are complete, for
+ * the requests of this box and, as reported, of its peers. Admission would otherwise underestimate
+ * the load of later stages. Confined to the event loop.
  *
  * @since 0.2
  */
 public final class PendingPieces {
 
-  /** Priorities that are told apart; less urgent ones count as the last. */
+  /** Number of priority levels; less urgent priorities count as the last level. */
   static final int PRIORITY_LEVELS = Urgency.LEVELS;
 
   private final Map<String, long[]> ownCounts = new HashMap<>();
   private final Map<String, Map<String, List<Long>>> countsByPeer = new HashMap<>();
 
-  /** Adds pieces that a request of this box will want made. */
+  /** Adds pieces that a request of this box will submit. */
   public void add(String service, int priority, int pieces) {
     ownCounts.computeIfAbsent(service, name -> new long[PRIORITY_LEVELS])[level(priority)] +=
         pieces;
   }
 
-  /** Takes pieces out that are waiting at their service now, or are not wanted any more. */
+  /** Removes pieces that were submitted or are no longer required. */
   public void remove(String service, int priority, int pieces) {
     add(service, priority, -pieces);
   }
 
   /**
-   * Returns the pieces to come of this box's requests, by service and priority; priorities after
-   * the last one with any are left out, as heartbeats of many boxes carry these lists.
+   * Returns the counts for the requests of this box by service and priority, without trailing
+   * zeros.
    */
   public Map<String, List<Long>> ownCounts() {
     Map<String, List<Long>> counts = new HashMap<>();
@@ -53,25 +53,25 @@
     }
   }
 
-  /** Takes the place of what a peer told of its own requests before. */
-  public void setPeerCounts(String box, Map<String, List<Long>> counts) {
-    countsByPeer.put(box, counts);
+  /** Replaces the counts that a peer reported for its own requests. */
+  public void setPeerCounts(String peer, Map<String, List<Long>> counts) {
+    countsByPeer.put(peer, counts);
   }
 
-  /** Forgets what a peer told. */
-  public void removePeer(String box) {
-    countsByPeer.remove(box);
+  /** Removes the counts of a peer. */
+  public void removePeer(String peer) {
+    countsByPeer.remove(peer);
   }
 
-  /** Returns how many pieces as urgent as a priority or more are on their way to a service. */
+  /** Returns the number of pending pieces of a service with this priority or a more urgent one. */
   long total(String service, int priority) {
-    long ofPeers =
+    long peerCount =
         countsByPeer.values().stream()
             .map(counts -> counts.getOrDefault(service, List.of()))
             .mapToLong(counts -> sum(counts, priority))
             .sum();
-    long[] ofOwn = ownCounts.getOrDefault(service, new long[PRIORITY_LEVELS]);
-    return ofPeers + Arrays.stream(ofOwn, 0, level(priority) + 1).sum();
+    long[] ownByPriority = ownCounts.getOrDefault(service, new long[PRIORITY_LEVELS]);
+    return peerCount + Arrays.stream(ownByPriority, 0, level(priority) + 1).sum();
   }
 
   private static long sum(List<Long> counts, int priority) {
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/PieceResult.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/PieceResult.java
@@ -3,25 +3,25 @@
 import java.util.Optional;
 
 /**
- * What an upstream answered for one piece.
+ * The response of an upstream for one piece.
  *
- * @param kind what came of it
- * @param handle where the result lies, if there is one
+ * @param kind kind of the response
+ * @param handle handle of the result, if there is one
  * @since 0.2
  */
 public record PieceResult(Kind kind, Optional<String> handle) {
 
-  /** What can come of a piece. */
+  /** The kinds of responses for a piece. */
   public enum Kind {
-    /** There is a result. */
+    /** The piece was computed. */
     MADE,
-    /** The time left had run out when its turn came. */
+    /** The remaining time had passed before the upstream started the piece. */
     LATE,
-    /** An input is gone. */
+    /** An input is no longer stored. */
     GONE,
-    /** The upstream has no room for the result. */
+    /** The upstream has no free memory for the result. */
     NO_ROOM,
-    /** It failed. */
+    /** The upstream failed to compute the piece. */
     ERROR
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/PieceRetries.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/PieceRetries.java
@@ -4,28 +4,30 @@
 import java.util.stream.Collectors;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** Decides whether pieces that a call did not make are made again. Confined to the event loop. */
+/** Decides whether the pieces of a failed call are retried. Confined to the event loop. */
 final class PieceRetries {
 
   private final String service;
   private final BatchContext context;
 
-  PieceRetries(String service, BatchContext services) {
+  PieceRetries(String service, BatchContext context) {
     this.service = service;
-    this.context = services;
+    this.context = context;
   }
 
   /**
-   * Returns whether pieces may be made again; what reached an upstream draws on the retry budget.
+   * Returns whether pieces may be retried and logs the failure. Pieces that were sent to an
+   * upstream consume the retry budget.
    */
-  boolean tryAcquire(List<StagePiece> pieces, boolean sent, String why, UpstreamRecord from) {
+  boolean tryAcquire(
+      List<StagePiece> pieces, boolean sent, String reason, UpstreamRecord upstream) {
     boolean allowed = !sent || context.retryBudget().trySpend(service, pieces.size());
     context
         .events()
         .problem("pieces-failed")
         .with("service", service)
-        .with("upstream", from.id())
-        .with("why", why)
+        .with("upstream", upstream.id())
+        .with("why", reason)
         .with("pieces", pieces.size())
         .with("again", allowed ? "yes" : "no, retry budget spent")
         .with("requests", requestIds(pieces))
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
@@ -3,12 +3,12 @@
 import org.gradeledge.deployment.BatchLimits;
 
 /**
- * How long what waits for one service, or is on its way to it, keeps the service's upstreams busy.
- * Admission goes by it, at this box and at those that are told. Confined to the event loop.
+ * Forecasts how long the waiting and pending pieces of one service occupy its upstreams. Admission
+ * on this box and its peers uses the forecast. Confined to the event loop.
  */
 final class QueueForecast {
 
-  /** More urgent arrivals come in bursts; a rate of the moment never stops all others for good. */
+  /** Lower bound, so that a burst of more urgent pieces does not block all others. */
   private static final double MIN_REMAINING_SHARE = 0.15;
 
   private final String service;
@@ -18,17 +18,17 @@
   private final ArrivalRates arrivals;
 
   QueueForecast(
-      String service, BatchContext services, WaitingPieces waiting, BatchUpstreams upstreams) {
-    this.arrivals = new ArrivalRates(services.clock());
+      String service, BatchContext context, WaitingPieces waiting, BatchUpstreams upstreams) {
+    this.arrivals = new ArrivalRates(context.clock());
     this.service = service;
-    this.context = services;
+    this.context = context;
     this.waiting = waiting;
     this.upstreams = upstreams;
   }
 
   /**
-   * Returns whether a request that has cost nothing yet would come too late behind what waits, so
-   * that it is better told now when to come back.
+   * Returns whether a group of a request without prior work would miss its target time behind the
+   * waiting pieces, so that the request can be refused early with a retry delay.
    */
   boolean isUnreachableFirstGroup(GroupInProgress group, BatchLimits limits) {
     if (!group.group().noWorkDone()) {
@@ -36,15 +36,16 @@
     }
     long now = context.clock().nanos();
     long ahead = waiting.countAhead(group, limits.expectedMillis(1), now);
-    double own = limits.expectedMillis(Math.min(group.group().pieces(), limits.itemsPerCall()));
-    double wait = upstreams.backlogMillis(limits, ahead, now);
+    double ownMillis =
+        limits.expectedMillis(Math.min(group.group().pieces(), limits.itemsPerCall()));
+    double waitMillis = upstreams.backlogMillis(limits, ahead, now);
     return !group.meetsTargetAfter(
-        wait / remainingShare(group.group().priority(), limits) + own, now);
+        waitMillis / remainingShare(group.group().priority(), limits) + ownMillis, now);
   }
 
   /**
-   * Returns about how long the pieces that can still be in time or are on their way, and are as
-   * urgent as a priority or more, keep the upstreams busy.
+   * Returns the expected time to process the pending pieces and the waiting pieces that can still
+   * meet their target time, of this priority or a more urgent one.
    */
   long backlogMillis(int priority) {
     return context.limits(service).map(limits -> backlogMillis(limits, priority)).orElse(0L);
@@ -58,18 +59,16 @@
     return (long) (upstreams.backlogMillis(limits, pieces, now) / remainingShare(priority, limits));
   }
 
-  /** Counts pieces that have just been handed to the service. */
   void recordArrival(StageGroup group) {
     arrivals.recordArrivals(group.priority(), group.pieces());
   }
 
   /**
-   * Returns the part of the upstreams' time that is left for what is no more urgent than a
-   * priority: while it waits, more urgent pieces go on arriving and go before it (the wait of a
-   * priority queue, as A. Cobham gave it in 1954).
+   * Returns the share of the upstreams' time that remains for a priority after the more urgent
+   * pieces that arrive in the meantime (Cobham's formula for priority queues).
    */
   private double remainingShare(int priority, BatchLimits limits) {
-    double taken = arrivals.ratePerSecondAbove(priority) * upstreams.secondsPerPiece(limits);
-    return Math.max(MIN_REMAINING_SHARE, 1 - taken);
+    double usedShare = arrivals.ratePerSecondAbove(priority) * upstreams.secondsPerPiece(limits);
+    return Math.max(MIN_REMAINING_SHARE, 1 - usedShare);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultMemory.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultMemory.java
@@ -11,8 +11,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How much room results take at the upstreams of a service, and which upstreams said that they have
- * none. Other boxes hear of it by the load board. Confined to the event loop.
+ * Tracks the memory that results occupy at the upstreams of a service and the upstreams that
+ * reported that their memory is full. Peers receive the occupied memory through the load table.
+ * Confined to the event loop.
  */
 final class ResultMemory {
 
@@ -21,9 +22,9 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * A result.
+   * A result at an upstream.
    *
-   * @param incarnation the start of an upstream that holds it
+   * @param incarnation id of the upstream incarnation that stores it
    */
   private record StoredResult(String incarnation, long bytes, long expiryNanos) {}
 
@@ -35,40 +36,40 @@
   private final Map<String, Long> bytesByIncarnation = new HashMap<>();
   private final Map<String, FullPeriod> fullPeriods = new HashMap<>();
 
-  ResultMemory(MonotonicClock clock, LoadBoard board) {
+  ResultMemory(MonotonicClock clock, LoadBoard loads) {
     this.clock = clock;
-    this.loads = board;
+    this.loads = loads;
   }
 
-  /** Notes a result, which is there until it is given up or has been kept long enough. */
-  void add(String handle, String upstream, long bytes, long keptMillis) {
-    fullPeriods.remove(upstream);
+  /** Adds a result, which stays until it is removed or its retention period has passed. */
+  void add(String handle, String incarnation, long bytes, long retentionMillis) {
+    fullPeriods.remove(incarnation);
     remove(List.of(handle));
-    adjust(upstream, bytes);
-    byHandle.put(handle, new StoredResult(upstream, bytes, nanosAfter(keptMillis)));
+    adjust(incarnation, bytes);
+    byHandle.put(handle, new StoredResult(incarnation, bytes, nanosAfter(retentionMillis)));
   }
 
   /**
-   * Notes that an upstream said that it has no room, whoever may hold it; it is asked again after a
-   * while that doubles each time.
+   * Marks an upstream as full for a period that doubles with each consecutive report up to a
+   * maximum.
    */
-  void markFull(String upstream) {
-    FullPeriod before = fullPeriods.get(upstream);
-    if (before != null && before.untilNanos() - clock.nanos() > 0) {
+  void markFull(String incarnation) {
+    FullPeriod previous = fullPeriods.get(incarnation);
+    if (previous != null && previous.untilNanos() - clock.nanos() > 0) {
       return;
     }
     long millis =
-        before == null ? INITIAL_FULL_MILLIS : Math.min(MAX_FULL_MILLIS, before.millis() * 2);
-    fullPeriods.put(upstream, new FullPeriod(millis, nanosAfter(millis)));
+        previous == null ? INITIAL_FULL_MILLIS : Math.min(MAX_FULL_MILLIS, previous.millis() * 2);
+    fullPeriods.put(incarnation, new FullPeriod(millis, nanosAfter(millis)));
   }
 
-  /** Returns whether an upstream said a short while ago that it has no room. */
-  boolean isFull(String upstream) {
-    FullPeriod said = fullPeriods.get(upstream);
-    return said != null && said.untilNanos() - clock.nanos() > 0;
+  /** Returns whether an upstream is marked as full. */
+  boolean isFull(String incarnation) {
+    FullPeriod period = fullPeriods.get(incarnation);
+    return period != null && period.untilNanos() - clock.nanos() > 0;
   }
 
-  /** Returns which start of an upstream holds a result. */
+  /** Returns the upstream incarnation that stores a result. */
   Optional<String> incarnationOf(String handle) {
     return Optional.ofNullable(byHandle.get(handle)).map(StoredResult::incarnation);
   }
@@ -79,14 +80,14 @@
         .forEach(this::releaseMemory);
   }
 
-  long bytesAt(String upstream) {
+  long bytesAt(String incarnation) {
     expire();
-    return bytesByIncarnation.getOrDefault(upstream, 0L);
+    return bytesByIncarnation.getOrDefault(incarnation, 0L);
   }
 
   /**
-   * Gives back the room of results that have been kept long enough, whoever has forgotten them. All
-   * are kept equally long, so that the oldest come first.
+   * Removes the results whose retention period has passed. All have the same period, so the oldest
+   * are first.
    */
   void expire() {
     long now = clock.nanos();
@@ -98,13 +99,13 @@
     remove(expired);
   }
 
-  private void releaseMemory(StoredResult held) {
-    adjust(held.incarnation(), -held.bytes());
+  private void releaseMemory(StoredResult result) {
+    adjust(result.incarnation(), -result.bytes());
   }
 
-  private void adjust(String upstream, long bytes) {
-    loads.hold(upstream, bytes);
-    bytesByIncarnation.merge(upstream, bytes, (before, more) -> nullIfZero(before + more));
+  private void adjust(String incarnation, long bytes) {
+    loads.hold(incarnation, bytes);
+    bytesByIncarnation.merge(incarnation, bytes, (total, change) -> nullIfZero(total + change));
   }
 
   private static @Nullable Long nullIfZero(long bytes) {
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
@@ -20,17 +20,16 @@
 import org.gradeledge.limit.SendingRule;
 
 /**
- * Gives up results at the upstreams that hold them, many in one call. A call that fails is not
- * repeated: the upstream forgets results by itself. Confined to the event loop.
+ * Releases results at the upstreams that store them, several in one call. Failed calls are not
+ * retried, as upstreams expire results themselves. Confined to the event loop.
  */
 final class ResultReleaser {
 
   private static final long COLLECTION_MILLIS = 8;
 
-  /** As long as calls wait for an upstream that names a limit: a few times a turn of it. */
   private static final long DEFERRAL_MILLIS = 100;
 
-  /** Some times longer than results are kept that nobody gives up. */
+  /** Longer than the retention period of results at upstreams. */
   private static final double MAX_DEFERRAL_MILLIS = 30_000;
 
   private final EventLoop loop;
@@ -48,15 +47,15 @@
       UpstreamCaller caller,
       UpstreamRegistry upstreams,
       StageProtocol protocol,
-      SendingRule sending,
-      Function<String, Optional<String>> makerOf,
+      SendingRule sendingRule,
+      Function<String, Optional<String>> incarnationOf,
       Consumer<Collection<String>> onReleased) {
     this.loop = loop;
     this.caller = caller;
     this.upstreams = upstreams;
     this.protocol = protocol;
-    this.sendingRule = sending;
-    this.incarnationOf = makerOf;
+    this.sendingRule = sendingRule;
+    this.incarnationOf = incarnationOf;
     this.onReleased = onReleased;
   }
 
@@ -64,21 +63,21 @@
     handles.forEach(handle -> pending.add(protocol.addressOf(handle), List.of(handle)));
   }
 
-  /** Handles that go together once a while has passed since the first of them came. */
+  /** Collects handles by upstream address and sends them a fixed delay after the first one. */
   private final class CollectedHandles {
 
     private final long delayMillis;
     private final Map<String, List<String>> byAddress = new HashMap<>();
 
-    CollectedHandles(long millis) {
-      this.delayMillis = millis;
+    CollectedHandles(long delayMillis) {
+      this.delayMillis = delayMillis;
     }
 
     void add(String address, List<String> handles) {
       if (byAddress.isEmpty()) {
         loop.schedule(this::flush, delayMillis, TimeUnit.MILLISECONDS);
       }
-      byAddress.computeIfAbsent(address, first -> new ArrayList<>()).addAll(handles);
+      byAddress.computeIfAbsent(address, key -> new ArrayList<>()).addAll(handles);
     }
 
     private void flush() {
@@ -93,8 +92,8 @@
   }
 
   /**
-   * A release is a request like others; one that has to wait gathers what comes meanwhile. Where
-   * the upstream takes it only after a long time, it has forgotten the results by then.
+   * Sends the release or defers it while the sending rule does not admit a request. Handles are
+   * dropped if the upstream will have expired the results before the release is admitted.
    */
   private void send(UpstreamRecord upstream, List<String> handles) {
     if (sendingRule.admits(upstream)) {
@@ -104,7 +103,7 @@
     }
   }
 
-  /** A result is lost with the start of the upstream that made it: the next one holds nothing. */
+  /** Drops the handles of results that were lost with an earlier incarnation of the upstream. */
   private List<String> keepStoredAt(UpstreamRecord upstream, List<String> handles) {
     return handles.stream()
         .filter(handle -> incarnationOf.apply(handle).map(upstream.start()::equals).orElse(true))
@@ -119,7 +118,7 @@
     caller.call(upstream, protocol.encodeRelease(upstream, handles), new ReleaseListener(handles));
   }
 
-  /** Tells of the room only once the upstream has answered, since only then it is there. */
+  /** Reports the handles as released once the upstream has confirmed the release. */
   private final class ReleaseListener implements CallListener {
 
     private final List<String> handles;
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroup.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroup.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * All pieces of one stage of one request, as it is handed to the box that makes the calls.
+ * All pieces of one stage of one request, as submitted to the box that owns the service.
  *
- * @param service service that makes the pieces
+ * @param service service that computes the pieces
  * @param requestId id of the request
- * @param stage number of the stage
- * @param pieces how many pieces
- * @param key what the first stages work from, absent where there are inputs
- * @param inputs results of earlier stages
- * @param inputBytes about how large all inputs together are; each piece takes all of them
- * @param resultBytes about how large one result is
- * @param zone zone that the results are wanted in, empty where that does not matter
+ * @param stage index of the stage
+ * @param pieces number of pieces
+ * @param key key of the input data of a stage without inputs
+ * @param inputs handles of the results of earlier stages
+ * @param inputBytes approximate total size of the inputs; each piece takes all of them
+ * @param resultBytes approximate size of one result
+ * @param zone zone of the consumer of the results, empty if it does not matter
  * @param priority 0 is the most urgent
- * @param dueMillis time left until the results come late for the request's target, may be negative
- * @param remainingMillis time left until they are worth nothing
- * @param maxWaitMillis how long its pieces may wait before the request is better given up
- * @param noWorkDone whether nothing was done for the request yet, so that it can be refused cheaply
+ * @param dueMillis time until the results miss the target time of the request, may be negative
+ * @param remainingMillis time until the results are no longer useful
+ * @param maxWaitMillis how long the pieces may wait before the group ends as late
+ * @param noWorkDone whether the request has no stage results yet, so that it can be refused cheaply
  * @since 0.2
  */
 public record StageGroup(
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroupResult.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroupResult.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What came of a group of pieces.
+ * The result of a group of pieces.
  *
- * @param outcome how it ended
- * @param handles where the results lie, in the order of the pieces; empty unless made
- * @param box the box that made the calls
- * @param retryAfterMillis when asking again may help, where it was not made
- * @param waitedMillis how long its pieces waited, until the last call for them began
- * @param crashedUpstreams starts of upstreams that ended while they made its pieces
+ * @param outcome outcome of the group
+ * @param handles handles of the results in the order of the pieces; empty unless all were computed
+ * @param box id of the box that made the calls
+ * @param retryAfterMillis suggested delay before a retry of the request, if the group failed
+ * @param waitedMillis time from submission to the start of the last call
+ * @param crashedUpstreams upstream incarnations that crashed while they computed the pieces
  * @since 0.2
  */
 public record StageGroupResult(
@@ -21,13 +21,13 @@
     long waitedMillis,
     List<String> crashedUpstreams) {
 
-  /** Copies the lists. */
+  /** Creates a result with copies of the lists. */
   public StageGroupResult {
     handles = List.copyOf(handles);
     crashedUpstreams = List.copyOf(crashedUpstreams);
   }
 
-  /** Creates one under whose pieces no upstream has ended. */
+  /** Creates a result without crashed upstreams. */
   public StageGroupResult(
       StageOutcome outcome,
       List<String> handles,
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageOutcome.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageOutcome.java
@@ -1,17 +1,17 @@
 package org.gradeledge.batch;
 
 /**
- * How the work on a stage ended.
+ * The outcome of a group of pieces.
  *
  * @since 0.2
  */
 public enum StageOutcome {
-  /** All results are there. */
+  /** All pieces were computed. */
   MADE,
-  /** An input was gone; the stages before must be done again. */
+  /** An input is no longer stored; the earlier stages must be repeated. */
   GONE,
-  /** It cannot be done in the time left. */
+  /** The group cannot be completed in the remaining time. */
   LATE,
-  /** It failed and may not be tried again. */
+  /** The group failed and must not be retried. */
   FAILED
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StagePiece.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StagePiece.java
@@ -1,6 +1,6 @@
 package org.gradeledge.batch;
 
-/** One piece on its way through the queue. Confined to the event loop. */
+/** A piece of a group in the queue or in a call. Confined to the event loop. */
 final class StagePiece {
 
   private final GroupInProgress group;
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageProtocol.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageProtocol.java
@@ -6,21 +6,21 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * How calls for stage work look on the wire.
+ * Encodes calls for stage work and decodes their responses.
  *
  * @since 0.2
  */
 public interface StageProtocol {
 
-  /** Returns the request that makes the items. */
+  /** Returns the request that computes the items. */
   OutgoingRequest encodeCall(UpstreamRecord target, List<CallItem> items);
 
-  /** Returns what came of each item, in their order, or why the answer cannot be read. */
+  /** Returns the results in the order of the items, or the reason why the response is invalid. */
   Either<String, List<PieceResult>> decodeAnswer(byte[] body, int items);
 
-  /** Returns the request that gives results up. */
+  /** Returns the request that releases results. */
   OutgoingRequest encodeRelease(UpstreamRecord target, List<String> handles);
 
-  /** Returns the address of the upstream that holds a result. */
+  /** Returns the address of the upstream that stores a result. */
   String addressOf(String handle);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageWorkClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageWorkClient.java
@@ -4,33 +4,35 @@
 import java.util.Optional;
 
 /**
- * Has stage work done, by this box or by another one.
+ * Submits stage work to the box that owns the service, which may be this box.
  *
  * @since 0.2
  */
 public interface StageWorkClient {
 
-  /** Starts the work on a group; the listener hears once how it ended, unless it is cancelled. */
+  /**
+   * Starts a group of pieces; the listener receives the result once, unless the group is cancelled.
+   */
   void submit(StageGroup group, StageWorkListener listener);
 
   /**
-   * Returns about how long what waits for a service or is on its way to it, as urgent as a priority
-   * or more, keeps its upstreams busy.
+   * Returns the expected time in milliseconds to process the waiting and pending pieces of a
+   * service that have the given priority or a more urgent one.
    */
   long backlogMillis(String service, int priority);
 
-  /** Tells of pieces that an admitted request will want made once its earlier stages are done. */
+  /** Announces pieces that an admitted request will submit once its earlier stages are complete. */
   void announce(String service, int priority, int pieces);
 
-  /** Takes an announcement back, as the pieces are submitted now or not wanted any more. */
+  /** Withdraws announced pieces that were submitted or are no longer required. */
   void withdraw(String service, int priority, int pieces);
 
-  /** Returns the zone that a result lies in. */
+  /** Returns the availability zone of the upstream that stores a result. */
   Optional<String> zoneOf(String handle);
 
-  /** Gives up the work of a request that waits for a service. */
+  /** Discards the pieces of a request that wait for a service. */
   void cancel(String service, String requestId);
 
-  /** Gives results up that were made for a service. */
+  /** Releases results of a service. */
   void release(String service, List<String> handles);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageWorkListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageWorkListener.java
@@ -1,19 +1,19 @@
 package org.gradeledge.batch;
 
 /**
- * Hears how the work on a group of pieces goes. Called on the event loop.
+ * Receives the progress of a group of pieces. Called on the event loop.
  *
  * @since 0.2
  */
 @FunctionalInterface
 public interface StageWorkListener {
 
-  /** The work ended; called once, unless the group was cancelled. */
+  /** Called once when the group has ended, unless it was cancelled. */
   void onEnd(StageGroupResult result);
 
   /**
-   * Upstreams have fetched the inputs of all pieces, so that they can be given up. Called at most
-   * once, before the end; an input that was given up too early comes back as {@link
+   * Called at most once, before {@link #onEnd}, when upstreams have fetched the inputs of all
+   * pieces, so that they can be released. An input that was released too early leads to {@link
    * StageOutcome#GONE}.
    */
   default void onInputsFetched() {}
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/WaitingPieces.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/WaitingPieces.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** The pieces that wait for one service, most urgent first. Confined to the event loop. */
+/** The queue of pieces that wait for one service, most urgent first. Confined to the event loop. */
 final class WaitingPieces {
 
   private final List<StagePiece> pieces = new ArrayList<>();
@@ -29,11 +29,15 @@
     }
   }
 
-  void addAll(Collection<StagePiece> again) {
-    pieces.addAll(again);
+  void addAll(Collection<StagePiece> retried) {
+    pieces.addAll(retried);
   }
 
-  /** Returns how many pieces go before those of a group; a call takes so many milliseconds. */
+  /**
+   * Returns the number of pieces ahead of a group.
+   *
+   * @param callMillis expected duration of a call
+   */
   long countAhead(GroupInProgress group, double callMillis, long now) {
     return pieces.stream()
         .filter(piece -> piece.group().meetsTargetAfter(callMillis, now))
@@ -42,8 +46,10 @@
   }
 
   /**
-   * Returns how many pieces can still be in time and are as urgent as a priority or more; a call
-   * takes so many milliseconds.
+   * Returns the number of pieces of this priority or a more urgent one that can still meet their
+   * target time.
+   *
+   * @param callMillis expected duration of a call
    */
   long countInTime(int priority, double callMillis, long now) {
     return pieces.stream()
@@ -52,7 +58,7 @@
         .count();
   }
 
-  /** Drops the pieces of a request without telling anybody. */
+  /** Discards the pieces of a request without notifying its listeners. */
   void cancel(String requestId) {
     pieces.stream()
         .filter(piece -> piece.group().group().requestId().equals(requestId))
@@ -60,7 +66,7 @@
     pieces.removeIf(piece -> piece.group().hasEnded());
   }
 
-  /** Takes out the groups that are better given up; a call takes at least so many milliseconds. */
+  /** Removes and returns the groups that cannot complete in time or have waited too long. */
   Set<GroupInProgress> removeExpired(double shortestMillis, long now) {
     Set<GroupInProgress> late =
         pieces.stream()
@@ -73,33 +79,33 @@
     return late;
   }
 
-  /** Pieces that can still be in time go first; those that cannot are worth little. */
+  /** Sorts by target time, with pieces that can no longer meet it at the end. */
   void sort(double callMillis, long now) {
     pieces.sort(
         Comparator.comparing((StagePiece piece) -> !piece.group().meetsTargetAfter(callMillis, now))
             .thenComparingLong(piece -> piece.group().sortKeyNanos()));
   }
 
-  /** Takes out the most urgent pieces that a call has place and room for. */
-  List<StagePiece> takeBatch(int most, long roomBytes, Predicate<GroupInProgress> suits) {
-    BatchAssembler load = new BatchAssembler(most, roomBytes);
-    byGroup().forEach((group, waiting) -> offer(load, group, waiting, suits));
-    List<StagePiece> chosen = load.pieces();
-    pieces.removeAll(Set.copyOf(chosen));
-    return chosen;
+  /** Removes and returns the most urgent eligible pieces that fit into one call. */
+  List<StagePiece> takeBatch(int maxPieces, long freeBytes, Predicate<GroupInProgress> eligible) {
+    BatchAssembler assembler = new BatchAssembler(maxPieces, freeBytes);
+    byGroup().forEach((group, waiting) -> offer(assembler, group, waiting, eligible));
+    List<StagePiece> batch = assembler.pieces();
+    pieces.removeAll(Set.copyOf(batch));
+    return batch;
   }
 
   private static void offer(
-      BatchAssembler load,
+      BatchAssembler assembler,
       GroupInProgress group,
       List<StagePiece> waiting,
-      Predicate<GroupInProgress> suits) {
-    if (suits.test(group)) {
-      load.offer(group, waiting);
+      Predicate<GroupInProgress> eligible) {
+    if (eligible.test(group)) {
+      assembler.offer(group, waiting);
     }
   }
 
-  /** Returns the pieces of each group, in the order in which the groups stand. */
+  /** Returns the pieces by group, in queue order. */
   private Map<GroupInProgress, List<StagePiece>> byGroup() {
     return pieces.stream()
         .collect(Collectors.groupingBy(StagePiece::group, LinkedHashMap::new, Collectors.toList()));
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/package-info.java
@@ -1,6 +1,4 @@
-/**
- * Stage work in shared calls: pieces of many requests and boxes meet at one box for each service.
- */
+/** Batching of stage work: one box per service combines the pieces of many requests into calls. */
 @NullMarked
 package org.gradeledge.batch;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/ArrivalRatesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/ArrivalRatesTests.java
@@ -8,20 +8,20 @@
 
 class ArrivalRatesTests {
 
-  private static final long NANOS_OF_MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final AtomicLong nanos = new AtomicLong();
   private final ArrivalRates rates = new ArrivalRates(nanos::get);
 
   @Test
-  void aSteadyStreamIsToldAsItsRate() {
+  void reportsTheRateOfASteadyStream() {
     arrive(0, 400, 25);
 
     assertThat(rates.ratePerSecondAbove(1)).isCloseTo(40, within(1.0));
   }
 
   @Test
-  void onlyWhatIsMoreUrgentCounts() {
+  void countsOnlyMoreUrgentPieces() {
     arrive(1, 400, 25);
 
     assertThat(rates.ratePerSecondAbove(1)).isZero();
@@ -29,15 +29,15 @@
   }
 
   @Test
-  void aRateFadesWithinSecondsOfTheLastArrival() {
+  void rateDecaysWithinSecondsOfTheLastArrival() {
     arrive(0, 400, 25);
-    nanos.addAndGet(10_000 * NANOS_OF_MILLI);
+    nanos.addAndGet(10_000 * NANOS_PER_MILLI);
 
     assertThat(rates.ratePerSecondAbove(1)).isLessThan(1);
   }
 
   @Test
-  void prioritiesBeyondTheLastCountAsTheLast() {
+  void outOfRangePrioritiesCountAsTheLastLevel() {
     arrive(99, 10, 25);
 
     assertThat(rates.ratePerSecondAbove(100)).isPositive();
@@ -46,7 +46,7 @@
   private void arrive(int priority, int times, long gapMillis) {
     for (int i = 0; i < times; i++) {
       rates.recordArrivals(priority, 1);
-      nanos.addAndGet(gapMillis * NANOS_OF_MILLI);
+      nanos.addAndGet(gapMillis * NANOS_PER_MILLI);
     }
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/BatchAssemblerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchAssemblerTests.java
@@ -13,48 +13,50 @@
 
 class BatchAssemblerTests {
 
-  private static final long RESULT = 100;
+  private static final long RESULT_BYTES = 100;
 
   @Test
-  void aGroupThatDoesNotFitBehindAMoreUrgentOneWaitsForACallThatTakesItWhole() {
+  void aLessUrgentGroupThatDoesNotFitIsNotSplit() {
     WaitingPieces waiting = waiting(List.of(5, 3, 2));
 
-    List<StagePiece> taken = waiting.takeBatch(7, 100 * RESULT, group -> true);
+    List<StagePiece> taken = waiting.takeBatch(7, 100 * RESULT_BYTES, group -> true);
 
     assertThat(requests(taken)).containsExactly("r0", "r0", "r0", "r0", "r0", "r2", "r2");
     assertThat(waiting.size()).isEqualTo(3);
   }
 
   @Test
-  void theMostUrgentGroupGoesInPartsWhereItDoesNotFit() {
+  void theMostUrgentGroupIsSplitIfItDoesNotFit() {
     WaitingPieces waiting = waiting(List.of(5, 1));
 
-    assertThat(requests(waiting.takeBatch(7, 3 * RESULT, group -> true)))
+    assertThat(requests(waiting.takeBatch(7, 3 * RESULT_BYTES, group -> true)))
         .containsExactly("r0", "r0", "r0");
-    assertThat(requests(waiting.takeBatch(7, 2 * RESULT, group -> true)))
+    assertThat(requests(waiting.takeBatch(7, 2 * RESULT_BYTES, group -> true)))
         .containsExactly("r0", "r0");
-    assertThat(requests(waiting.takeBatch(7, 2 * RESULT, group -> true))).containsExactly("r1");
+    assertThat(requests(waiting.takeBatch(7, 2 * RESULT_BYTES, group -> true)))
+        .containsExactly("r1");
   }
 
   @Test
-  void aGroupThatWasBegunGoesOnInParts() {
+  void aGroupThatWasSplitContinuesInParts() {
     WaitingPieces waiting = waiting(List.of(1, 4));
-    waiting.takeBatch(2, 100 * RESULT, group -> group.group().requestId().equals("r1"));
+    waiting.takeBatch(2, 100 * RESULT_BYTES, group -> group.group().requestId().equals("r1"));
 
-    assertThat(requests(waiting.takeBatch(2, 100 * RESULT, group -> true)))
+    assertThat(requests(waiting.takeBatch(2, 100 * RESULT_BYTES, group -> true)))
         .containsExactly("r0", "r1");
   }
 
   @Property
-  void noPieceIsLostOrTakenTwiceAndNoBoundIsPassed(
+  void everyPieceIsTakenOnceWithinTheLimits(
       @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 9) Integer> groups,
-      @ForAll @IntRange(min = 1, max = 10) int most,
-      @ForAll @IntRange(min = 1, max = 10) int room) {
+      @ForAll @IntRange(min = 1, max = 10) int maxPieces,
+      @ForAll @IntRange(min = 1, max = 10) int freeResults) {
     WaitingPieces waiting = waiting(groups);
     List<StagePiece> all = new ArrayList<>();
     while (!waiting.isEmpty()) {
-      List<StagePiece> taken = waiting.takeBatch(most, room * RESULT, group -> true);
-      assertThat(taken).isNotEmpty().hasSizeLessThanOrEqualTo(Math.min(most, room));
+      List<StagePiece> taken =
+          waiting.takeBatch(maxPieces, freeResults * RESULT_BYTES, group -> true);
+      assertThat(taken).isNotEmpty().hasSizeLessThanOrEqualTo(Math.min(maxPieces, freeResults));
       all.addAll(taken);
     }
     assertThat(all).hasSize(groups.stream().mapToInt(Integer::intValue).sum());
@@ -71,7 +73,7 @@
 
   private static GroupInProgress group(String request, int pieces) {
     return new GroupInProgress(
-        StageGroups.large(request, pieces, RESULT), "", "box", 0, result -> {});
+        StageGroups.large(request, pieces, RESULT_BYTES), "", "box", 0, result -> {});
   }
 
   private static List<String> requests(List<StagePiece> pieces) {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
@@ -27,14 +27,14 @@
 @Timeout(30)
 class BatchCoordinatorTests {
 
-  private static final long ROOM = 1_000;
+  private static final long MEMORY_BYTES = 1_000;
 
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
   private final LoadBoard board = new LoadBoard(MonotonicClock.system(), EventLogs.silent());
   private final BlockingQueue<StageGroupResult> results = new LinkedBlockingQueue<>();
-  private volatile long keptMillis = 60_000;
+  private volatile long retentionMillis = 60_000;
   private final BatchCoordinator coordinator = newCoordinator(100);
 
   @AfterEach
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void piecesOfSeveralRequestsShareACallWhileTheUpstreamIsBusy() throws Exception {
+  void piecesOfSeveralRequestsShareTheNextCallOfABusyUpstream() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.group("a", 1));
     FakeUpstreamCaller.Call first = caller.next();
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aGroupEndsWithAllItsResultsInTheirOrder() throws Exception {
+  void aGroupEndsWithAllResultsInOrder() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.group("a", 6));
     answer(caller.next(), "10.0.0.1:1/0 10.0.0.1:1/1 10.0.0.1:1/2 10.0.0.1:1/3");
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void aCallThatBreaksOffIsMadeAgainByAnotherUpstream() throws Exception {
+  void aFailedCallIsRetriedOnAnotherUpstream() throws Exception {
     list(upstream("u1", 1, "zone"), upstream("u2", 2, "zone"));
     submit(StageGroups.group("a", 2));
     FakeUpstreamCaller.Call first = caller.next();
@@ -85,10 +85,10 @@
   }
 
   @Test
-  void withoutRetryBudgetABrokenCallFailsItsGroups() throws Exception {
-    BatchCoordinator poor = newCoordinator(0);
+  void aFailedCallWithoutRetryBudgetFailsItsGroups() throws Exception {
+    BatchCoordinator withoutBudget = newCoordinator(0);
     list(upstream("u1", 1, "zone"));
-    loop.submit(() -> poor.submit(StageGroups.group("a", 1), results::add)).sync();
+    loop.submit(() -> withoutBudget.submit(StageGroups.group("a", 1), results::add)).sync();
     FakeUpstreamCaller.Call call = caller.next();
     loop.submit(() -> call.fail(CallFailure.BROKEN)).sync();
 
@@ -96,36 +96,36 @@
   }
 
   @Test
-  void anInputThatIsGoneEndsTheGroupAndGivesItsOtherResultsUp() throws Exception {
+  void aMissingInputEndsTheGroupAndReleasesItsOtherResults() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.group("a", 2));
     answer(caller.next(), "10.0.0.1:1/0 gone");
 
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.GONE);
-    FakeUpstreamCaller.Call free = caller.next();
-    assertThat(free.uri()).isEqualTo("/free");
-    assertThat(free.body()).isEqualTo("10.0.0.1:1/0");
+    FakeUpstreamCaller.Call release = caller.next();
+    assertThat(release.uri()).isEqualTo("/free");
+    assertThat(release.body()).isEqualTo("10.0.0.1:1/0");
   }
 
   @Test
-  void noCallIsMadeBeforeThereIsRoomForItsResults() throws Exception {
+  void noCallStartsWithoutFreeMemoryForItsResults() throws Exception {
     list(upstream("u1", 1, "zone"));
-    submit(StageGroups.large("a", 1, ROOM / 2));
+    submit(StageGroups.large("a", 1, MEMORY_BYTES / 2));
     answer(caller.next(), "10.0.0.1:1/a");
-    submit(StageGroups.large("b", 1, ROOM / 2));
+    submit(StageGroups.large("b", 1, MEMORY_BYTES / 2));
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
     assertThat(caller.isQuiet()).isTrue();
 
     loop.submit(() -> coordinator.release(List.of("10.0.0.1:1/a"))).sync();
-    FakeUpstreamCaller.Call free = caller.next();
+    FakeUpstreamCaller.Call release = caller.next();
     assertThat(caller.isQuiet()).isTrue();
-    answer(free, "");
+    answer(release, "");
 
     assertThat(caller.next().body()).isEqualTo("b:0");
   }
 
   @Test
-  void anUpstreamThatAnotherBoxStillCallsIsLeftAloneUntilThatEnds() throws Exception {
+  void anUpstreamWithCallsOfAPeerIsNotCalledUntilTheyEnd() throws Exception {
     list(upstream("u1", 1, "zone"));
     peerHas("u1", new LoadShare(1, 0));
     submit(StageGroups.group("a", 1));
@@ -138,16 +138,16 @@
   }
 
   @Test
-  void roomThatResultsOfAnotherBoxTakeCounts() throws Exception {
+  void memoryOccupiedByResultsOfAPeerCounts() throws Exception {
     list(upstream("u1", 1, "zone"), upstream("u2", 2, "zone"));
-    peerHas("u1", new LoadShare(0, ROOM / 2));
-    submit(StageGroups.large("a", 1, ROOM / 2));
+    peerHas("u1", new LoadShare(0, MEMORY_BYTES / 2));
+    submit(StageGroups.large("a", 1, MEMORY_BYTES / 2));
 
     assertThat(caller.next().target().id()).isEqualTo("u2");
   }
 
   @Test
-  void roomThatResultsTakeIsToldUntilTheyAreGivenUp() throws Exception {
+  void occupiedMemoryIsReportedUntilTheResultsAreReleased() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.large("a", 1, 100));
     answer(caller.next(), "10.0.0.1:1/a");
@@ -160,9 +160,9 @@
   }
 
   @Test
-  void roomOfResultsThatNobodyGivesUpIsNotToldForEver() throws Exception {
+  void memoryOfExpiredResultsIsNoLongerReported() throws Exception {
     list(upstream("u1", 1, "zone"));
-    keptMillis = 50;
+    retentionMillis = 50;
     submit(StageGroups.large("a", 1, 100));
     answer(caller.next(), "10.0.0.1:1/a");
     results.take();
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void anUpstreamThatSaysItHasNoRoomIsNotAskedAgainAtOnce() throws Exception {
+  void anUpstreamThatReportsFullMemoryIsNotRetriedImmediately() throws Exception {
     list(upstream("u1", 1, "zone"), upstream("u2", 2, "zone"));
     submit(StageGroups.large("a", 1, 100));
     FakeUpstreamCaller.Call first = caller.next();
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void piecesAreMadeInTheZoneTheyAreWantedInWhereThatIsFree() throws Exception {
+  void piecesPreferAFreeUpstreamInTheZoneOfTheirConsumer() throws Exception {
     list(upstream("u1", 1, "zone-1"), upstream("u2", 2, "zone-2"));
     for (int i = 0; i < 5; i++) {
       submit(StageGroups.inZone("a" + i, "zone-2", 1, 60_000));
@@ -194,7 +194,7 @@
   }
 
   @Test
-  void piecesThatWaitedLongEnoughTakeAnyZone() throws Exception {
+  void piecesUseAnyZoneAfterTheLocalityWait() throws Exception {
     list(upstream("u1", 1, "zone-1"), upstream("u2", 2, "zone-2"));
     submit(StageGroups.inZone("a", "zone-2", 1, 1_500));
     caller.next();
@@ -204,7 +204,7 @@
   }
 
   @Test
-  void piecesWithLargeInputsThatMayBeMadeAnywhereAreMadeTogether() throws Exception {
+  void piecesWithLargeInputsAndNoZoneStayOnOneUpstream() throws Exception {
     list(upstream("u1", 1, "zone-1"), upstream("u2", 2, "zone-2"));
     submit(StageGroups.inZone("a", "", 6, 60_000));
     FakeUpstreamCaller.Call first = caller.next();
@@ -214,7 +214,7 @@
   }
 
   @Test
-  void aFirstGroupThatWouldComeTooLateIsRefusedAtOnceAndToldWhenToComeBack() throws Exception {
+  void aFirstGroupThatWouldMissItsTargetIsRefusedWithARetryDelay() throws Exception {
     list(upstream("u1", 1, "zone"));
     for (int i = 0; i < 50; i++) {
       submit(StageGroups.due("busy" + i, 4, 1, 30_000, false));
@@ -228,7 +228,7 @@
   }
 
   @Test
-  void whatWaitedForTooLongIsGivenUp() throws Exception {
+  void aGroupThatExceedsItsMaximumWaitEndsAsLate() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.group("busy", 4));
     submit(
@@ -240,7 +240,9 @@
 
   private BatchCoordinator newCoordinator(double allowance) {
     return new CoordinatorFixture(loop, upstreams, caller, board)
-        .withRetries(allowance, () -> Optional.of(new BatchLimits(1, 4, 400, 1, ROOM, keptMillis)));
+        .withRetries(
+            allowance,
+            () -> Optional.of(new BatchLimits(1, 4, 400, 1, MEMORY_BYTES, retentionMillis)));
   }
 
   private void list(UpstreamRecord... records) throws InterruptedException {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/CoordinatorFixture.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/CoordinatorFixture.java
@@ -12,23 +12,23 @@
 import org.gradeledge.selection.LoadBoard;
 import org.gradeledge.time.MonotonicClock;
 
-/** What tests build a coordinator from; all services have one set of limits. */
+/** Creates coordinators for tests; all services share one set of limits. */
 record CoordinatorFixture(
-    EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller, LoadBoard board) {
+    EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller, LoadBoard loads) {
 
   private static final double MANY_RETRIES = 100;
 
-  /** Creates one whose box knows of no load. */
+  /** Creates a fixture with an empty load table. */
   CoordinatorFixture(EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller) {
     this(loop, upstreams, caller, new LoadBoard(MonotonicClock.system(), EventLogs.silent()));
   }
 
-  /** Returns a coordinator whose limits may change, and which may make calls again. */
+  /** Returns a coordinator with variable limits and a sufficient retry budget. */
   BatchCoordinator withLimits(Supplier<Optional<BatchLimits>> limits) {
     return withRetries(MANY_RETRIES, limits);
   }
 
-  /** Returns a coordinator that may make so many calls again. */
+  /** Returns a coordinator with the given retry allowance. */
   BatchCoordinator withRetries(double allowance, Supplier<Optional<BatchLimits>> limits) {
     MonotonicClock clock = MonotonicClock.system();
     return BatchCoordinator.builder()
@@ -36,7 +36,7 @@
         .upstreams(upstreams, service -> limits.get())
         .calls(caller, new FakeStageProtocol())
         .loadAndRetries(
-            board,
+            loads,
             new RetryBudget(clock, 0, allowance, Duration.ofSeconds(10), () -> 1),
             EventLogs.silent())
         .build();
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/CrashingPiecesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/CrashingPiecesTests.java
@@ -25,22 +25,22 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The pieces of many requests share a call. One of them may end each upstream that makes it, and
- * takes the call along; made again together, as long as retries last, they would end all.
+ * A request whose pieces crash upstreams must not crash one upstream after another, and the
+ * requests that shared its calls must complete.
  */
 @Timeout(30)
 class CrashingPiecesTests {
 
   private static final int UPSTREAMS = 12;
-  private static final int MOST_ENDED = 3;
-  private static final String GUILTY = "guilty";
+  private static final int MAX_CRASHES = 3;
+  private static final String CRASHING = "crashing";
 
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
   private final Map<String, StageGroupResult> results = new HashMap<>();
-  private final List<UpstreamRecord> living = new ArrayList<>();
-  private final List<List<String>> lost = new ArrayList<>();
+  private final List<UpstreamRecord> running = new ArrayList<>();
+  private final List<List<String>> lostCalls = new ArrayList<>();
   private final BatchCoordinator coordinator =
       new CoordinatorFixture(loop, upstreams, caller)
           .withLimits(() -> Optional.of(new BatchLimits(1, 8, 400, 1, 1_000, 60_000)));
@@ -51,8 +51,8 @@
         .mapToObj(
             number ->
                 new UpstreamRecord("u" + number, "service", "10.0.0.1", number, "zone", 1, false))
-        .forEach(living::add);
-    loop.submit(() -> upstreams.replaceAll(1, living.subList(0, 1))).sync();
+        .forEach(running::add);
+    loop.submit(() -> upstreams.replaceAll(1, running.subList(0, 1))).sync();
   }
 
   @AfterEach
@@ -61,10 +61,10 @@
   }
 
   @Test
-  void aRequestWhosePiecesEndTheirUpstreamsIsGivenUpAndAllOthersAreMade() throws Exception {
+  void aRequestThatCrashesUpstreamsFailsAndAllOthersComplete() throws Exception {
     loop.submit(
             () -> {
-              for (String request : List.of("a", "b", GUILTY, "c", "d")) {
+              for (String request : List.of("a", "b", CRASHING, "c", "d")) {
                 coordinator.submit(
                     StageGroups.group(request, 2), result -> results.put(request, result));
               }
@@ -75,12 +75,12 @@
       serve(caller.next());
     }
 
-    assertThat(lost).hasSizeLessThanOrEqualTo(MOST_ENDED);
-    assertThat(lost.get(0)).as("the call that they share").hasSize(8);
-    assertThat(lost.stream().skip(1).flatMap(List::stream))
-        .as("what was lost after that")
-        .allMatch(piece -> piece.startsWith(GUILTY));
-    assertThat(results.get(GUILTY).outcome()).isEqualTo(StageOutcome.FAILED);
+    assertThat(lostCalls).hasSizeLessThanOrEqualTo(MAX_CRASHES);
+    assertThat(lostCalls.get(0)).as("the first lost call, shared by several requests").hasSize(8);
+    assertThat(lostCalls.stream().skip(1).flatMap(List::stream))
+        .as("pieces of the later lost calls")
+        .allMatch(piece -> piece.startsWith(CRASHING));
+    assertThat(results.get(CRASHING).outcome()).isEqualTo(StageOutcome.FAILED);
     assertThat(
             List.of("a", "b", "c", "d").stream()
                 .map(request -> results.get(request).outcome())
@@ -88,30 +88,27 @@
         .containsExactly(StageOutcome.MADE);
   }
 
-  /**
-   * Ends the upstream if the call has a piece of the guilty request, else makes all, if it is
-   * there.
-   */
+  /** Crashes the upstream if the call has a piece of the crashing request, or else answers it. */
   private void serve(FakeUpstreamCaller.Call call) throws InterruptedException {
     List<String> pieces = Arrays.asList(call.body().split(" "));
     if (call.uri().equals("/free")) {
       return;
     }
-    if (!living.contains(call.target())) {
+    if (!running.contains(call.target())) {
       loop.submit(() -> call.fail(CallFailure.NOT_CONNECTED)).sync();
       return;
     }
-    if (pieces.stream().noneMatch(piece -> piece.startsWith(GUILTY))) {
+    if (pieces.stream().noneMatch(piece -> piece.startsWith(CRASHING))) {
       String handles =
           pieces.stream().map(piece -> "10.0.0.1:1/" + piece).collect(Collectors.joining(" "));
       loop.submit(() -> call.answer(200, handles)).sync();
       return;
     }
-    lost.add(pieces);
-    living.remove(call.target());
+    lostCalls.add(pieces);
+    running.remove(call.target());
     loop.submit(
             () -> {
-              upstreams.update(1 + lost.size(), living, List.of());
+              upstreams.update(1 + lostCalls.size(), running, List.of());
               call.fail(CallFailure.BROKEN);
               caller.answerProbes();
             })
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/FakeStageProtocol.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/FakeStageProtocol.java
@@ -13,7 +13,9 @@
 import org.gradeledge.connection.OutgoingRequest;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** Items and results as words between blanks: {@code request:index}, and a handle or a kind. */
+/**
+ * Encodes items as {@code request:index} and results as a handle or a kind, separated by spaces.
+ */
 final class FakeStageProtocol implements StageProtocol {
 
   @Override
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/FillBenchmark.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/FillBenchmark.java
@@ -16,8 +16,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Time to put the pieces of one call together, and to look how much waits before a group. Not a
- * test: {@code scripts/choice-benchmark.sh FillBenchmark} runs it.
+ * Measures the time to assemble a call and to count the pieces ahead of a group. Run with {@code
+ * scripts/choice-benchmark.sh FillBenchmark}.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SampleTime)
@@ -26,18 +26,18 @@
 @Measurement(iterations = 5, time = 1)
 public class FillBenchmark {
 
-  private static final int PIECES_OF_GROUP = 6;
-  private static final int PLACES = 66;
+  private static final int PIECES_PER_GROUP = 6;
+  private static final int MAX_PIECES = 66;
   private static final double CALL_MILLIS = 200;
 
-  /** Groups that wait: a burst at six boxes, and one at 61. */
+  /** Number of waiting groups. */
   @Param({"40", "300"})
   public int groups;
 
   private WaitingPieces waiting;
   private GroupInProgress last;
 
-  /** Lets groups of all priorities wait. */
+  /** Fills the queue with groups of different priorities. */
   @Setup(Level.Trial)
   public void fill() {
     Random random = new Random(1);
@@ -49,22 +49,22 @@
   }
 
   private static GroupInProgress group(String request, int priority, long dueMillis) {
-    StageGroup group = StageGroups.due(request, PIECES_OF_GROUP, priority, dueMillis, true);
+    StageGroup group = StageGroups.due(request, PIECES_PER_GROUP, priority, dueMillis, true);
     return new GroupInProgress(group, "", "box", 0, result -> {});
   }
 
-  /** Sorts what waits and takes the pieces of one call, which are put back. */
+  /** Sorts the queue, takes the pieces of one call and adds them again. */
   @Benchmark
   public List<StagePiece> sortAndTake() {
     waiting.sort(CALL_MILLIS, 0);
-    List<StagePiece> taken = waiting.takeBatch(PLACES, Long.MAX_VALUE, group -> true);
+    List<StagePiece> taken = waiting.takeBatch(MAX_PIECES, Long.MAX_VALUE, group -> true);
     waiting.addAll(taken);
     return taken;
   }
 
-  /** Counts what goes before a group. */
+  /** Counts the pieces ahead of a group. */
   @Benchmark
-  public long aheadOfAGroup() {
+  public long countAheadOfGroup() {
     return waiting.countAhead(last, CALL_MILLIS, 0);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/InputsFetchedTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/InputsFetchedTests.java
@@ -24,7 +24,7 @@
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
   @AfterEach
   void stop() {
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void inputsAreToldToBeFetchedOnceAllPiecesAreAtWork() throws Exception {
+  void reportsFetchedInputsOnceAllPiecesAreSent() throws Exception {
     BatchCoordinator coordinator = coordinator();
     UpstreamRecord upstream = new UpstreamRecord("u1", "service", "10.0.0.1", 1, "z", 1, false);
     loop.submit(() -> upstreams.replaceAll(1, List.of(upstream))).sync();
@@ -42,16 +42,16 @@
     loop.submit(first::sent).sync();
     loop.submit(() -> first.answer(200, "10.0.0.1:1/0 10.0.0.1:1/1")).sync();
     FakeUpstreamCaller.Call second = caller.next();
-    assertThat(heard).isEmpty();
+    assertThat(events).isEmpty();
     loop.submit(second::sent).sync();
 
-    assertThat(heard.poll(10, TimeUnit.SECONDS)).isEqualTo("inputs taken");
+    assertThat(events.poll(10, TimeUnit.SECONDS)).isEqualTo("inputs fetched");
     loop.submit(() -> second.answer(200, "10.0.0.1:1/2")).sync();
-    assertThat(heard.poll(10, TimeUnit.SECONDS)).isEqualTo("MADE");
+    assertThat(events.poll(10, TimeUnit.SECONDS)).isEqualTo("MADE");
   }
 
   @Test
-  void aGroupWithoutInputsTellsOnlyItsEnd() throws Exception {
+  void reportsOnlyTheEndOfAGroupWithoutInputs() throws Exception {
     BatchCoordinator coordinator = coordinator();
     UpstreamRecord upstream = new UpstreamRecord("u1", "service", "10.0.0.1", 1, "z", 1, false);
     loop.submit(() -> upstreams.replaceAll(1, List.of(upstream))).sync();
@@ -61,26 +61,25 @@
     loop.submit(call::sent).sync();
     loop.submit(() -> call.answer(200, "10.0.0.1:1/0")).sync();
 
-    assertThat(heard).containsExactly("MADE");
+    assertThat(events).containsExactly("MADE");
   }
 
   private final class Recorder implements StageWorkListener {
 
     @Override
     public void onEnd(StageGroupResult result) {
-      heard.add(result.outcome().name());
+      events.add(result.outcome().name());
     }
 
     @Override
     public void onInputsFetched() {
-      heard.add("inputs taken");
+      events.add("inputs fetched");
     }
   }
 
   private BatchCoordinator coordinator() {
-    BatchLimits twoAtATime = new BatchLimits(1, 2, 20, 1, 1_000, 60_000);
-    return new CoordinatorFixture(loop, upstreams, caller)
-        .withLimits(() -> Optional.of(twoAtATime));
+    BatchLimits limits = new BatchLimits(1, 2, 20, 1, 1_000, 60_000);
+    return new CoordinatorFixture(loop, upstreams, caller).withLimits(() -> Optional.of(limits));
   }
 
   private static StageGroup withInputs(int pieces) {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
@@ -20,36 +20,29 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Seen: a box made a call for stage work to an upstream in the very millisecond in which it took
- * that upstream out of use.
- *
- * <p>How it came about: pieces waited, as the upstream was busy. When it left, the queue was told,
- * so that it hands the pieces to others; it asked for the upstreams that take work and was still
- * given the one that had just left, as one that it had never called.
- *
- * <p>Cause: listeners were told of an end before the index that choices are made from was rebuilt.
- * Proof: the calls of these tests, one for each way in which an upstream ends.
+ * Waiting pieces must not be dispatched to an upstream that was just removed: the registry must
+ * rebuild its index before it notifies listeners.
  */
 @Timeout(30)
 class LeavingUpstreamTests {
 
-  /** The ways in which a box learns that an upstream takes no new work. */
+  /** The ways in which an upstream is removed from use. */
   enum Removal {
-    SAYS_THAT_IT_LEAVES(list -> list.update(2, List.of(upstream(true)), List.of())),
-    ENTRY_VANISHES(list -> list.update(2, List.of(), List.of("u1"))),
-    MISSING_FROM_A_WHOLE_LIST(list -> list.replaceAll(2, List.of())),
-    ANOTHER_HAS_ITS_ADDRESS(list -> list.markGone(upstream(false))),
-    ENTRY_LAPSED_AND_DID_NOT_COME_BACK(
-        list -> {
-          list.distrustRemovals();
-          list.update(2, List.of(), List.of("u1"));
-          list.trustRemovals();
+    LEAVING_ANNOUNCED(registry -> registry.update(2, List.of(upstream(true)), List.of())),
+    ENTRY_REMOVED(registry -> registry.update(2, List.of(), List.of("u1"))),
+    MISSING_FROM_COMPLETE_LIST(registry -> registry.replaceAll(2, List.of())),
+    ADDRESS_REUSED(registry -> registry.markGone(upstream(false))),
+    REMOVAL_CONFIRMED_AFTER_DISTRUST(
+        registry -> {
+          registry.distrustRemovals();
+          registry.update(2, List.of(), List.of("u1"));
+          registry.trustRemovals();
         });
 
-    private final Consumer<UpstreamRegistry> news;
+    private final Consumer<UpstreamRegistry> change;
 
-    Removal(Consumer<UpstreamRegistry> news) {
-      this.news = news;
+    Removal(Consumer<UpstreamRegistry> change) {
+      this.change = change;
     }
   }
 
@@ -67,23 +60,23 @@
 
   @ParameterizedTest
   @EnumSource
-  void whatWaitsIsNotGivenToAnUpstreamThatHasJustEnded(Removal end) throws Exception {
+  void waitingPiecesAreNotSentToARemovedUpstream(Removal removal) throws Exception {
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
-    submit("under-way");
-    assertThat(caller.next().body()).isEqualTo("under-way:0");
+    submit("in-flight");
+    assertThat(caller.next().body()).isEqualTo("in-flight:0");
     submit("waiting");
     assertThat(caller.isQuiet()).isTrue();
 
-    onLoop(() -> end.news.accept(upstreams));
+    onLoop(() -> removal.change.accept(upstreams));
 
     assertThat(caller.isQuiet()).isTrue();
   }
 
   @Test
-  void whatWaitsIsGivenToOthersAtOnce() throws Exception {
+  void waitingPiecesAreSentToAnotherUpstreamImmediately() throws Exception {
     UpstreamRecord other = new UpstreamRecord("u2", "service", "10.0.0.2", 2, "zone", 1, false);
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
-    submit("under-way");
+    submit("in-flight");
     caller.next();
     submit("waiting");
 
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
@@ -22,39 +22,39 @@
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** Calls for stage work and releases of results where upstreams take few, in virtual time. */
+/** Tests calls and releases to upstreams with a request limit, in virtual time. */
 class LimitedBatchUpstreamTests {
 
   private static final UpstreamRecord FIRST = upstream(1);
   private static final UpstreamRecord SECOND = upstream(2);
   private static final BatchLimits LIMITS = new BatchLimits(1, 4, 200, 10, 1_000, 60_000);
 
-  /** Admits what a test says, and counts what is sent. */
+  /** Admits the configured number of requests per upstream and counts those sent. */
   private static final class ManualSendingRule implements SendingRule {
 
-    private final Map<String, Integer> left = new HashMap<>();
+    private final Map<String, Integer> remaining = new HashMap<>();
     private double perSecond = Double.POSITIVE_INFINITY;
-    private double wait = 500;
-    private final Set<String> nothingNow = new HashSet<>();
+    private double waitMillis = 500;
+    private final Set<String> blocked = new HashSet<>();
 
     @Override
     public boolean admits(UpstreamRecord upstream) {
-      return left.getOrDefault(upstream.id(), 1) > 0;
+      return remaining.getOrDefault(upstream.id(), 1) > 0;
     }
 
     @Override
     public void sent(UpstreamRecord upstream) {
-      left.computeIfPresent(upstream.id(), (id, count) -> count - 1);
+      remaining.computeIfPresent(upstream.id(), (id, count) -> count - 1);
     }
 
     @Override
     public double millisUntilAdmitted(UpstreamRecord upstream, double sentBefore) {
-      return admits(upstream) ? 0 : wait;
+      return admits(upstream) ? 0 : waitMillis;
     }
 
     @Override
     public double perSecond(UpstreamRecord upstream) {
-      return nothingNow.contains(upstream.id()) ? 0 : perSecond;
+      return blocked.contains(upstream.id()) ? 0 : perSecond;
     }
   }
 
@@ -81,9 +81,9 @@
   }
 
   @Test
-  void anUpstreamThatTakesNoMoreNowIsPassedOver() throws Exception {
+  void skipsAnUpstreamThatReachedItsLimit() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
-    rule.left.put(FIRST.id(), 0);
+    rule.remaining.put(FIRST.id(), 0);
 
     coordinator.submit(StageGroups.group("a", 2), result -> {});
 
@@ -91,87 +91,87 @@
   }
 
   @Test
-  void piecesWaitForOneThatTakesThemLater() throws Exception {
+  void piecesWaitUntilTheUpstreamAdmitsThem() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST));
-    rule.left.put(FIRST.id(), 0);
+    rule.remaining.put(FIRST.id(), 0);
     coordinator.submit(StageGroups.group("a", 2), result -> {});
-    pass(300);
+    advance(300);
     assertThat(caller.isQuiet()).isTrue();
 
-    rule.left.put(FIRST.id(), 1);
-    pass(50);
+    rule.remaining.put(FIRST.id(), 1);
+    advance(50);
 
     assertThat(caller.next().target()).isEqualTo(FIRST);
-    assertThat(rule.left).containsEntry(FIRST.id(), 0);
+    assertThat(rule.remaining).containsEntry(FIRST.id(), 0);
   }
 
   @Test
-  void releasesWaitAndGoTogether() throws Exception {
+  void deferredReleasesAreSentInOneCall() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST));
-    rule.left.put(FIRST.id(), 0);
+    rule.remaining.put(FIRST.id(), 0);
     coordinator.release(List.of("10.0.0.1:1/x"));
-    pass(150);
+    advance(150);
     coordinator.release(List.of("10.0.0.1:1/y"));
-    pass(150);
+    advance(150);
     assertThat(caller.isQuiet()).isTrue();
 
-    rule.left.put(FIRST.id(), 1);
-    pass(150);
+    rule.remaining.put(FIRST.id(), 1);
+    advance(150);
 
     assertThat(caller.next().body().split(" ")).containsExactly("10.0.0.1:1/x", "10.0.0.1:1/y");
     assertThat(caller.isQuiet()).isTrue();
-    assertThat(rule.left).containsEntry(FIRST.id(), 0);
+    assertThat(rule.remaining).containsEntry(FIRST.id(), 0);
   }
 
-  // Guards against results of other upstreams that take room for longer as one takes no releases.
+  // Guards against results that occupy memory longer because another upstream admits no releases.
   @Test
-  void releasesToOthersDoNotWaitForOneThatTakesNoneNow() throws Exception {
+  void releasesToOtherUpstreamsAreNotDeferred() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
-    rule.left.put(FIRST.id(), 0);
+    rule.remaining.put(FIRST.id(), 0);
     coordinator.release(List.of("10.0.0.1:1/x"));
-    pass(20);
+    advance(20);
 
     coordinator.release(List.of("10.0.0.1:2/y"));
-    pass(10);
+    advance(10);
 
     assertThat(caller.next().target()).isEqualTo(SECOND);
   }
 
-  // Guards against releases that gather without end for one that takes none for a long time.
+  // Guards against unbounded growth of releases for an upstream that admits none.
   @Test
-  void releasesAreDroppedWhereTheResultsAreForgottenBeforeTheyCouldGo() {
+  void releasesAreDroppedIfTheResultsExpireFirst() {
     upstreams.replaceAll(1, List.of(FIRST));
-    rule.left.put(FIRST.id(), 0);
-    rule.wait = 60_000;
+    rule.remaining.put(FIRST.id(), 0);
+    rule.waitMillis = 60_000;
     coordinator.release(List.of("10.0.0.1:1/x"));
-    pass(150);
+    advance(150);
 
-    rule.left.put(FIRST.id(), 1);
-    pass(150);
+    rule.remaining.put(FIRST.id(), 1);
+    advance(150);
 
     assertThat(caller.isQuiet()).isTrue();
   }
 
   @Test
-  void oneThatTakesNothingNowIsNoPartOfTheForecastWhileAnotherTakesCalls() {
+  void aBlockedUpstreamIsExcludedFromTheForecastWhileAnotherAdmitsCalls() {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
     coordinator.submit(StageGroups.group("a", 40), result -> {});
-    long both = coordinator.backlogMillisOf("service", 9);
+    long withBoth = coordinator.backlogMillisOf("service", 9);
 
-    rule.nothingNow.add(FIRST.id());
-    long one = coordinator.backlogMillisOf("service", 9);
-    rule.nothingNow.add(SECOND.id());
-    long none = coordinator.backlogMillisOf("service", 9);
+    rule.blocked.add(FIRST.id());
+    long withOne = coordinator.backlogMillisOf("service", 9);
+    rule.blocked.add(SECOND.id());
+    long withNone = coordinator.backlogMillisOf("service", 9);
 
-    assertThat(one).isGreaterThan(both * 3 / 2);
-    assertThat(none).isLessThan(both + 1_000);
+    assertThat(withOne).isGreaterThan(withBoth * 3 / 2);
+    assertThat(withNone).isLessThan(withBoth + 1_000);
   }
 
   @Test
-  void whatWaitsForLimitedUpstreamsKeepsThemBusyForLonger() {
+  void aRequestLimitIncreasesTheBacklog() {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
-    rule.left.put(FIRST.id(), 0);
-    rule.left.put(SECOND.id(), 0);
+    rule.remaining.put(FIRST.id(), 0);
+    rule.remaining.put(SECOND.id(), 0);
     coordinator.submit(StageGroups.group("a", 40), result -> {});
     long unlimited = coordinator.backlogMillisOf("service", 9);
 
@@ -180,7 +180,7 @@
     assertThat(coordinator.backlogMillisOf("service", 9)).isGreaterThan(5 * unlimited);
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     for (long step = 0; step < millis; step++) {
       nowMillis++;
       channel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/RemovedServiceTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/RemovedServiceTests.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A configuration takes a service's work away while a call for it is under way. */
+/** A configuration removes batching from a service while a call for it is in flight. */
 @Timeout(30)
 class RemovedServiceTests {
 
@@ -36,8 +36,8 @@
   }
 
   @Test
-  void piecesThatAFullUpstreamTurnedAwayAreMadeOnceTheServiceIsBack() throws Exception {
-    Optional<BatchLimits> before = limits;
+  void rejectedPiecesAreRetriedOnceTheServiceIsRestored() throws Exception {
+    Optional<BatchLimits> initialLimits = limits;
     UpstreamRecord upstream = new UpstreamRecord("u1", "service", "10.0.0.1", 1, "zone", 1, false);
     loop.submit(() -> upstreams.replaceAll(1, List.of(upstream))).sync();
     submit("a");
@@ -45,14 +45,14 @@
 
     limits = Optional.empty();
     loop.submit(() -> call.answer(503, "")).sync();
-    limits = before;
+    limits = initialLimits;
     submit("b");
 
     assertThat(caller.next().body()).isEqualTo("a:0 b:0");
   }
 
   @Test
-  void piecesThatWereMadeMeanwhileAreHandedOn() throws Exception {
+  void resultsOfACallInFlightAreDelivered() throws Exception {
     UpstreamRecord upstream = new UpstreamRecord("u1", "service", "10.0.0.1", 1, "zone", 1, false);
     loop.submit(() -> upstreams.replaceAll(1, List.of(upstream))).sync();
     BlockingQueue<StageGroupResult> results = new LinkedBlockingQueue<>();
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/RestartedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/RestartedBatchUpstreamTests.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An upstream that makes results starts again under its id, at its address, and holds nothing. */
+/** An upstream restarts with the same id and address and loses its stored results. */
 @Timeout(30)
 class RestartedBatchUpstreamTests {
 
-  private static final long ROOM = 1_000;
+  private static final long MEMORY_BYTES = 1_000;
 
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
@@ -30,7 +30,7 @@
   private final BlockingQueue<StageGroupResult> results = new LinkedBlockingQueue<>();
   private final BatchCoordinator coordinator =
       new CoordinatorFixture(loop, upstreams, caller)
-          .withLimits(() -> Optional.of(new BatchLimits(1, 4, 400, 1, ROOM, 60_000)));
+          .withLimits(() -> Optional.of(new BatchLimits(1, 4, 400, 1, MEMORY_BYTES, 60_000)));
 
   @AfterEach
   void stop() {
@@ -38,28 +38,28 @@
   }
 
   @Test
-  void resultsOfTheStartBeforeTakeNoRoomOfTheNext() throws Exception {
-    onLoop(() -> upstreams.replaceAll(1, List.of(start(1))));
+  void resultsOfAnEarlierIncarnationOccupyNoMemory() throws Exception {
+    onLoop(() -> upstreams.replaceAll(1, List.of(incarnation(1))));
     submit("a");
     answer(caller.next(), "10.0.0.1:1/a");
-    submit("waits-for-room");
+    submit("waits-for-memory");
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
     assertThat(caller.isQuiet()).isTrue();
 
-    onLoop(() -> upstreams.update(2, List.of(start(2)), List.of()));
+    onLoop(() -> upstreams.update(2, List.of(incarnation(2)), List.of()));
 
     FakeUpstreamCaller.Call call = caller.next();
     assertThat(call.target().born()).isEqualTo(2);
-    assertThat(call.body()).isEqualTo("waits-for-room:0");
+    assertThat(call.body()).isEqualTo("waits-for-memory:0");
   }
 
   @Test
-  void theNextStartIsNotAskedToGiveUpResultsOfTheOneBefore() throws Exception {
-    onLoop(() -> upstreams.replaceAll(1, List.of(start(1))));
+  void resultsOfAnEarlierIncarnationAreNotReleased() throws Exception {
+    onLoop(() -> upstreams.replaceAll(1, List.of(incarnation(1))));
     submit("a");
     answer(caller.next(), "10.0.0.1:1/a");
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
-    onLoop(() -> upstreams.update(2, List.of(start(2)), List.of()));
+    onLoop(() -> upstreams.update(2, List.of(incarnation(2)), List.of()));
     submit("b");
     answer(caller.next(), "10.0.0.1:1/b");
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
@@ -70,7 +70,9 @@
   }
 
   private void submit(String request) throws InterruptedException {
-    onLoop(() -> coordinator.submit(StageGroups.large(request, 1, ROOM / 2 + 1), results::add));
+    onLoop(
+        () ->
+            coordinator.submit(StageGroups.large(request, 1, MEMORY_BYTES / 2 + 1), results::add));
   }
 
   private void answer(FakeUpstreamCaller.Call call, String body) throws InterruptedException {
@@ -81,7 +83,7 @@
     loop.submit(action).sync();
   }
 
-  private static UpstreamRecord start(long born) {
+  private static UpstreamRecord incarnation(long born) {
     return new UpstreamRecord("u1", born, "service", "10.0.0.1", 1, "zone", 1, false, 0);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/StageGroups.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/StageGroups.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Groups of pieces for tests. */
+/** Creates groups of pieces for tests. */
 final class StageGroups {
 
   private StageGroups() {}
