--- a/gradeledge-core/src/main/java/org/gradeledge/admission/AccountLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/AccountLimiter.java
@@ -7,8 +7,8 @@
 import org.gradeledge.verdict.RefusalReason;
 
 /**
- * Keeps one client account to its rate, by a token bucket of one second's worth, and to a bound of
- * requests at a time. Thread-safe.
+ * Limits the request rate of one client account with a token bucket of one second, and its number
+ * of concurrent requests. Thread-safe.
  *
  * @since 0.1
  */
@@ -20,32 +20,36 @@
   private long refilledNanos;
   private int inFlight;
 
-  /** Creates a limiter whose bucket is full. */
-  public AccountLimiter(AccountDefinition account, int mostAtATime, MonotonicClock clock) {
+  /** Creates a limiter with a full token bucket. */
+  public AccountLimiter(AccountDefinition account, int maxInFlight, MonotonicClock clock) {
     this.clock = clock;
-    this.maxInFlight = mostAtATime;
+    this.maxInFlight = maxInFlight;
     this.tokens = burst(account);
     this.refilledNanos = clock.nanos();
   }
 
-  /** Takes one request in, or refuses it "not run"; {@link #release} must follow. */
+  /**
+   * Admits a request, which must be followed by {@link #release}.
+   *
+   * @throws RefusalException if the account is above a limit; the request was not run
+   */
   public synchronized void acquire(AccountDefinition account) {
     long now = clock.nanos();
-    double earned = (now - refilledNanos) / 1e9 * account.requestsPerSecond();
-    tokens = Math.min(burst(account), tokens + earned);
+    double refill = (now - refilledNanos) / 1e9 * account.requestsPerSecond();
+    tokens = Math.min(burst(account), tokens + refill);
     refilledNanos = now;
     if (inFlight >= maxInFlight) {
       throw refusal("has " + inFlight + " requests in progress", Duration.ofSeconds(1));
     }
     if (tokens < 1) {
-      double seconds = (1 - tokens) / account.requestsPerSecond();
-      throw refusal("is above its rate", Duration.ofNanos((long) (seconds * 1e9)));
+      double waitSeconds = (1 - tokens) / account.requestsPerSecond();
+      throw refusal("is above its rate", Duration.ofNanos((long) (waitSeconds * 1e9)));
     }
     tokens--;
     inFlight++;
   }
 
-  /** Notes that a request that entered has ended. */
+  /** Releases an admitted request that has ended. */
   public synchronized void release() {
     inFlight--;
   }
@@ -54,9 +58,9 @@
     return Math.max(1, account.requestsPerSecond());
   }
 
-  private static RefusalException refusal(String what, Duration retryAfter) {
+  private static RefusalException refusal(String reason, Duration retryAfter) {
     return RefusalException.because(RefusalReason.ACCOUNT_LIMIT)
-        .detail("the client account " + what)
+        .detail("the client account " + reason)
         .retryAfter(retryAfter)
         .build();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/AdaptiveLimit.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/AdaptiveLimit.java
@@ -1,11 +1,11 @@
 package org.gradeledge.admission;
 
 /**
- * How many calls of a stage may be in progress, found from how long they take.
+ * Adaptive concurrency limit for the calls of a stage, based on the gradient of their latency.
  *
- * <p>While calls take no longer than a tolerance over the fastest window lately, the limit grows by
- * about its square root; once they take longer they wait at the upstreams, and the limit shrinks in
- * proportion. Waiting is better done here, where it is ordered by share. Not thread-safe.
+ * <p>The limit grows by about its square root while the mean latency of a window stays within a
+ * tolerance of the fastest recent window. A higher latency indicates queueing at the upstreams, and
+ * the limit shrinks in proportion. Not thread-safe.
  */
 final class AdaptiveLimit {
 
@@ -23,9 +23,9 @@
   private double sumNanos;
   private int callCount;
 
-  AdaptiveLimit(int most) {
-    this.maxLimit = most;
-    this.limit = most;
+  AdaptiveLimit(int maxLimit) {
+    this.maxLimit = maxLimit;
+    this.limit = maxLimit;
   }
 
   int current() {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Takes in the time of a completed call. */
+  /** Records the latency of a completed call. */
   void record(long nanos) {
     sumNanos += nanos;
     callCount++;
@@ -57,8 +57,8 @@
       fastest = Math.min(fastest, windowMeanNanos[i]);
     }
     double gradient = Math.max(MIN_GRADIENT, Math.min(1, TOLERANCE * fastest / meanNanos));
-    double next = gradient * limit + Math.sqrt(limit);
-    double smoothed = limit + SMOOTHING_FACTOR * (next - limit);
+    double target = gradient * limit + Math.sqrt(limit);
+    double smoothed = limit + SMOOTHING_FACTOR * (target - limit);
     limit = Math.min(maxLimit, Math.max(MIN_LIMIT, smoothed));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/AdmissionPolicy.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/AdmissionPolicy.java
@@ -6,12 +6,12 @@
 import org.gradeledge.configuration.StageDefinition;
 
 /**
- * The ways of admission that settings can name.
+ * The admission policies that can be configured in the settings.
  *
  * @since 0.1
  */
 public enum AdmissionPolicy {
-  /** Refuses what cannot meet its deadline; limits each stage. */
+  /** Refuses requests that cannot meet their deadline and limits the concurrency of each stage. */
   DEADLINE {
     @Override
     int limit(StageDefinition stage) {
@@ -23,7 +23,7 @@
       return estimate;
     }
   },
-  /** Baseline: lets everything in at once. */
+  /** Admits all requests immediately. */
   NONE {
     @Override
     int limit(StageDefinition stage) {
@@ -36,7 +36,7 @@
     }
   };
 
-  /** Returns the policy with the given name in settings. */
+  /** Returns the policy with the given name in the settings. */
   public static AdmissionPolicy ofWireName(String name) {
     return Arrays.stream(values())
         .filter(policy -> policy.wireName().equals(name))
@@ -44,14 +44,14 @@
         .orElseThrow(() -> new IllegalArgumentException("unknown admission policy: " + name));
   }
 
-  /** Returns the name used in settings. */
+  /** Returns the name of the policy in the settings. */
   public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Returns how many calls of a stage may be in progress on this box. */
+  /** Returns the maximum number of calls of a stage in flight on this box. */
   abstract int limit(StageDefinition stage);
 
-  /** Returns the time to count on, given the estimate from recent calls. */
+  /** Returns the duration that admission assumes, given an estimate from recent calls. */
   abstract Duration expectedDuration(Duration estimate);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/PipelineLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/PipelineLimits.java
@@ -12,7 +12,8 @@
 import org.gradeledge.verdict.RefusalReason;
 
 /**
- * Limiters and times of all stages of one pipeline, kept over its versions. Thread-safe.
+ * The limiters and latencies of all stages of one pipeline, retained across its versions.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -23,13 +24,13 @@
   private final Map<String, StageLatencies> latencies = new ConcurrentHashMap<>();
   private final Map<String, StageLimiter> limiters = new ConcurrentHashMap<>();
 
-  /** Creates limits under a policy; no stage is known yet. */
+  /** Creates limits for the given policy, without any stages. */
   public PipelineLimits(AdmissionPolicy policy, MonotonicClock clock) {
     this.clock = clock;
     this.policy = policy;
   }
 
-  /** Takes over the limits of a new version. */
+  /** Applies the limits of a new version of the pipeline. */
   public void update(PipelineFile file) {
     file.stages().forEach(stage -> limiter(stage).setLimit(policy.limit(stage)));
   }
@@ -40,14 +41,14 @@
         stage.name(), name -> new StageLimiter(name, policy.limit(stage), latencies(stage)));
   }
 
-  /** Returns the times of a stage. */
+  /** Returns the recent latencies of a stage. */
   public StageLatencies latencies(StageDefinition stage) {
     return latencies.computeIfAbsent(stage.name(), name -> new StageLatencies(clock));
   }
 
   /**
-   * Returns how long the given stages are expected to take for an account, one after another: the
-   * usual time of each, and the wait for a permit of all but the first, whose own queue counts the
+   * Returns the expected duration of consecutive stages for an account: the median latency of each
+   * stage, plus the expected wait for a permit of all stages except the first, whose queue adds its
    * wait itself.
    */
   public Duration expectedDuration(List<StageDefinition> stages, AccountDefinition account) {
@@ -63,27 +64,28 @@
   }
 
   /**
-   * Returns the time that must be left for a call of the first of the given stages to be worth
-   * starting: as {@link #expectedDuration}, but with the time within which most calls of that stage
-   * end. Calls that waited long start with little more than this, and half of them would end too
-   * late if it were the median.
+   * Returns the minimum remaining time to start a call of the first of the given stages. Uses the
+   * 90th percentile for that stage, as half of the calls that start at this bound would be late
+   * with the median.
    */
   public Duration minimumTimeToStart(List<StageDefinition> stages, AccountDefinition account) {
-    StageLatencies first = latencies(stages.get(0));
-    Duration margin = first.percentile90().minus(first.median());
+    StageLatencies firstStage = latencies(stages.get(0));
+    Duration margin = firstStage.percentile90().minus(firstStage.median());
     return expectedDuration(stages, account).plus(policy.expectedDuration(margin));
   }
 
-  /** Refuses a request whose deadline is shorter than its stages usually take. */
-  public void checkDeadline(PipelineFile file, AccountDefinition account, Duration timeLeft) {
+  /**
+   * Refuses a request whose remaining time is not longer than the expected duration of its stages.
+   */
+  public void checkDeadline(PipelineFile file, AccountDefinition account, Duration remainingTime) {
     Duration expected = expectedDuration(file.stages(), account);
-    if (expected.compareTo(timeLeft) >= 0) {
+    if (expected.compareTo(remainingTime) >= 0) {
       throw RefusalException.because(RefusalReason.DEADLINE_UNREACHABLE)
           .detail(
               "the stages usually take "
                   + expected.toMillis()
                   + " ms and "
-                  + timeLeft.toMillis()
+                  + remainingTime.toMillis()
                   + " ms are left")
           .retryAfter(expected)
           .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/QueuedTicket.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/QueuedTicket.java
@@ -5,14 +5,14 @@
 import reactor.core.publisher.MonoSink;
 
 /**
- * A ticket that waits for a permit.
+ * A ticket in the queue of a stage limiter.
  *
- * @param ticket what asks to start
- * @param virtualFinishTime its place in the fair order over all accounts
- * @param sequence breaks ties, first come first
- * @param sink told when it may start
- * @param granted whether it holds a permit
- * @param release gives its permit back, and does nothing where it holds none
+ * @param ticket the stage call
+ * @param virtualFinishTime sort key of weighted fair queueing
+ * @param sequence arrival order, which breaks ties
+ * @param sink receives the permit or the refusal
+ * @param granted whether the ticket holds a permit
+ * @param release releases the permit, without effect if none is held
  */
 record QueuedTicket(
     StageTicket ticket,
@@ -26,7 +26,7 @@
     sink.success(release);
   }
 
-  void refuse(RefusalException why) {
-    sink.error(why);
+  void refuse(RefusalException refusal) {
+    sink.error(refusal);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/RetryTokenBucket.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/RetryTokenBucket.java
@@ -1,7 +1,7 @@
 package org.gradeledge.admission;
 
 /**
- * Allows extra attempts as a share of first ones, so that retries cannot multiply a fault.
+ * Limits extra attempts to a share of the first attempts, so that retries cannot amplify a failure.
  * Thread-safe.
  *
  * @since 0.1
@@ -12,12 +12,12 @@
 
   private double tokens = MAX_TOKENS / 2;
 
-  /** Earns a share of an extra attempt. */
+  /** Adds a share of a token for a first attempt. */
   public synchronized void recordFirstAttempt(double share) {
     tokens = Math.min(MAX_TOKENS, tokens + share);
   }
 
-  /** Returns whether one extra attempt may be made, and takes it off the budget. */
+  /** Takes a token for an extra attempt and returns whether one was available. */
   public synchronized boolean tryAcquire() {
     if (tokens < 1) {
       return false;
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageLatencies.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageLatencies.java
@@ -5,10 +5,10 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * How long the calls of one stage have taken lately.
+ * Latency percentiles of the recent calls of one stage.
  *
- * <p>Two histograms in turn: one is read while the other fills, so that old calls are forgotten.
- * Thread-safe.
+ * <p>Uses two alternating histograms, of which one is read while the other is filled, so that old
+ * calls expire. Thread-safe.
  *
  * @since 0.1
  */
@@ -26,62 +26,62 @@
 
   private record Estimates(Duration median, Duration percentile90, Duration percentile99) {}
 
-  private static final Estimates UNKNOWN =
+  private static final Estimates NO_ESTIMATES =
       new Estimates(Duration.ZERO, Duration.ZERO, Duration.ZERO);
 
   private final MonotonicClock clock;
   private Histogram current = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
   private Histogram previous = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
-  private volatile Estimates estimates = UNKNOWN;
+  private volatile Estimates estimates = NO_ESTIMATES;
   private volatile long lastRecordedNanos;
 
-  /** Creates times of which nothing is known yet. */
+  /** Creates latencies without any recorded calls. */
   public StageLatencies(MonotonicClock clock) {
     this.clock = clock;
   }
 
-  /** Takes in the time of a completed call. */
+  /** Records the latency of a completed call. */
   public synchronized void record(long nanos) {
     current.recordValue(Math.min(MAX_MICROS, Math.max(1, nanos / 1_000)));
     lastRecordedNanos = clock.nanos();
     long count = current.getTotalCount();
     if (count >= CALLS_PER_HISTOGRAM) {
-      Histogram emptied = previous;
+      Histogram recycled = previous;
       previous = current;
-      emptied.reset();
-      current = emptied;
+      recycled.reset();
+      current = recycled;
       publish(previous);
     } else if (previous.getTotalCount() == 0 && count >= MIN_CALLS) {
       publish(current);
     }
   }
 
-  /** Returns the median time of recent calls, zero while too few are known. */
+  /** Returns the median latency of recent calls, or zero if too few were recorded. */
   public Duration median() {
     return decayed(estimates.median());
   }
 
-  /** Returns the time within which nine recent calls in ten ended, zero while too few are known. */
+  /** Returns the 90th percentile of recent calls, or zero if too few were recorded. */
   public Duration percentile90() {
     return decayed(estimates.percentile90());
   }
 
-  /** Returns the time that one recent call in a hundred exceeded, zero while too few are known. */
+  /** Returns the 99th percentile of recent calls, or zero if too few were recorded. */
   public Duration percentile99() {
     return estimates.percentile99();
   }
 
   /**
-   * An estimate that refuses every call would never be corrected, since nothing completes any more;
-   * it fades while nothing does, until a call is let through.
+   * Returns an estimate that decays while no call completes. Otherwise, an estimate that causes all
+   * calls to be refused would never be corrected.
    */
   private Duration decayed(Duration estimate) {
     long idleNanos = clock.nanos() - lastRecordedNanos - DECAY_DELAY.toNanos();
     if (idleNanos <= 0) {
       return estimate;
     }
-    double share = Math.pow(0.5, (double) idleNanos / DECAY_HALF_LIFE.toNanos());
-    return Duration.ofNanos((long) (estimate.toNanos() * share));
+    double factor = Math.pow(0.5, (double) idleNanos / DECAY_HALF_LIFE.toNanos());
+    return Duration.ofNanos((long) (estimate.toNanos() * factor));
   }
 
   private void publish(Histogram histogram) {
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
@@ -19,11 +19,11 @@
 import reactor.core.scheduler.Schedulers;
 
 /**
- * Limits how many calls of one stage this box has in progress, and decides who goes next.
+ * Limits the calls of one stage that this box has in flight and orders the waiting ones.
  *
- * <p>Waiting calls start by weighted fair queueing over the accounts. An account's share grows with
- * its weight and its priority; one account's flood waits behind itself, whatever its priority. A
- * call that can no longer meet its deadline is refused at once, queued or not. Thread-safe.
+ * <p>Waiting calls start by weighted fair queueing across the client accounts; the share of an
+ * account grows with its weight and priority. A call that can no longer meet its deadline is
+ * refused immediately. Thread-safe.
  *
  * @since 0.1
  */
@@ -42,19 +42,19 @@
   private double virtualTime;
   private long sequence;
 
-  /** Creates a limiter for a stage; {@code times} tells how long its calls take. */
-  public StageLimiter(String stage, int limit, StageLatencies times) {
+  /** Creates a limiter for a stage with the given recent latencies. */
+  public StageLimiter(String stage, int limit, StageLatencies latencies) {
     this.stage = stage;
     this.limit = new AdaptiveLimit(limit);
-    this.latencies = times;
+    this.latencies = latencies;
   }
 
-  /** Sets how many calls may be in progress at most. */
+  /** Sets the maximum number of calls in flight. */
   public synchronized void setLimit(int value) {
     limit.setMaxLimit(value);
   }
 
-  /** Takes in the time of a completed call. */
+  /** Records the latency of a completed call. */
   public void recordCompletion(long nanos) {
     latencies.record(nanos);
     synchronized (this) {
@@ -63,42 +63,43 @@
     startWaiting();
   }
 
-  /** Returns how long a call of an account would wait, were it to come now. */
+  /** Returns the expected wait of a new call of an account. */
   public synchronized Duration expectedWait(AccountDefinition account) {
-    double finish = virtualFinishTime(account);
-    long ahead = queue.stream().takeWhile(waiting -> waiting.virtualFinishTime() <= finish).count();
+    double finishTime = virtualFinishTime(account);
+    long ahead =
+        queue.stream().takeWhile(waiting -> waiting.virtualFinishTime() <= finishTime).count();
     return expectedWaitBehind(ahead);
   }
 
-  /** Returns how many calls wait. */
+  /** Returns the number of waiting calls. */
   public synchronized int queueLength() {
     return queue.size();
   }
 
   /**
-   * Waits for a permit. The value is to be run exactly once, when the call has ended; cancelling
-   * gives the place up. Fails with {@link RefusalException} "not run" where the deadline cannot be
-   * met.
+   * Waits for a permit and emits the action that releases it, which must run once when the call has
+   * ended. Cancelling removes the call from the queue. Emits a {@link RefusalException} for a call
+   * that was not run if the deadline cannot be met.
    */
   public Mono<Runnable> acquire(StageTicket ticket) {
     return Mono.defer(
         () -> {
-          AtomicReference<@Nullable QueuedTicket> mine = new AtomicReference<>();
+          AtomicReference<@Nullable QueuedTicket> ownTicket = new AtomicReference<>();
           return Mono.<Runnable>create(
                   sink -> {
                     QueuedTicket queued = newTicket(ticket, sink);
-                    mine.set(queued);
+                    ownTicket.set(queued);
                     enqueueOrRefuse(queued);
                   })
-              .doOnCancel(() -> cancel(mine.get()));
+              .doOnCancel(() -> cancel(ownTicket.get()));
         });
   }
 
   private synchronized QueuedTicket newTicket(StageTicket ticket, MonoSink<Runnable> sink) {
-    double finish = virtualFinishTime(ticket.account());
+    double finishTime = virtualFinishTime(ticket.account());
     AtomicBoolean granted = new AtomicBoolean();
     return new QueuedTicket(
-        ticket, finish, sequence++, sink, granted, () -> releaseAndStartWaiting(granted));
+        ticket, finishTime, sequence++, sink, granted, () -> releaseAndStartWaiting(granted));
   }
 
   private void enqueueOrRefuse(QueuedTicket queued) {
@@ -129,7 +130,7 @@
     queued.sink().onDispose(timer);
   }
 
-  /** A permit that was granted while its taker gave up must not be lost. */
+  /** Removes a cancelled ticket, or releases its permit if it was granted concurrently. */
   private void cancel(@Nullable QueuedTicket queued) {
     if (queued != null && !removeFromQueue(queued)) {
       queued.release().run();
@@ -175,13 +176,13 @@
     }
   }
 
-  /** Frees a permit without starting anybody; returns whether one was held. */
+  /** Releases a permit without starting waiting calls and returns whether it was held. */
   private synchronized boolean releasePermit(AtomicBoolean granted) {
-    boolean held = granted.compareAndSet(true, false);
-    if (held) {
+    boolean released = granted.compareAndSet(true, false);
+    if (released) {
       inFlight--;
     }
-    return held;
+    return released;
   }
 
   private synchronized boolean isWaiting(QueuedTicket queued) {
@@ -203,7 +204,7 @@
     return start + cost(account);
   }
 
-  /** What one call takes of its account's share, which grows with weight and priority. */
+  /** Returns the virtual cost of a call, which decreases with the account's weight and priority. */
   private static double cost(AccountDefinition account) {
     return 1.0 / (account.weight() * (1.0 + account.priority()));
   }
@@ -219,7 +220,8 @@
   }
 
   private RefusalException deadlineUnreachable(StageTicket ticket) {
-    Duration wait = latencies.median().multipliedBy(queueLength() + 1L).dividedBy(currentLimit());
+    Duration retryDelay =
+        latencies.median().multipliedBy(queueLength() + 1L).dividedBy(currentLimit());
     return RefusalException.because(RefusalReason.DEADLINE_UNREACHABLE)
         .stage(stage)
         .detail(
@@ -228,7 +230,7 @@
                 + " ms and "
                 + ticket.deadline().left().toMillis()
                 + " ms are left")
-        .retryAfter(wait)
+        .retryAfter(retryDelay)
         .build();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageTicket.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageTicket.java
@@ -5,22 +5,22 @@
 import org.gradeledge.time.Deadline;
 
 /**
- * A stage call that asks to start.
+ * A stage call that requires a permit to start.
  *
- * @param account whose request it belongs to
- * @param deadline when the whole request must be answered
- * @param estimatedRemaining estimate of the time that this stage and those after it take
+ * @param account client account of the request
+ * @param deadline deadline of the whole request
+ * @param estimatedRemaining estimated duration of this stage and the following ones
  * @since 0.1
  */
 public record StageTicket(
     AccountDefinition account, Deadline deadline, Duration estimatedRemaining) {
 
-  /** Returns whether the deadline can still be met if the call starts now. */
+  /** Returns whether the request can meet its deadline if the call starts now. */
   public boolean canMeetDeadline() {
     return deadline.left().compareTo(estimatedRemaining) > 0;
   }
 
-  /** Returns how long the call can wait and still be answered in time. */
+  /** Returns how long the call can wait without missing the deadline. */
   public Duration slack() {
     Duration slack = deadline.left().minus(estimatedRemaining);
     return slack.isNegative() ? Duration.ZERO : slack;
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/package-info.java
@@ -1,4 +1,4 @@
-/** Whether and when a stage call may start: limits, queues and refusals. */
+/** Admission control of requests and stage calls: limits, fair queues and refusals. */
 @NullMarked
 package org.gradeledge.admission;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/admission/StageLatenciesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/admission/StageLatenciesTests.java
@@ -8,31 +8,31 @@
 class StageLatenciesTests {
 
   private long nanos;
-  private final StageLatencies times = new StageLatencies(() -> nanos);
+  private final StageLatencies latencies = new StageLatencies(() -> nanos);
 
   @Test
-  void knowsNothingOfTooFewCalls() {
-    times.record(Duration.ofMillis(10).toNanos());
-    assertThat(times.median()).isZero();
+  void reportsZeroForTooFewCalls() {
+    latencies.record(Duration.ofMillis(10).toNanos());
+    assertThat(latencies.median()).isZero();
   }
 
   @Test
-  void forgetsOldCalls() {
+  void discardsOldCalls() {
     record(100, 500);
     record(100, 10);
-    assertThat(times.percentile90()).isLessThan(Duration.ofMillis(11));
+    assertThat(latencies.percentile90()).isLessThan(Duration.ofMillis(11));
   }
 
   @Test
-  void anEstimateFadesWhileNothingCompletesSoThatItCannotRefuseForEver() {
+  void anEstimateDecaysWhileNoCallCompletes() {
     record(10, 900);
-    assertThat(times.percentile90()).isGreaterThan(Duration.ofMillis(890));
+    assertThat(latencies.percentile90()).isGreaterThan(Duration.ofMillis(890));
     nanos += Duration.ofSeconds(2).toNanos();
-    assertThat(times.percentile90()).isLessThan(Duration.ofMillis(5));
+    assertThat(latencies.percentile90()).isLessThan(Duration.ofMillis(5));
   }
 
   @Test
-  void aLimitShrinksWhereCallsSlowDownAndGrowsBack() {
+  void aLimitShrinksWithHigherLatencyAndRecovers() {
     AdaptiveLimit limit = new AdaptiveLimit(200);
     recordAll(limit, 200, 10);
     assertThat(limit.current()).isEqualTo(200);
@@ -50,7 +50,7 @@
 
   private void record(int calls, int millis) {
     for (int i = 0; i < calls; i++) {
-      times.record(Duration.ofMillis(millis).toNanos());
+      latencies.record(Duration.ofMillis(millis).toNanos());
     }
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/admission/StageLimiterTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/admission/StageLimiterTests.java
@@ -18,44 +18,44 @@
 
 class StageLimiterTests {
 
-  private static final Duration LONG = Duration.ofMinutes(5);
-  private static final int LONG_QUEUE = 5_000;
+  private static final Duration LONG_TIMEOUT = Duration.ofMinutes(5);
+  private static final int MANY_CALLS = 5_000;
 
-  private final StageLatencies times = new StageLatencies(MonotonicClock.system());
-  private final StageLimiter limiter = new StageLimiter("rank", 1, times);
+  private final StageLatencies latencies = new StageLatencies(MonotonicClock.system());
+  private final StageLimiter limiter = new StageLimiter("rank", 1, latencies);
   private final List<String> started = new ArrayList<>();
   private final List<Runnable> releases = new ArrayList<>();
-  private final AtomicReference<Throwable> refused = new AtomicReference<>();
+  private final AtomicReference<Throwable> refusal = new AtomicReference<>();
 
   @Test
-  void letsNoMoreInThanTheLimit() {
-    enter("a", 5, 1);
-    enter("b", 5, 1);
+  void limitsTheCallsInFlight() {
+    acquire("a", 5, 1);
+    acquire("b", 5, 1);
     assertThat(started).containsExactly("a");
     releases.get(0).run();
     assertThat(started).containsExactly("a", "b");
   }
 
   @Test
-  void aReleaseCountsOnce() {
-    enter("a", 5, 1);
+  void aPermitIsReleasedOnce() {
+    acquire("a", 5, 1);
     releases.get(0).run();
     releases.get(0).run();
-    enter("b", 5, 1);
-    enter("c", 5, 1);
+    acquire("b", 5, 1);
+    acquire("c", 5, 1);
     assertThat(started).containsExactly("a", "b");
   }
 
   @Test
-  void startsFairlyByWeightAndPrioritySoThatAFloodWaitsBehindItself() {
-    enter("first", 5, 1);
+  void startsCallsByWeightedFairQueueing() {
+    acquire("first", 5, 1);
     for (int i = 0; i < 4; i++) {
-      enter("large", 5, 1);
+      acquire("large", 5, 1);
     }
-    enter("small", 5, 1);
-    enter("heavy", 5, 4);
-    enter("heavy", 5, 4);
-    enter("urgent", 9, 1);
+    acquire("small", 5, 1);
+    acquire("heavy", 5, 4);
+    acquire("heavy", 5, 4);
+    acquire("urgent", 9, 1);
     drain();
     assertThat(started)
         .containsExactly(
@@ -63,11 +63,11 @@
   }
 
   @Test
-  void refusesAtOnceWhatCannotMakeItsDeadline() {
+  void refusesACallThatCannotMeetItsDeadline() {
     limiter
         .acquire(ticket("a", 5, 1, Duration.ofMillis(5), Duration.ofMillis(10)))
-        .subscribe(releases::add, refused::set);
-    assertThat(refused.get())
+        .subscribe(releases::add, refusal::set);
+    assertThat(refusal.get())
         .isInstanceOfSatisfying(
             RefusalException.class,
             e -> {
@@ -77,43 +77,43 @@
   }
 
   @Test
-  void refusesAtOnceWhereTheQueueAheadTakesLongerThanThereIs() {
+  void refusesACallIfTheExpectedWaitExceedsItsDeadline() {
     for (int i = 0; i < 10; i++) {
-      times.record(Duration.ofSeconds(1).toNanos());
+      latencies.record(Duration.ofSeconds(1).toNanos());
     }
-    enter("a", 5, 1);
+    acquire("a", 5, 1);
     limiter
         .acquire(ticket("b", 5, 1, Duration.ofMillis(500), Duration.ZERO))
-        .subscribe(releases::add, refused::set);
-    assertThat(refused.get()).isInstanceOf(RefusalException.class);
+        .subscribe(releases::add, refusal::set);
+    assertThat(refusal.get()).isInstanceOf(RefusalException.class);
   }
 
   @Test
-  void givesThePlaceOfWhoeverLeavesToTheNext() {
-    enter("a", 5, 1);
-    Disposable leaving = enter("b", 5, 1);
-    enter("c", 5, 1);
-    leaving.dispose();
+  void aCancelledCallIsRemovedFromTheQueue() {
+    acquire("a", 5, 1);
+    Disposable cancelled = acquire("b", 5, 1);
+    acquire("c", 5, 1);
+    cancelled.dispose();
     releases.get(0).run();
     assertThat(started).containsExactly("a", "c");
     assertThat(limiter.queueLength()).isZero();
   }
 
   @Test
-  void refusesALongQueueThatHasBecomeTooLateInOneGo() {
+  void refusesAllCallsOfALongExpiredQueueAtOnce() {
     AtomicLong nanos = new AtomicLong();
-    Runnable[] first = new Runnable[1];
-    AtomicInteger tooLate = new AtomicInteger();
+    Runnable[] lastRelease = new Runnable[1];
+    AtomicInteger refusedCalls = new AtomicInteger();
     AccountDefinition account = new AccountDefinition("a", "0".repeat(64), 5, 1, 2_000, 10);
-    for (int i = 0; i <= LONG_QUEUE; i++) {
-      Deadline deadline = Deadline.after(nanos::get, LONG);
+    for (int i = 0; i <= MANY_CALLS; i++) {
+      Deadline deadline = Deadline.after(nanos::get, LONG_TIMEOUT);
       limiter
           .acquire(new StageTicket(account, deadline, Duration.ZERO))
-          .subscribe(release -> first[0] = release, e -> tooLate.incrementAndGet());
+          .subscribe(release -> lastRelease[0] = release, e -> refusedCalls.incrementAndGet());
     }
-    nanos.set(LONG.toNanos());
-    first[0].run();
-    assertThat(tooLate).hasValue(LONG_QUEUE);
+    nanos.set(LONG_TIMEOUT.toNanos());
+    lastRelease[0].run();
+    assertThat(refusedCalls).hasValue(MANY_CALLS);
   }
 
   private void drain() {
@@ -122,21 +122,22 @@
     }
   }
 
-  private Disposable enter(String account, int priority, int weight) {
+  private Disposable acquire(String account, int priority, int weight) {
     return limiter
-        .acquire(ticket(account, priority, weight, LONG, Duration.ZERO))
+        .acquire(ticket(account, priority, weight, LONG_TIMEOUT, Duration.ZERO))
         .subscribe(
             release -> {
               started.add(account);
               releases.add(release);
             },
-            refused::set);
+            refusal::set);
   }
 
   private static StageTicket ticket(
-      String account, int priority, int weight, Duration left, Duration remaining) {
+      String account, int priority, int weight, Duration timeLeft, Duration remaining) {
     AccountDefinition definition =
         new AccountDefinition(account, "0".repeat(64), priority, weight, 2_000, 10);
-    return new StageTicket(definition, Deadline.after(MonotonicClock.system(), left), remaining);
+    return new StageTicket(
+        definition, Deadline.after(MonotonicClock.system(), timeLeft), remaining);
   }
 }
