--- a/gradeledge-core/src/main/java/org/gradeledge/retry/RetryBudget.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/retry/RetryBudget.java
@@ -7,11 +7,11 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * This box's share of the deployment's retries. In any window a box sends again at most a part of
- * the deployment's fixed allowance and a ratio of the requests that it took itself, so that all
- * boxes together stay within the deployment's budget without asking each other.
+ * This box's share of the retry budget of the deployment, by service.
  *
- * <p>A box that is killed forgets what it spent; half of the fixed allowance is kept back for that.
+ * <p>In any window, a box retries at most its part of the fixed allowance plus a ratio of the
+ * requests that it received itself, so that all boxes together stay within the budget without
+ * coordination. Half of the fixed allowance is reserved because a killed box loses its counts.
  * Confined to the event loop.
  *
  * @since 0.2
@@ -32,31 +32,31 @@
   /**
    * Creates a budget.
    *
-   * @param ratio retries for each request that the deployment allows
-   * @param allowance retries in a window that it allows besides
+   * @param ratio retries that the deployment allows per request
+   * @param allowance additional retries that the deployment allows in a window
    * @param window length of a window
-   * @param boxes how many boxes may be spending now
+   * @param boxCount number of boxes that currently use the budget
    */
   public RetryBudget(
-      MonotonicClock clock, double ratio, double allowance, Duration window, IntSupplier boxes) {
+      MonotonicClock clock, double ratio, double allowance, Duration window, IntSupplier boxCount) {
     this.clock = clock;
     this.ratio = ratio * RATIO_SAFETY_FACTOR;
     this.allowance = allowance * ALLOWANCE_SAFETY_FACTOR;
     this.bucketNanos = window.toNanos() / BUCKETS;
-    this.boxCount = boxes;
+    this.boxCount = boxCount;
   }
 
-  /** Counts a request for a service that a caller sent. */
+  /** Records a request of a caller for a service. */
   public void recordRequest(String service) {
     window(service).requests[window(service).currentBucket()]++;
   }
 
-  /** Returns whether something may be sent to a service again, and counts it if so. */
+  /** Returns whether one retry for a service is allowed, and records it if so. */
   public boolean trySpend(String service) {
     return trySpend(service, 1);
   }
 
-  /** Returns whether so many things may be sent to a service again, and counts them if so. */
+  /** Returns whether the given number of retries is allowed, and records all of them if so. */
   public boolean trySpend(String service, int count) {
     Window window = window(service);
     int bucket = window.currentBucket();
@@ -73,7 +73,7 @@
     return byService.computeIfAbsent(service, name -> new Window());
   }
 
-  /** Counts over the buckets of one window. */
+  /** Requests and retries in a sliding window, counted in buckets. */
   private final class Window {
 
     private final int[] requests = new int[BUCKETS];
@@ -82,8 +82,8 @@
 
     int currentBucket() {
       long now = clock.nanos() / bucketNanos;
-      long passed = Math.min(BUCKETS, now - newestBucket);
-      for (long i = 1; i <= passed; i++) {
+      long elapsedBuckets = Math.min(BUCKETS, now - newestBucket);
+      for (long i = 1; i <= elapsedBuckets; i++) {
         int bucket = Math.floorMod(newestBucket + i, BUCKETS);
         requests[bucket] = 0;
         retries[bucket] = 0;
--- a/gradeledge-core/src/main/java/org/gradeledge/retry/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/retry/package-info.java
@@ -1,4 +1,4 @@
-/** How much may be sent again. */
+/** The retry budget of a box. */
 @NullMarked
 package org.gradeledge.retry;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/retry/RetryBudgetTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/retry/RetryBudgetTests.java
@@ -11,27 +11,27 @@
 class RetryBudgetTests {
 
   private final AtomicLong nanos = new AtomicLong();
-  private final AtomicInteger boxes = new AtomicInteger(5);
+  private final AtomicInteger boxCount = new AtomicInteger(5);
   private final RetryBudget budget =
-      new RetryBudget(nanos::get, 0.2, 50, Duration.ofSeconds(10), boxes::get);
+      new RetryBudget(nanos::get, 0.2, 50, Duration.ofSeconds(10), boxCount::get);
 
   @Test
   void allBoxesTogetherStayWithinTheAllowance() {
     long spent = spendAll("a");
 
-    assertThat(spent * boxes.get()).isLessThanOrEqualTo(50).isPositive();
+    assertThat(spent * boxCount.get()).isLessThanOrEqualTo(50).isPositive();
   }
 
   @Test
-  void requestsTakenAllowMore() {
-    long without = spendAll("a");
+  void receivedRequestsAllowMoreRetries() {
+    long baseline = spendAll("a");
     IntStream.range(0, 100).forEach(i -> budget.recordRequest("b"));
 
-    assertThat(spendAll("b")).isGreaterThan(without).isLessThanOrEqualTo(without + 20);
+    assertThat(spendAll("b")).isGreaterThan(baseline).isLessThanOrEqualTo(baseline + 20);
   }
 
   @Test
-  void whatWasSpentCountsForAWholeWindow() {
+  void aRetryCountsForAWholeWindow() {
     spendAll("a");
     nanos.addAndGet(Duration.ofSeconds(8).toNanos());
     assertThat(budget.trySpend("a")).isFalse();
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aCountThatDoesNotFitIsNotSpentInPart() {
+  void aCountAboveTheLimitIsNotSpentInPart() {
     assertThat(budget.trySpend("a", 1_000)).isFalse();
     assertThat(budget.trySpend("a", 1)).isTrue();
   }
