--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
@@ -26,7 +26,6 @@
 final class ResultReleaser {
 
   private static final long COLLECTION_MILLIS = 8;
-
   private static final long DEFERRAL_MILLIS = 100;
 
   /** Longer than the retention period of results at upstreams. */
@@ -118,7 +117,7 @@
     caller.call(upstream, protocol.encodeRelease(upstream, handles), new ReleaseListener(handles));
   }
 
-  /** Reports the handles as released once the upstream has confirmed the release. */
+  /** Reports the handles as released once the upstream has responded. */
   private final class ReleaseListener implements CallListener {
 
     private final List<String> handles;
