--- a/gradeledge-core/src/main/java/org/gradeledge/batch/GroupInProgress.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/GroupInProgress.java
@@ -95,7 +95,7 @@
 
   /** Returns whether the group has waited longer than the request allows. */
   boolean hasExceededWait(long nowNanos) {
-    return waitedMillis(nowNanos) > group.maxWaitMillis();
+    return waitedMillis(nowNanos) > group.waitMillis();
   }
 
   /** Returns whether results meet the target time if they are available after the given delay. */
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
@@ -31,7 +31,7 @@
    * waiting pieces, so that the request can be refused early with a retry delay.
    */
   boolean isUnreachableFirstGroup(GroupInProgress group, BatchLimits limits) {
-    if (!group.group().noWorkDone()) {
+    if (!group.group().first()) {
       return false;
     }
     long now = context.clock().nanos();
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroup.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroup.java
@@ -18,8 +18,8 @@
  * @param priority 0 is the most urgent
  * @param dueMillis time until the results miss the target time of the request, may be negative
  * @param remainingMillis time until the results are no longer useful
- * @param maxWaitMillis how long the pieces may wait before the group ends as late
- * @param noWorkDone whether the request has no stage results yet, so that it can be refused cheaply
+ * @param waitMillis how long the pieces may wait before the group ends as late
+ * @param first whether the request has no stage results yet, so that it can be refused cheaply
  * @since 0.2
  */
 public record StageGroup(
@@ -35,5 +35,5 @@
     int priority,
     long dueMillis,
     long remainingMillis,
-    long maxWaitMillis,
-    boolean noWorkDone) {}
+    long waitMillis,
+    boolean first) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroupResult.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageGroupResult.java
@@ -8,23 +8,23 @@
  * @param outcome outcome of the group
  * @param handles handles of the results in the order of the pieces; empty unless all were computed
  * @param box id of the box that made the calls
- * @param retryAfterMillis suggested delay before a retry of the request, if the group failed
+ * @param comeBackMillis suggested delay before a retry of the request, if the group failed
  * @param waitedMillis time from submission to the start of the last call
- * @param crashedUpstreams upstream incarnations that crashed while they computed the pieces
+ * @param endedUpstreams upstream incarnations that crashed while they computed the pieces
  * @since 0.2
  */
 public record StageGroupResult(
     StageOutcome outcome,
     List<String> handles,
     String box,
-    long retryAfterMillis,
+    long comeBackMillis,
     long waitedMillis,
-    List<String> crashedUpstreams) {
+    List<String> endedUpstreams) {
 
   /** Creates a result with copies of the lists. */
   public StageGroupResult {
     handles = List.copyOf(handles);
-    crashedUpstreams = List.copyOf(crashedUpstreams);
+    endedUpstreams = List.copyOf(endedUpstreams);
   }
 
   /** Creates a result without crashed upstreams. */
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupFormat.java
@@ -47,8 +47,8 @@
     packer.packString(PRIORITY).packInt(message.priority());
     packer.packString(DUE_MILLIS).packLong(message.dueMillis());
     packer.packString(REMAINING_MILLIS).packLong(message.remainingMillis());
-    packer.packString(WAIT_MILLIS).packLong(message.maxWaitMillis());
-    packer.packString(FIRST).packBoolean(message.noWorkDone());
+    packer.packString(WAIT_MILLIS).packLong(message.waitMillis());
+    packer.packString(FIRST).packBoolean(message.first());
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupResultFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupResultFormat.java
@@ -26,10 +26,10 @@
     packer.packString(HANDLES);
     TextLists.write(packer, message.handles());
     packer.packString(BOX).packString(message.box());
-    packer.packString(COME_BACK_MILLIS).packLong(message.retryAfterMillis());
+    packer.packString(COME_BACK_MILLIS).packLong(message.comeBackMillis());
     packer.packString(WAITED_MILLIS).packLong(message.waitedMillis());
     packer.packString(ENDED_UPSTREAMS);
-    TextLists.write(packer, message.crashedUpstreams());
+    TextLists.write(packer, message.endedUpstreams());
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
@@ -101,8 +101,8 @@
   }
 
   private void stagesFailed(int stage, StageGroupResult result) {
-    outcome.comeBackAfter(result.retryAfterMillis());
-    standing.stagesEnded(result.crashedUpstreams());
+    outcome.comeBackAfter(result.comeBackMillis());
+    standing.stagesEnded(result.endedUpstreams());
     finish(Refusal.STAGES_FAILED, "stage " + stage + " " + result.outcome());
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
@@ -224,7 +224,7 @@
     StageGroupResult result = results.poll(10, TimeUnit.SECONDS);
 
     assertThat(result.outcome()).isEqualTo(StageOutcome.LATE);
-    assertThat(result.retryAfterMillis()).isGreaterThan(500);
+    assertThat(result.comeBackMillis()).isGreaterThan(500);
   }
 
   @Test
