--- a/gradeledge-core/src/main/java/org/gradeledge/admission/AccountLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/AccountLimiter.java
@@ -59,7 +59,7 @@
   }
 
   private static RefusalException refusal(String reason, Duration retryAfter) {
-    return RefusalException.because(RefusalReason.ACCOUNT_LIMIT)
+    return RefusalException.forReason(RefusalReason.ACCOUNT_LIMIT)
         .detail("the client account " + reason)
         .retryAfter(retryAfter)
         .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/PipelineLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/PipelineLimits.java
@@ -80,7 +80,7 @@
   public void checkDeadline(PipelineFile file, AccountDefinition account, Duration remainingTime) {
     Duration expected = expectedDuration(file.stages(), account);
     if (expected.compareTo(remainingTime) >= 0) {
-      throw RefusalException.because(RefusalReason.DEADLINE_UNREACHABLE)
+      throw RefusalException.forReason(RefusalReason.DEADLINE_UNREACHABLE)
           .detail(
               "the stages usually take "
                   + expected.toMillis()
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
@@ -222,7 +222,7 @@
   private RefusalException deadlineUnreachable(StageTicket ticket) {
     Duration retryDelay =
         latencies.median().multipliedBy(queueLength() + 1L).dividedBy(currentLimit());
-    return RefusalException.because(RefusalReason.DEADLINE_UNREACHABLE)
+    return RefusalException.forReason(RefusalReason.DEADLINE_UNREACHABLE)
         .stage(stage)
         .detail(
             "the remaining stages take about "
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
@@ -4,9 +4,9 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 import java.util.Optional;
-import org.gradeledge.connection.AnswerBody;
 import org.gradeledge.connection.CallFailure;
 import org.gradeledge.connection.CallListener;
+import org.gradeledge.connection.ResponseBuffer;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.event.EventLog;
 
@@ -40,7 +40,7 @@
   private final BatchLimits limits;
   private final long startNanos;
   private final Listener listener;
-  private final AnswerBody body = new AnswerBody(MAX_ANSWER_BYTES);
+  private final ResponseBuffer body = new ResponseBuffer(MAX_ANSWER_BYTES);
   private int status;
   private boolean finished;
 
@@ -143,7 +143,7 @@
 
   @Override
   public void onComplete() {
-    finish(() -> listener.onCallAnswered(this, status, body.bytes()));
+    finish(() -> listener.onCallAnswered(this, status, body.toByteArray()));
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchContext.java
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.stream.Collectors;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.UpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -29,11 +29,11 @@
     String box,
     MonotonicClock clock,
     UpstreamRegistry upstreams,
-    LoadBoard loads,
+    UpstreamLoads loads,
     RetryBudget retryBudget,
     UpstreamCaller caller,
-    UpstreamEnds livenessChecks,
-    SendingRule sendingRule,
+    LivenessChecker livenessChecks,
+    SendLimiter sendingRule,
     StageProtocol protocol,
     EventLog events,
     PendingPieces pendingPieces,
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
@@ -10,14 +10,14 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.UpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -53,14 +53,14 @@
             builder.loads,
             builder.retryBudget,
             builder.caller,
-            new UpstreamEnds(builder.caller, builder.upstreams::hasLeft),
+            new LivenessChecker(builder.caller, builder.upstreams::hasLeft),
             builder.sendingRule,
             builder.protocol,
             builder.events,
             builder.pendingPieces,
             builder.limits,
             this::release);
-    builder.upstreams.onEnd(
+    builder.upstreams.onRetired(
         upstream ->
             Optional.ofNullable(queues.get(upstream.service())).ifPresent(BatchQueue::dispatch));
     builder.upstreams.onZonesChanged(() -> queues.values().forEach(BatchQueue::dispatch));
@@ -146,13 +146,13 @@
     private EventLoop loop;
     private MonotonicClock clock;
     private UpstreamRegistry upstreams;
-    private LoadBoard loads;
+    private UpstreamLoads loads;
     private RetryBudget retryBudget;
     private UpstreamCaller caller;
     private StageProtocol protocol;
     private EventLog events;
     private PendingPieces pendingPieces = new PendingPieces();
-    private SendingRule sendingRule = SendingRule.NONE;
+    private SendLimiter sendingRule = SendLimiter.UNLIMITED;
     private Function<String, Optional<BatchLimits>> limits;
 
     private Builder() {}
@@ -181,7 +181,8 @@
     }
 
     /** Sets the load table, the retry budget and the event log. */
-    public Builder loadAndRetries(LoadBoard loadBoard, RetryBudget retryBudget, EventLog eventLog) {
+    public Builder loadAndRetries(
+        UpstreamLoads loadBoard, RetryBudget retryBudget, EventLog eventLog) {
       this.loads = loadBoard;
       this.retryBudget = retryBudget;
       this.events = eventLog;
@@ -195,7 +196,7 @@
     }
 
     /** Sets the rule that limits the requests to an upstream; unlimited by default. */
-    public Builder sendingRule(SendingRule rule) {
+    public Builder sendingRule(SendLimiter rule) {
       this.sendingRule = rule;
       return this;
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.connection.CallFailure;
-import org.gradeledge.connection.UpstreamCall;
+import org.gradeledge.connection.CancellableCall;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.quarantine.Quarantine;
@@ -127,8 +127,8 @@
     BatchCall call = new BatchCall(target, batch, limits, now, this);
     double expected = target.expectedMillis(limits, batch.size());
     target.callStarted(call.resultBytes(), expected, now);
-    context.loads().started(target.upstream(), call.resultBytes());
-    context.sendingRule().sent(target.upstream());
+    context.loads().recordStart(target.upstream(), call.resultBytes());
+    context.sendingRule().recordSent(target.upstream());
     List<CallItem> items =
         batch.stream()
             .map(
@@ -136,7 +136,7 @@
                     new CallItem(
                         piece.group().group(), piece.index(), piece.group().remainingMillis(now)))
             .toList();
-    UpstreamCall upstreamCall =
+    CancellableCall upstreamCall =
         context
             .caller()
             .call(target.upstream(), context.protocol().encodeCall(target.upstream(), items), call);
@@ -145,7 +145,7 @@
     return true;
   }
 
-  private static void timeOut(BatchCall call, UpstreamCall upstreamCall) {
+  private static void timeOut(BatchCall call, CancellableCall upstreamCall) {
     if (!call.isFinished()) {
       upstreamCall.cancel();
       call.onTimeout();
@@ -172,7 +172,7 @@
       pauseFullUpstream(call);
       retry(call, true, "full");
     } else {
-      context.loads().failed(call.target().upstream(), false, "status " + status);
+      context.loads().recordFailure(call.target().upstream(), false, "status " + status);
       retry(call, true, "status " + status);
     }
     dispatch();
@@ -181,12 +181,12 @@
   @Override
   public void onCallFailed(BatchCall call, Optional<CallFailure> failure) {
     recordCallEnd(call);
-    boolean sent = failure.map(CallFailure::sent).orElse(true);
+    boolean sent = failure.map(CallFailure::isRequestSent).orElse(true);
     String reason = failure.map(CallFailure::name).orElse("no answer in time");
     if (failure.filter(CallFailure.NO_CONNECTION_FREE::equals).isPresent()) {
       pauseFullUpstream(call);
-    } else if (failure.map(CallFailure::blamesUpstream).orElse(true)) {
-      context.loads().failed(call.target().upstream(), !sent || failure.isEmpty(), reason);
+    } else if (failure.map(CallFailure::isUpstreamFault).orElse(true)) {
+      context.loads().recordFailure(call.target().upstream(), !sent || failure.isEmpty(), reason);
     }
     if (failure.filter(CallFailure.BROKEN::equals).isPresent()) {
       crashCheck.check(call, () -> retryAndDispatch(call, sent, reason));
@@ -203,13 +203,13 @@
   /** Pauses a full upstream for about the time in which one of its calls ends. */
   private void pauseFullUpstream(BatchCall call) {
     long millis = (long) (call.limits().expectedMillis(1) * FULL_PAUSE_SHARE);
-    context.loads().pause(call.target().upstream(), millis);
+    context.loads().avoidFor(call.target().upstream(), millis);
   }
 
   private void recordCallEnd(BatchCall call) {
     call.writeEvent(context.events(), service, waiting.size(), context.clock().nanos());
     call.target().callEnded(call.resultBytes());
-    context.loads().ended(call.target().upstream(), call.resultBytes());
+    context.loads().recordEnd(call.target().upstream(), call.resultBytes());
   }
 
   private void handleResults(BatchCall call, List<PieceResult> results) {
@@ -218,7 +218,7 @@
     if (results.stream().allMatch(result -> result.kind() == PieceResult.Kind.MADE)) {
       call.target().recordSlowdown(millis / limits.expectedMillis(call.pieces().size()));
     }
-    context.loads().succeeded(call.target().upstream(), millis);
+    context.loads().recordSuccess(call.target().upstream(), millis);
     for (int i = 0; i < results.size(); i++) {
       handleResult(call, call.pieces().get(i), results.get(i), limits);
     }
@@ -232,7 +232,7 @@
       case LATE -> endGroup(piece.group(), StageOutcome.LATE);
       case GONE -> endGroup(piece.group(), StageOutcome.GONE);
       case NO_ROOM -> {
-        resultMemory.markFull(upstream.start());
+        resultMemory.markFull(upstream.incarnationId());
         retry(List.of(piece), true, "no room", upstream);
       }
       case ERROR -> retry(List.of(piece), true, "error", upstream);
@@ -247,7 +247,8 @@
       context.release(List.of(handle));
       return;
     }
-    resultMemory.add(handle, upstream.start(), group.group().resultBytes(), limits.resultMillis());
+    resultMemory.add(
+        handle, upstream.incarnationId(), group.group().resultBytes(), limits.resultMillis());
     group.pieceCompleted(piece.index(), handle);
   }
 
@@ -259,7 +260,7 @@
       List<StagePiece> pieces, boolean sent, String reason, UpstreamRecord upstream) {
     pieces.stream()
         .map(StagePiece::group)
-        .filter(group -> group.crashCount() >= Quarantine.ENDS_OF_VERDICT)
+        .filter(group -> group.crashCount() >= Quarantine.CRASHES_TO_QUARANTINE)
         .forEach(group -> endGroup(group, StageOutcome.FAILED));
     List<StagePiece> unfinished =
         pieces.stream().filter(piece -> !piece.group().hasEnded()).toList();
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
@@ -107,7 +107,7 @@
         .mapToDouble(
             each -> {
               double callsPerSecond =
-                  context.sendingRule().perSecond(each.upstream()) * CALLS_PER_REQUEST;
+                  context.sendingRule().requestsPerSecond(each.upstream()) * CALLS_PER_REQUEST;
               double fullCallMillis = each.expectedMillis(limits, limits.itemsPerCall());
               return Math.min(1, callsPerSecond * fullCallMillis / MILLIS_PER_SECOND);
             })
@@ -116,14 +116,14 @@
 
   /** Returns the free memory for results at an upstream. */
   long freeBytes(BatchUpstream target, BatchLimits limits) {
-    return resultMemory.isFull(target.upstream().start())
+    return resultMemory.isFull(target.upstream().incarnationId())
         ? 0
         : (long) (limits.roomBytes() * USABLE_MEMORY_SHARE) - occupiedBytes(target);
   }
 
   /** Counts calls of peers as well: the previous owner of the service may have calls in flight. */
   private boolean hasFreeSlot(BatchUpstream target, BatchLimits limits) {
-    int peerCalls = context.loads().runningAtPeers(target.upstream());
+    int peerCalls = context.loads().inFlightAtPeers(target.upstream());
     return target.hasFreeSlot(limits) && peerCalls < limits.calls();
   }
 
@@ -144,7 +144,7 @@
   }
 
   private long occupiedBytes(BatchUpstream target) {
-    return resultMemory.bytesAt(target.upstream().start())
+    return resultMemory.bytesAt(target.upstream().incarnationId())
         + target.reservedBytes()
         + context.loads().memoryAtPeers(target.upstream());
   }
@@ -154,7 +154,8 @@
     return context.loads().preferred(context.upstreams().usable(service)).stream()
         .map(
             each ->
-                byIncarnation.computeIfAbsent(each.start(), incarnation -> new BatchUpstream(each)))
+                byIncarnation.computeIfAbsent(
+                    each.incarnationId(), incarnation -> new BatchUpstream(each)))
         .toList();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/CrashCheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/CrashCheck.java
@@ -2,8 +2,8 @@
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import org.gradeledge.connection.UpstreamEnds;
-import org.gradeledge.connection.UpstreamProof;
+import org.gradeledge.connection.LivenessChecker;
+import org.gradeledge.connection.LivenessResult;
 
 /**
  * Checks whether an upstream crashed while it processed a call, before the pieces of the call are
@@ -14,10 +14,10 @@
   /** Longer than a network round trip: a crashed upstream refuses connections immediately. */
   private static final long TIMEOUT_MILLIS = 60;
 
-  private final UpstreamEnds livenessChecks;
+  private final LivenessChecker livenessChecks;
   private final EventLoop loop;
 
-  CrashCheck(UpstreamEnds livenessChecks, EventLoop loop) {
+  CrashCheck(LivenessChecker livenessChecks, EventLoop loop) {
     this.livenessChecks = livenessChecks;
     this.loop = loop;
   }
@@ -25,11 +25,11 @@
   /** Checks the upstream and runs the continuation once, after the check or a timeout. */
   void check(BatchCall call, Runnable continuation) {
     Once once = new Once(continuation);
-    livenessChecks.prove(
+    livenessChecks.check(
         call.target().upstream(),
         result -> {
-          if (result == UpstreamProof.REFUSED) {
-            String incarnation = call.target().upstream().start();
+          if (result == LivenessResult.REFUSED) {
+            String incarnation = call.target().upstream().incarnationId();
             call.pieces().forEach(piece -> piece.group().recordCrash(incarnation));
           }
           once.run();
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultMemory.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultMemory.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import org.jspecify.annotations.Nullable;
 
@@ -31,12 +31,12 @@
   private record FullPeriod(long millis, long untilNanos) {}
 
   private final MonotonicClock clock;
-  private final LoadBoard loads;
+  private final UpstreamLoads loads;
   private final Map<String, StoredResult> byHandle = new LinkedHashMap<>();
   private final Map<String, Long> bytesByIncarnation = new HashMap<>();
   private final Map<String, FullPeriod> fullPeriods = new HashMap<>();
 
-  ResultMemory(MonotonicClock clock, LoadBoard loads) {
+  ResultMemory(MonotonicClock clock, UpstreamLoads loads) {
     this.clock = clock;
     this.loads = loads;
   }
@@ -104,7 +104,7 @@
   }
 
   private void adjust(String incarnation, long bytes) {
-    loads.hold(incarnation, bytes);
+    loads.adjustMemory(incarnation, bytes);
     bytesByIncarnation.merge(incarnation, bytes, (total, change) -> nullIfZero(total + change));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
@@ -17,7 +17,7 @@
 import org.gradeledge.connection.UpstreamCaller;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 
 /**
  * Releases results at the upstreams that store them, several in one call. Failed calls are not
@@ -35,7 +35,7 @@
   private final UpstreamCaller caller;
   private final UpstreamRegistry upstreams;
   private final StageProtocol protocol;
-  private final SendingRule sendingRule;
+  private final SendLimiter sendingRule;
   private final Function<String, Optional<String>> incarnationOf;
   private final Consumer<Collection<String>> onReleased;
   private final CollectedHandles pending = new CollectedHandles(COLLECTION_MILLIS);
@@ -46,7 +46,7 @@
       UpstreamCaller caller,
       UpstreamRegistry upstreams,
       StageProtocol protocol,
-      SendingRule sendingRule,
+      SendLimiter sendingRule,
       Function<String, Optional<String>> incarnationOf,
       Consumer<Collection<String>> onReleased) {
     this.loop = loop;
@@ -105,7 +105,9 @@
   /** Drops the handles of results that were lost with an earlier incarnation of the upstream. */
   private List<String> keepStoredAt(UpstreamRecord upstream, List<String> handles) {
     return handles.stream()
-        .filter(handle -> incarnationOf.apply(handle).map(upstream.start()::equals).orElse(true))
+        .filter(
+            handle ->
+                incarnationOf.apply(handle).map(upstream.incarnationId()::equals).orElse(true))
         .toList();
   }
 
@@ -113,7 +115,7 @@
     if (handles.isEmpty()) {
       return;
     }
-    sendingRule.sent(upstream);
+    sendingRule.recordSent(upstream);
     caller.call(upstream, protocol.encodeRelease(upstream, handles), new ReleaseListener(handles));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 import org.gradeledge.connection.CallFailure;
-import org.gradeledge.connection.UpstreamCall;
+import org.gradeledge.connection.CancellableCall;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.jspecify.annotations.Nullable;
 
@@ -15,7 +15,7 @@
   private final UpstreamRecord upstream;
   private final long tokens;
   private final long startNanos;
-  private @Nullable UpstreamCall call;
+  private @Nullable CancellableCall call;
   private boolean over;
   private boolean notRun;
 
@@ -24,7 +24,7 @@
     this.upstream = upstream;
     this.tokens = tokens;
     this.startNanos = services.clock().nanos();
-    services.board().started(upstream, tokens);
+    services.board().recordStart(upstream, tokens);
   }
 
   /** The upstream did not run the request. */
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public final void started(UpstreamCall started) {
+  public final void started(CancellableCall started) {
     call = started;
     if (over) {
       started.cancel();
@@ -62,14 +62,14 @@
   @Override
   public final void giveUpSilent() {
     cancel();
-    services.caller().forget(upstream);
-    services.board().failed(upstream, true, "silent");
+    services.caller().discardConnections(upstream);
+    services.board().recordFailure(upstream, true, "silent");
   }
 
   @Override
   public final void onHead(int status, HttpHeaders headers) {
-    services.board().heard(upstream);
-    services.quarantine().heardFrom(upstream.start());
+    services.board().recordActivity(upstream);
+    services.quarantine().recordAlive(upstream.incarnationId());
     AnswerFacts facts = services.protocol().readAnswer(status, headers);
     notRun = facts.notRun();
     if (!notRun) {
@@ -92,25 +92,25 @@
   @Override
   public final void onFailure(CallFailure failure) {
     if (finish()) {
-      services.metrics().attempt(failure.sent() ? "broken" : "not_sent");
+      services.metrics().attempt(failure.isRequestSent() ? "broken" : "not_sent");
       noteFailure(failure);
       onBroken(failure);
     }
   }
 
   private void noteFailure(CallFailure failure) {
-    if (failure.blamesUpstream()) {
+    if (failure.isUpstreamFault()) {
       boolean certain = failure == CallFailure.NOT_CONNECTED;
-      services.board().failed(upstream, certain, failure.name());
+      services.board().recordFailure(upstream, certain, failure.name());
     }
   }
 
   /** Notes on the board how the answer's status speaks of the upstream. */
   final void noteStatus(int status) {
     if (status >= FIRST_FAILURE) {
-      services.board().failed(upstream, false, "status " + status);
+      services.board().recordFailure(upstream, false, "status " + status);
     } else {
-      services.board().succeeded(upstream, (services.clock().nanos() - startNanos) / 1e6);
+      services.board().recordSuccess(upstream, (services.clock().nanos() - startNanos) / 1e6);
     }
   }
 
@@ -131,7 +131,7 @@
       return false;
     }
     over = true;
-    services.board().ended(upstream, tokens);
+    services.board().recordEnd(upstream, tokens);
     return true;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/Attempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/Attempt.java
@@ -1,7 +1,7 @@
 package org.gradeledge.relay;
 
 import org.gradeledge.connection.CallListener;
-import org.gradeledge.connection.UpstreamCall;
+import org.gradeledge.connection.CancellableCall;
 import org.gradeledge.discovery.UpstreamRecord;
 
 /** One try of a request at one upstream. Confined to the event loop. */
@@ -11,7 +11,7 @@
   UpstreamRecord upstream();
 
   /** Tells how to give the call up. */
-  void started(UpstreamCall call);
+  void started(CancellableCall call);
 
   /** Gives the call up. */
   void cancel();
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
@@ -156,7 +156,7 @@
       finish(Refusal.STAGES_FAILED, "upstream refused with " + status);
       return;
     } else {
-      services.board().pause(ended.upstream(), FULL_PAUSE_MILLIS);
+      services.board().avoidFor(ended.upstream(), FULL_PAUSE_MILLIS);
     }
     again("not run, status " + status, Refusal.UPSTREAMS_FULL, true);
   }
@@ -174,7 +174,7 @@
   public void failed(Attempt ended, CallFailure failure) {
     timers.stopWatch();
     outcome.failed(ended.upstream(), failure);
-    if (failure.sent()) {
+    if (failure.isRequestSent()) {
       boolean mayRun = history.mayRunAgain();
       history.mayHaveRun();
       standing.broken(ended.upstream(), () -> brokenOff(mayRun, failure));
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestStanding.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestStanding.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.gradeledge.connection.UpstreamProof;
+import org.gradeledge.connection.LivenessResult;
 import org.gradeledge.deployment.ClientAccount;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.quarantine.Quarantine;
@@ -45,7 +45,7 @@
 
   /** Returns whether the request must be sent to no upstream. */
   boolean isBarred() {
-    return !trial && isKnown() && quarantine.bars(fingerprint());
+    return !trial && isKnown() && quarantine.isQuarantined(fingerprint());
   }
 
   /**
@@ -66,7 +66,7 @@
     EventLoop loop = services.loop();
     services
         .trials()
-        .take(fingerprint())
+        .claim(fingerprint())
         .onErrorReturn(false)
         .defaultIfEmpty(false)
         .subscribe(
@@ -89,13 +89,13 @@
   }
 
   private Optional<Duration> untilTrial() {
-    return services.trials().untilNext(fingerprint());
+    return services.trials().timeUntilNext(fingerprint());
   }
 
   /** Notes that the request was answered whole. */
   void answered() {
     if (isKnown()) {
-      quarantine.answered(fingerprint());
+      quarantine.recordSuccess(fingerprint());
     }
   }
 
@@ -106,10 +106,10 @@
    * lost for reasons of their own.
    */
   void broken(UpstreamRecord upstream, Runnable then) {
-    boolean suspect = isKnown() && quarantine.endsUnder(fingerprint()) > 0;
+    boolean suspect = isKnown() && quarantine.crashCount(fingerprint()) > 0;
     services
         .ends()
-        .prove(
+        .check(
             upstream,
             proof -> {
               proved(upstream, proof);
@@ -123,28 +123,28 @@
   }
 
   /** Only a refusal shows an end: what is silent may be a network that parts this box from it. */
-  private void proved(UpstreamRecord upstream, UpstreamProof proof) {
+  private void proved(UpstreamRecord upstream, LivenessResult proof) {
     services
         .events()
         .problem("upstream-broke-off")
         .with("fingerprint", fingerprint().toString())
         .with("request", admitted.request().id())
-        .with("upstream", upstream.start())
+        .with("upstream", upstream.incarnationId())
         .with("service", upstream.service())
         .with("proof", proof.name())
         .write();
-    if (proof == UpstreamProof.REFUSED) {
-      quarantine.endedUnder(fingerprint(), upstream.start());
+    if (proof == LivenessResult.REFUSED) {
+      quarantine.recordCrash(fingerprint(), upstream.incarnationId());
     }
   }
 
   /** Notes that upstreams ended while they made the pieces of a stage that was not made. */
   void stagesEnded(List<String> starts) {
-    starts.forEach(start -> quarantine.endedUnder(fingerprint(), start));
+    starts.forEach(start -> quarantine.recordCrash(fingerprint(), start));
   }
 
   private boolean isKnown() {
-    return quarantine.knowsShape(identity.shape());
+    return quarantine.hasShapeHash(identity.shapeHash());
   }
 
   private RequestFingerprint fingerprint() {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StreamAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StreamAttempt.java
@@ -73,7 +73,7 @@
   @Override
   public void onContent(ByteBuf content) {
     heardNanos = services().clock().nanos();
-    services().board().heard(upstream());
+    services().board().recordActivity(upstream());
     if (!isStream()) {
       byte[] bytes = new byte[content.readableBytes()];
       content.readBytes(bytes);
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.gradeledge.discovery.UpstreamRecord;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.selection.Demand;
 
 /** The upstreams that one request may still be sent to; each is tried once. */
@@ -58,8 +58,8 @@
   Optional<UpstreamRecord> next() {
     List<UpstreamRecord> left = notTried().filter(this::isAdmitted).toList();
     Optional<UpstreamRecord> chosen = services.chooser().choose(left, demand());
-    chosen.ifPresent(upstream -> tried.add(upstream.start()));
-    chosen.ifPresent(services.sending()::sent);
+    chosen.ifPresent(upstream -> tried.add(upstream.incarnationId()));
+    chosen.ifPresent(services.sending()::recordSent);
     return chosen;
   }
 
@@ -80,7 +80,7 @@
 
   private Stream<UpstreamRecord> notTried() {
     return services.upstreams().usable(service).stream()
-        .filter(each -> !tried.contains(each.start()));
+        .filter(each -> !tried.contains(each.incarnationId()));
   }
 
   /**
@@ -89,9 +89,9 @@
    * none left.
    */
   OptionalDouble millisUntilNext(long ahead) {
-    SendingRule sending = services.sending();
+    SendLimiter sending = services.sending();
     List<UpstreamRecord> left = notTried().toList();
-    double rate = left.stream().mapToDouble(sending::perSecond).sum();
+    double rate = left.stream().mapToDouble(sending::requestsPerSecond).sum();
     if (Double.isInfinite(rate)) {
       return OptionalDouble.of(0);
     }
@@ -109,7 +109,7 @@
 
   /** Where none takes any now, those that are before share the upstreams evenly later. */
   private double part(UpstreamRecord upstream, double rate, List<UpstreamRecord> all) {
-    return rate > 0 ? services.sending().perSecond(upstream) / rate : 1.0 / all.size();
+    return rate > 0 ? services.sending().requestsPerSecond(upstream) / rate : 1.0 / all.size();
   }
 
   /** Returns why there is no candidate. */
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
@@ -4,8 +4,8 @@
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaders;
-import org.gradeledge.connection.AnswerBody;
 import org.gradeledge.connection.CallFailure;
+import org.gradeledge.connection.ResponseBuffer;
 import org.gradeledge.discovery.UpstreamRecord;
 
 /** An attempt whose answer is passed on once it is whole. */
@@ -14,7 +14,7 @@
   private static final int MOST_BYTES = 16 * 1024 * 1024;
 
   private final AttemptListener listener;
-  private final AnswerBody body = new AnswerBody(MOST_BYTES);
+  private final ResponseBuffer body = new ResponseBuffer(MOST_BYTES);
   private int status;
   private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
 
@@ -49,6 +49,6 @@
   @Override
   void onWhole() {
     noteStatus(status);
-    listener.answered(this, status, headers, Unpooled.wrappedBuffer(body.bytes()));
+    listener.answered(this, status, headers, Unpooled.wrappedBuffer(body.toByteArray()));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -145,13 +145,13 @@
   private static RefusalException explain(RequestContext context, Throwable e) {
     RequestProgress progress = context.progress();
     if (e instanceof RefusalException refusal) {
-      return refusal.alsoCovering(progress.verdict());
+      return refusal.withEarlierVerdict(progress.verdict());
     }
     boolean late = e instanceof TimeoutException;
     if (!late) {
       Logger.error(e, "request failed: id={}", context.request().requestId());
     }
-    return RefusalException.because(late ? RefusalReason.DEADLINE_PASSED : RefusalReason.INTERNAL)
+    return RefusalException.forReason(late ? RefusalReason.DEADLINE_PASSED : RefusalReason.INTERNAL)
         .verdict(progress.verdict())
         .stage(progress.stage().isEmpty() ? null : progress.stage())
         .cause(e)
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -110,7 +110,7 @@
     private Flux<UpstreamEvent> call(UpstreamState upstream) {
       attempts++;
       tried.add(upstream.definition().id());
-      upstream.started();
+      upstream.recordCallStarted();
       context.progress().callStarted();
       CallEnd end = new CallEnd(upstream, clock.nanos());
       return withinAttemptLimit(protocol.call(upstreamCall(upstream)))
@@ -155,7 +155,7 @@
     }
 
     private Flux<UpstreamEvent> againOrRefuse(UpstreamException e) {
-      boolean harmless = stage.repeatable() || e.verdict().allowsRepeat();
+      boolean harmless = stage.repeatable() || e.verdict().allowsRetry();
       boolean again =
           harmless
               && attempts < MOST_ATTEMPTS
@@ -166,7 +166,7 @@
 
     private RefusalException refusal(
         RefusalReason reason, Verdict verdict, @Nullable Throwable cause) {
-      return RefusalException.because(reason)
+      return RefusalException.forReason(reason)
           .verdict(verdict)
           .stage(stage.name())
           .detail(cause == null ? null : cause.getMessage())
@@ -207,11 +207,11 @@
         long nanos = clock.nanos() - startNanos;
         switch (result) {
           case USED -> {
-            upstream.succeeded(nanos);
+            upstream.recordCallSucceeded(nanos);
             context.limits().limiter(stage).recordCompletion(nanos);
           }
-          case FAILED -> upstream.failed();
-          default -> upstream.cancelled();
+          case FAILED -> upstream.recordCallFailed();
+          default -> upstream.recordCallCancelled();
         }
         metrics
             .costs()
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/CoordinatorFixture.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/CoordinatorFixture.java
@@ -9,18 +9,18 @@
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 
 /** Creates coordinators for tests; all services share one set of limits. */
 record CoordinatorFixture(
-    EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller, LoadBoard loads) {
+    EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller, UpstreamLoads loads) {
 
   private static final double MANY_RETRIES = 100;
 
   /** Creates a fixture with an empty load table. */
   CoordinatorFixture(EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller) {
-    this(loop, upstreams, caller, new LoadBoard(MonotonicClock.system(), EventLogs.silent()));
+    this(loop, upstreams, caller, new UpstreamLoads(MonotonicClock.system(), EventLogs.silent()));
   }
 
   /** Returns a coordinator with variable limits and a sufficient retry budget. */
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/CrashingPiecesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/CrashingPiecesTests.java
@@ -72,7 +72,7 @@
         .sync();
 
     while (loop.submit(() -> results.size()).get() < 5) {
-      serve(caller.next());
+      serve(caller.nextCall());
     }
 
     assertThat(lostCalls).hasSizeLessThanOrEqualTo(MAX_CRASHES);
@@ -101,7 +101,7 @@
     if (pieces.stream().noneMatch(piece -> piece.startsWith(CRASHING))) {
       String handles =
           pieces.stream().map(piece -> "10.0.0.1:1/" + piece).collect(Collectors.joining(" "));
-      loop.submit(() -> call.answer(200, handles)).sync();
+      loop.submit(() -> call.respond(200, handles)).sync();
       return;
     }
     lostCalls.add(pieces);
@@ -110,7 +110,7 @@
             () -> {
               upstreams.update(1 + lostCalls.size(), running, List.of());
               call.fail(CallFailure.BROKEN);
-              caller.answerProbes();
+              caller.completeProbes();
             })
         .sync();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
@@ -63,13 +63,13 @@
   void waitingPiecesAreNotSentToARemovedUpstream(Removal removal) throws Exception {
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
     submit("in-flight");
-    assertThat(caller.next().body()).isEqualTo("in-flight:0");
+    assertThat(caller.nextCall().body()).isEqualTo("in-flight:0");
     submit("waiting");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     onLoop(() -> removal.change.accept(upstreams));
 
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -77,15 +77,15 @@
     UpstreamRecord other = new UpstreamRecord("u2", "service", "10.0.0.2", 2, "zone", 1, false);
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
     submit("in-flight");
-    caller.next();
+    caller.nextCall();
     submit("waiting");
 
     onLoop(() -> upstreams.update(2, List.of(upstream(true), other), List.of()));
 
-    FakeUpstreamCaller.Call call = caller.next();
+    FakeUpstreamCaller.Call call = caller.nextCall();
     assertThat(call.target()).isEqualTo(other);
     assertThat(call.body()).isEqualTo("waiting:0");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   private void submit(String request) throws InterruptedException {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
@@ -16,9 +16,9 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
@@ -30,7 +30,7 @@
   private static final BatchLimits LIMITS = new BatchLimits(1, 4, 200, 10, 1_000, 60_000);
 
   /** Admits the configured number of requests per upstream and counts those sent. */
-  private static final class ManualSendingRule implements SendingRule {
+  private static final class ManualSendingRule implements SendLimiter {
 
     private final Map<String, Integer> remaining = new HashMap<>();
     private double perSecond = Double.POSITIVE_INFINITY;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void sent(UpstreamRecord upstream) {
+    public void recordSent(UpstreamRecord upstream) {
       remaining.computeIfPresent(upstream.id(), (id, count) -> count - 1);
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public double perSecond(UpstreamRecord upstream) {
+    public double requestsPerSecond(UpstreamRecord upstream) {
       return blocked.contains(upstream.id()) ? 0 : perSecond;
     }
   }
@@ -70,7 +70,7 @@
           .upstreams(upstreams, service -> Optional.of(LIMITS))
           .calls(caller, new FakeStageProtocol())
           .loadAndRetries(
-              new LoadBoard(clock, EventLogs.silent()),
+              new UpstreamLoads(clock, EventLogs.silent()),
               new RetryBudget(clock, 0, 10, Duration.ofSeconds(10), () -> 1),
               EventLogs.silent())
           .sendingRule(rule)
@@ -87,7 +87,7 @@
 
     coordinator.submit(StageGroups.group("a", 2), result -> {});
 
-    assertThat(caller.next().target()).isEqualTo(SECOND);
+    assertThat(caller.nextCall().target()).isEqualTo(SECOND);
   }
 
   @Test
@@ -96,12 +96,12 @@
     rule.remaining.put(FIRST.id(), 0);
     coordinator.submit(StageGroups.group("a", 2), result -> {});
     advance(300);
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     rule.remaining.put(FIRST.id(), 1);
     advance(50);
 
-    assertThat(caller.next().target()).isEqualTo(FIRST);
+    assertThat(caller.nextCall().target()).isEqualTo(FIRST);
     assertThat(rule.remaining).containsEntry(FIRST.id(), 0);
   }
 
@@ -113,13 +113,13 @@
     advance(150);
     coordinator.release(List.of("10.0.0.1:1/y"));
     advance(150);
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     rule.remaining.put(FIRST.id(), 1);
     advance(150);
 
-    assertThat(caller.next().body().split(" ")).containsExactly("10.0.0.1:1/x", "10.0.0.1:1/y");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.nextCall().body().split(" ")).containsExactly("10.0.0.1:1/x", "10.0.0.1:1/y");
+    assertThat(caller.hasNoCalls()).isTrue();
     assertThat(rule.remaining).containsEntry(FIRST.id(), 0);
   }
 
@@ -134,7 +134,7 @@
     coordinator.release(List.of("10.0.0.1:2/y"));
     advance(10);
 
-    assertThat(caller.next().target()).isEqualTo(SECOND);
+    assertThat(caller.nextCall().target()).isEqualTo(SECOND);
   }
 
   // Guards against unbounded growth of releases for an upstream that admits none.
@@ -149,7 +149,7 @@
     rule.remaining.put(FIRST.id(), 1);
     advance(150);
 
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
@@ -8,7 +8,7 @@
 import org.gradeledge.deployment.RouteDefinition;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.limit.BackoffStatement;
+import org.gradeledge.limit.BackoffAnnouncement;
 import org.gradeledge.limit.UpstreamBackoffs;
 import org.junit.jupiter.api.Test;
 
@@ -26,7 +26,7 @@
 
     box.send("r1", NO_PIECES);
 
-    assertThat(box.caller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
   }
 
   @Test
@@ -37,7 +37,7 @@
 
     box.send("r1", NO_PIECES);
 
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
     assertThat(box.answers).hasSize(1);
     String[] answer = box.answers.get(0).split(" ");
     assertThat(answer[0]).isEqualTo("UPSTREAMS_LIMITED");
@@ -50,11 +50,11 @@
     RelayInVirtualTime box = box(RelayInVirtualTime.PLAIN, 1, 2);
     box.send("r1", NO_PIECES);
     request(1, 60_000);
-    box.caller.next().fail(CallFailure.HELD_OFF);
+    box.caller.nextCall().fail(CallFailure.HELD_OFF);
     box.run();
     request(2, 1_400);
 
-    box.caller.next().fail(CallFailure.HELD_OFF);
+    box.caller.nextCall().fail(CallFailure.HELD_OFF);
     box.run();
 
     assertThat(box.answers).hasSize(1);
@@ -70,11 +70,11 @@
 
     box.send("r1", NO_PIECES);
     box.pass(99);
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
     assertThat(box.answers).isEmpty();
     box.pass(25);
 
-    assertThat(box.caller.next().target()).isEqualTo(upstream(1));
+    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(1));
   }
 
   @Test
@@ -112,10 +112,10 @@
     box.send("r1", NO_PIECES);
     request(1, 3_000);
 
-    box.caller.next().fail(CallFailure.HELD_OFF);
+    box.caller.nextCall().fail(CallFailure.HELD_OFF);
     box.run();
 
-    assertThat(box.caller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
     assertThat(box.answers).isEmpty();
   }
 
@@ -145,7 +145,7 @@
   }
 
   private void request(int number, long millis) {
-    backoffs.answered(upstream(number), BackoffStatement.requested(Duration.ofMillis(millis)));
+    backoffs.onAnswer(upstream(number), BackoffAnnouncement.requested(Duration.ofMillis(millis)));
   }
 
   private static UpstreamRecord upstream(int number) {
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
@@ -10,10 +10,10 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLogs;
 import org.gradeledge.limit.BoxRank;
-import org.gradeledge.limit.LimitStatement;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.LimitAnnouncement;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.limit.UpstreamLimits;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
@@ -31,7 +31,7 @@
 
     box.send("r1", NO_PIECES);
 
-    assertThat(box.caller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
   }
 
   @Test
@@ -40,11 +40,11 @@
     name(upstream(1), 0.2);
     box.send("r1", NO_PIECES);
 
-    box.caller.next().fail(CallFailure.BROKEN);
+    box.caller.nextCall().fail(CallFailure.BROKEN);
     box.run();
 
     assertThat(box.answers).containsExactly("BROKEN ");
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -55,7 +55,7 @@
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).hasSize(1).first().asString().startsWith("UPSTREAMS_LIMITED ");
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -64,10 +64,10 @@
     name(upstream(1), 20);
 
     box.send("r1", NO_PIECES);
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
     box.pass(100);
 
-    assertThat(box.caller.next().target()).isEqualTo(upstream(1));
+    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(1));
     assertThat(box.answers).isEmpty();
   }
 
@@ -94,10 +94,10 @@
     box.suspend(60);
 
     box.send("second", NO_PIECES);
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
     box.pass(25);
 
-    box.caller.next().answer(200, "x");
+    box.caller.nextCall().respond(200, "x");
     box.run();
     assertThat(box.answers).hasSize(1);
   }
@@ -135,20 +135,20 @@
     box.callerGone();
     box.pass(500);
 
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
   }
 
   private RelayInVirtualTime box(RouteDefinition route, UpstreamRecord... upstreams) {
     return new RelayInVirtualTime(clock -> rule(clock, upstreams), route, upstreams);
   }
 
-  private SendingRule rule(MonotonicClock clock, UpstreamRecord... upstreams) {
+  private SendLimiter rule(MonotonicClock clock, UpstreamRecord... upstreams) {
     limits = new UpstreamLimits(clock, EventLogs.silent(), () -> List.of(upstreams));
-    return new LimitedSending(
+    return new UpstreamRateLimiter(
         clock, limits, start -> Optional.of(new BoxRank(0, 1)), service -> false);
   }
 
   private void name(UpstreamRecord upstream, double perSecond) {
-    limits.answered(upstream, 0, LimitStatement.named(perSecond));
+    limits.onAnswer(upstream, 0, LimitAnnouncement.named(perSecond));
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.gradeledge.connection.CallFailure;
 import org.gradeledge.connection.FakeUpstreamCaller;
-import org.gradeledge.connection.UpstreamProof;
+import org.gradeledge.connection.LivenessResult;
 import org.junit.jupiter.api.Test;
 
 /** What becomes of one request under which upstreams end. */
@@ -27,7 +27,7 @@
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).containsExactly("QUARANTINED 540000");
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -51,15 +51,15 @@
 
     assertThat(staged.answers).containsExactly("QUARANTINED 3600000");
     assertThat(staged.stages.cancelled).contains("service");
-    assertThat(staged.caller.isQuiet()).isTrue();
+    assertThat(staged.caller.hasNoCalls()).isTrue();
   }
 
   @Test
   void theFirstEndUnderARequestDoesNotHoldItUp() throws Exception {
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.next());
+    breakOff(box.caller.nextCall());
 
-    assertThat(box.caller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
     assertThat(box.answers).isEmpty();
   }
 
@@ -68,43 +68,43 @@
       throws Exception {
     endElsewhere(box, "a", "b");
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.next());
-    assertThat(box.caller.isQuiet()).isTrue();
+    breakOff(box.caller.nextCall());
+    assertThat(box.caller.hasNoCalls()).isTrue();
 
-    box.caller.answerProbes();
+    box.caller.completeProbes();
     box.run();
 
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
     assertThat(box.answers).containsExactly("BROKEN ");
-    assertThat(box.quarantine.bars(box.fingerprint())).isTrue();
+    assertThat(box.quarantine.isQuarantined(box.fingerprint())).isTrue();
   }
 
   @Test
   void whereOnlyTheConnectionWasLostItIsSentToAnother() throws Exception {
     endElsewhere(box, "a", "b");
-    box.caller.setProof(upstream(1), UpstreamProof.THERE);
+    box.caller.setProbeResult(upstream(1), LivenessResult.THERE);
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.next());
+    breakOff(box.caller.nextCall());
 
-    box.caller.answerProbes();
+    box.caller.completeProbes();
     box.run();
 
-    FakeUpstreamCaller.Call second = box.caller.next();
+    FakeUpstreamCaller.Call second = box.caller.nextCall();
     assertThat(second.target()).isEqualTo(upstream(2));
-    second.answer(200, "ok");
+    second.respond(200, "ok");
     assertThat(box.answers).containsExactly("200");
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
   }
 
   /** A box that is cut off takes nobody to have ended. */
   @Test
   void anUpstreamThatIsSilentHasNotEnded() throws Exception {
-    box.caller.setProof(upstream(1), UpstreamProof.SILENT);
+    box.caller.setProbeResult(upstream(1), LivenessResult.SILENT);
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.next());
-    box.caller.answerProbes();
+    breakOff(box.caller.nextCall());
+    box.caller.completeProbes();
 
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
   }
 
   /** It cuts what still runs there when it ends, and that says nothing of the requests. */
@@ -112,12 +112,12 @@
   void anUpstreamThatEndsAsPlannedHasNotCrashed() throws Exception {
     box.send("r1", NO_PIECES);
     box.upstreams.update(2, List.of(), List.of("u1"));
-    breakOff(box.caller.next());
-    box.caller.answerProbes();
+    breakOff(box.caller.nextCall());
+    box.caller.completeProbes();
 
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
     assertThat(box.caller.probed()).isEmpty();
-    assertThat(box.caller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
   }
 
   @Test
@@ -127,10 +127,10 @@
     box.trials.granted = true;
 
     box.send("r1", NO_PIECES);
-    box.caller.next().answer(200, "ok");
+    box.caller.nextCall().respond(200, "ok");
 
     assertThat(box.answers).containsExactly("200");
-    assertThat(box.quarantine.bars(box.fingerprint())).isFalse();
+    assertThat(box.quarantine.isQuarantined(box.fingerprint())).isFalse();
   }
 
   @Test
@@ -139,11 +139,11 @@
     box.trials.untilNext = Optional.of(Duration.ZERO);
     box.trials.granted = true;
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.next());
-    box.caller.answerProbes();
+    breakOff(box.caller.nextCall());
+    box.caller.completeProbes();
     box.run();
 
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
     assertThat(box.answers).containsExactly("BROKEN ");
   }
 
@@ -155,7 +155,7 @@
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).containsExactly("QUARANTINED 0");
-    assertThat(box.caller.isQuiet()).isTrue();
+    assertThat(box.caller.hasNoCalls()).isTrue();
   }
 
   private void breakOff(FakeUpstreamCaller.Call call) {
@@ -165,7 +165,7 @@
 
   private static void endElsewhere(RelayInVirtualTime relay, String... starts) {
     for (String start : starts) {
-      relay.quarantine.endedUnder(relay.fingerprint(), start);
+      relay.quarantine.recordCrash(relay.fingerprint(), start);
     }
     relay.run();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/RelayInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/RelayInVirtualTime.java
@@ -15,8 +15,8 @@
 import java.util.function.Function;
 import org.gradeledge.connection.ConnectionReuse;
 import org.gradeledge.connection.FakeUpstreamCaller;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.OutgoingRequest;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
@@ -25,13 +25,13 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.quarantine.Quarantine;
+import org.gradeledge.quarantine.QuarantineTrials;
 import org.gradeledge.quarantine.RequestFingerprint;
 import org.gradeledge.quarantine.RequestIdentity;
-import org.gradeledge.quarantine.Trials;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerRequest;
@@ -68,37 +68,37 @@
   private RelayHandler.Running running = () -> {};
 
   /** Trials as a test grants them. */
-  static final class HandMadeTrials implements Trials {
+  static final class HandMadeTrials implements QuarantineTrials {
 
     Optional<Duration> untilNext = Optional.empty();
     boolean granted;
 
     @Override
-    public Optional<Duration> untilNext(RequestFingerprint fingerprint) {
+    public Optional<Duration> timeUntilNext(RequestFingerprint fingerprint) {
       return untilNext;
     }
 
     @Override
-    public Mono<Boolean> take(RequestFingerprint fingerprint) {
+    public Mono<Boolean> claim(RequestFingerprint fingerprint) {
       return Mono.just(granted);
     }
   }
 
   RelayInVirtualTime(RouteDefinition route, UpstreamRecord... known) {
-    this(clock -> SendingRule.NONE, route, known);
+    this(clock -> SendLimiter.UNLIMITED, route, known);
   }
 
   /** Creates it with a rule on what may be sent, which goes by the virtual time. */
   RelayInVirtualTime(
-      Function<MonotonicClock, SendingRule> rule, RouteDefinition route, UpstreamRecord... known) {
-    SendingRule sending = rule.apply(clock);
+      Function<MonotonicClock, SendLimiter> rule, RouteDefinition route, UpstreamRecord... known) {
+    SendLimiter sending = rule.apply(clock);
     channel.freezeTime();
     DeploymentRegistry deployments =
         new DeploymentRegistry(
             document -> Either.right(Deployments.of(1, route)), EventLogs.silent());
     deployments.offer(new byte[1], "test");
     upstreams.replaceAll(1, List.of(known));
-    LoadBoard board = new LoadBoard(clock, EventLogs.silent());
+    UpstreamLoads board = new UpstreamLoads(clock, EventLogs.silent());
     RelayServices services =
         new RelayServices(
             "zone",
@@ -111,7 +111,7 @@
             sending,
             new RetryBudget(clock, 1, 100, Duration.ofSeconds(10), () -> 1),
             caller,
-            new UpstreamEnds(caller, upstreams::hasLeft),
+            new LivenessChecker(caller, upstreams::hasLeft),
             quarantine,
             trials,
             new PlainProtocol(),
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/StoppingBoxTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/StoppingBoxTests.java
@@ -30,7 +30,7 @@
     box.handler().refuseUnsent();
     box.run();
     assertThat(box.answers).isEmpty();
-    box.caller.next().answer(200, "x");
+    box.caller.nextCall().respond(200, "x");
     box.run();
 
     assertThat(box.answers).containsExactly("200");
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
@@ -22,24 +22,24 @@
   @Test
   void whatIsPastItsTimeIsGivenUpOnWaking() throws Exception {
     box.send("r1", NO_PIECES);
-    FakeUpstreamCaller.Call call = box.caller.next();
+    FakeUpstreamCaller.Call call = box.caller.nextCall();
     box.suspend(TIMEOUT_MILLIS);
 
     box.handler().wokeUp();
 
     assertThat(box.answers).containsExactly("LATE ");
-    assertThat(call.cancelled()).isTrue();
+    assertThat(call.isCancelled()).isTrue();
   }
 
   @Test
   void whatHasTimeLeftGoesOn() throws Exception {
     box.send("r1", NO_PIECES);
-    FakeUpstreamCaller.Call call = box.caller.next();
+    FakeUpstreamCaller.Call call = box.caller.nextCall();
     box.suspend(TIMEOUT_MILLIS - 1);
 
     box.handler().wokeUp();
     assertThat(box.answers).isEmpty();
-    call.answer(200, "ok");
+    call.respond(200, "ok");
 
     assertThat(box.answers).containsExactly("200");
   }
@@ -48,14 +48,14 @@
   @Test
   void theFirstRequestAfterWakingHasItsWholeTime() throws Exception {
     box.send("r1", NO_PIECES);
-    box.caller.next();
+    box.caller.nextCall();
     box.suspend(10 * TIMEOUT_MILLIS);
 
     box.send("r2", NO_PIECES);
     box.handler().wokeUp();
 
     assertThat(box.answers).containsExactly("LATE ");
-    box.caller.next().answer(200, "ok");
+    box.caller.nextCall().respond(200, "ok");
     assertThat(box.answers).containsExactly("LATE ", "200");
   }
 }
