--- a/gradeledge-core/src/main/java/org/gradeledge/admission/AccountLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/AccountLimiter.java
@@ -7,56 +7,60 @@
 import org.gradeledge.verdict.RefusalReason;
 
 /**
- * Keeps one client account to its rate, by a token bucket of one second's worth, and to a bound of
- * requests at a time. Thread-safe.
+ * Limits the request rate of one client account with a token bucket of one second, and its number
+ * of concurrent requests. Thread-safe.
  *
  * @since 0.1
  */
 public final class AccountLimiter {
 
   private final MonotonicClock clock;
-  private final int mostAtATime;
+  private final int maxInFlight;
   private double tokens;
   private long refilledNanos;
-  private int running;
+  private int inFlight;
 
-  /** Creates a limiter whose bucket is full. */
-  public AccountLimiter(AccountDefinition account, int mostAtATime, MonotonicClock clock) {
+  /** Creates a limiter with a full token bucket. */
+  public AccountLimiter(AccountDefinition account, int maxInFlight, MonotonicClock clock) {
     this.clock = clock;
-    this.mostAtATime = mostAtATime;
+    this.maxInFlight = maxInFlight;
     this.tokens = burst(account);
     this.refilledNanos = clock.nanos();
   }
 
-  /** Takes one request in, or refuses it "not run"; {@link #leave} must follow. */
-  public synchronized void enter(AccountDefinition account) {
+  /**
+   * Admits a request, which must be followed by {@link #release}.
+   *
+   * @throws RefusalException if the account is above a limit; the request was not run
+   */
+  public synchronized void acquire(AccountDefinition account) {
     long now = clock.nanos();
-    double earned = (now - refilledNanos) / 1e9 * account.requestsPerSecond();
-    tokens = Math.min(burst(account), tokens + earned);
+    double refill = (now - refilledNanos) / 1e9 * account.requestsPerSecond();
+    tokens = Math.min(burst(account), tokens + refill);
     refilledNanos = now;
-    if (running >= mostAtATime) {
-      throw refused("has " + running + " requests in progress", Duration.ofSeconds(1));
+    if (inFlight >= maxInFlight) {
+      throw refusal("has " + inFlight + " requests in progress", Duration.ofSeconds(1));
     }
     if (tokens < 1) {
-      double seconds = (1 - tokens) / account.requestsPerSecond();
-      throw refused("is above its rate", Duration.ofNanos((long) (seconds * 1e9)));
+      double waitSeconds = (1 - tokens) / account.requestsPerSecond();
+      throw refusal("is above its rate", Duration.ofNanos((long) (waitSeconds * 1e9)));
     }
     tokens--;
-    running++;
+    inFlight++;
   }
 
-  /** Notes that a request that entered has ended. */
-  public synchronized void leave() {
-    running--;
+  /** Releases an admitted request that has ended. */
+  public synchronized void release() {
+    inFlight--;
   }
 
   private static double burst(AccountDefinition account) {
     return Math.max(1, account.requestsPerSecond());
   }
 
-  private static RefusalException refused(String what, Duration retryAfter) {
+  private static RefusalException refusal(String reason, Duration retryAfter) {
     return RefusalException.forReason(RefusalReason.ACCOUNT_LIMIT)
-        .detail("the client account " + what)
+        .detail("the client account " + reason)
         .retryAfter(retryAfter)
         .build();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
@@ -10,34 +10,39 @@
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.event.EventLog;
 
-/** One call for a batch of pieces; gathers the answer. Confined to the event loop. */
+/**
+ * A call to an upstream for a batch of pieces, which collects the response. Confined to the event
+ * loop.
+ */
 final class BatchCall implements CallListener {
 
-  /** Hears how the call goes. */
+  /** Receives the events of a call. */
   interface Listener {
 
-    /** The call was handed to an open connection. */
-    void sent(BatchCall call);
+    /** Called when the request was handed to an open connection. */
+    void onCallSent(BatchCall call);
 
-    /** The upstream answered. */
-    void answered(BatchCall call, int status, byte[] body);
+    /** Called when the response is complete. */
+    void onCallAnswered(BatchCall call, int status, byte[] body);
 
-    /** There is no whole answer. */
-    void failed(BatchCall call, Optional<CallFailure> failure);
+    /**
+     * Called when the call ended without a complete response; the failure is empty on a timeout.
+     */
+    void onCallFailed(BatchCall call, Optional<CallFailure> failure);
   }
 
-  private static final int MOST_BYTES = 1024 * 1024;
-  private static final long NANOS_OF_MILLI = 1_000_000;
-  private static final long BYTES_OF_KILOBYTE = 1024;
+  private static final int MAX_ANSWER_BYTES = 1024 * 1024;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long BYTES_PER_KILOBYTE = 1024;
 
   private final BatchUpstream target;
   private final List<StagePiece> pieces;
   private final BatchLimits limits;
   private final long startNanos;
   private final Listener listener;
-  private final ResponseBuffer body = new ResponseBuffer(MOST_BYTES);
+  private final ResponseBuffer body = new ResponseBuffer(MAX_ANSWER_BYTES);
   private int status;
-  private boolean over;
+  private boolean finished;
 
   BatchCall(
       BatchUpstream target,
@@ -60,7 +65,6 @@
     return pieces;
   }
 
-  /** Returns the limits that held for the service when the call was made. */
   BatchLimits limits() {
     return limits;
   }
@@ -74,11 +78,11 @@
   }
 
   /**
-   * Tells how the call went.
+   * Logs the completed call.
    *
-   * @param waitingAfter pieces that wait for the next call
+   * @param waitingAfter number of pieces that wait for the next call
    */
-  void tell(EventLog events, String service, int waitingAfter, long nowNanos) {
+  void writeEvent(EventLog events, String service, int waitingAfter, long nowNanos) {
     StageGroup first = pieces.get(0).group().group();
     events
         .step("stage-call")
@@ -90,8 +94,8 @@
         .with("waiting-after", waitingAfter)
         .with("waited-ms", longestWaitMillis())
         .with("expected-ms", (long) target.expectedMillis(limits, pieces.size()))
-        .with("ms", (nowNanos - startNanos) / NANOS_OF_MILLI)
-        .with("kb", resultBytes() / BYTES_OF_KILOBYTE)
+        .with("ms", (nowNanos - startNanos) / NANOS_PER_MILLI)
+        .with("kb", resultBytes() / BYTES_PER_KILOBYTE)
         .with("first-priority", first.priority())
         .write();
   }
@@ -103,29 +107,31 @@
         .orElse(0);
   }
 
-  /** Notes that the upstream has fetched the inputs of the pieces, if it is still at work. */
-  void inputsTaken() {
-    if (!over) {
-      pieces.forEach(piece -> piece.group().inputsTaken(piece.index()));
+  /**
+   * Records that the upstream has fetched the inputs of the pieces, unless the call has finished.
+   */
+  void inputsFetched() {
+    if (!finished) {
+      pieces.forEach(piece -> piece.group().inputsFetched(piece.index()));
     }
   }
 
-  void timedOut() {
-    end(() -> listener.failed(this, Optional.empty()));
+  void onTimeout() {
+    finish(() -> listener.onCallFailed(this, Optional.empty()));
   }
 
-  boolean isOver() {
-    return over;
+  boolean isFinished() {
+    return finished;
   }
 
   @Override
   public void onSent() {
-    listener.sent(this);
+    listener.onCallSent(this);
   }
 
   @Override
-  public void onHead(int answeredStatus, HttpHeaders headers) {
-    status = answeredStatus;
+  public void onHead(int responseStatus, HttpHeaders headers) {
+    status = responseStatus;
   }
 
   @Override
@@ -137,17 +143,17 @@
 
   @Override
   public void onComplete() {
-    end(() -> listener.answered(this, status, body.toByteArray()));
+    finish(() -> listener.onCallAnswered(this, status, body.toByteArray()));
   }
 
   @Override
   public void onFailure(CallFailure failure) {
-    end(() -> listener.failed(this, Optional.of(failure)));
+    finish(() -> listener.onCallFailed(this, Optional.of(failure)));
   }
 
-  private void end(Runnable action) {
-    if (!over) {
-      over = true;
+  private void finish(Runnable action) {
+    if (!finished) {
+      finished = true;
       action.run();
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchContext.java
@@ -18,35 +18,33 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * What the queues of a box share.
+ * Dependencies that the batch queues of a box share.
  *
- * @param box name of the box
- * @param toCome pieces that are on their way
- * @param limitsOf limits of a service's upstreams, empty where it makes no pieces
- * @param freeing gives results up
+ * @param box id of the box
+ * @param pendingPieces pieces that admitted requests will submit
+ * @param limitsByService limits of a service's upstreams, empty for a service without batching
+ * @param releaser releases results at their upstreams
  */
-record BatchServices(
+record BatchContext(
     String box,
     MonotonicClock clock,
     UpstreamRegistry upstreams,
-    UpstreamLoads board,
-    RetryBudget budget,
+    UpstreamLoads loads,
+    RetryBudget retryBudget,
     UpstreamCaller caller,
-    LivenessChecker ends,
-    SendLimiter sending,
+    LivenessChecker livenessChecks,
+    SendLimiter sendingRule,
     StageProtocol protocol,
     EventLog events,
-    PiecesToCome toCome,
-    Function<String, Optional<BatchLimits>> limitsOf,
-    Consumer<List<String>> freeing) {
+    PendingPieces pendingPieces,
+    Function<String, Optional<BatchLimits>> limitsByService,
+    Consumer<List<String>> releaser) {
 
   Optional<BatchLimits> limits(String service) {
-    return limitsOf.apply(service);
+    return limitsByService.apply(service);
   }
 
-  /**
-   * Returns the zone that most inputs of a group lie in, else the one its results are wanted in.
-   */
+  /** Returns the zone that stores most inputs of a group, or else the zone of its consumer. */
   String zoneOfInputs(StageGroup group) {
     return group.inputs().stream()
         .flatMap(handle -> zoneOf(handle).stream())
@@ -58,14 +56,14 @@
         .orElse(group.zone());
   }
 
-  /** Returns the zone that a result lies in. */
+  /** Returns the zone of the upstream that stores a result. */
   Optional<String> zoneOf(String handle) {
     return upstreams.atAddress(protocol.addressOf(handle)).map(UpstreamRecord::zone);
   }
 
-  void free(List<String> handles) {
+  void release(List<String> handles) {
     if (!handles.isEmpty()) {
-      freeing.accept(handles);
+      releaser.accept(handles);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
@@ -21,7 +21,7 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Makes the pieces of all requests that are handed to this box, in shared calls.
+ * Batches the pieces of all requests that are assigned to this box into shared upstream calls.
  *
  * <p>Confined to the event loop.
  *
@@ -30,75 +30,79 @@
 public final class BatchCoordinator {
 
   private final EventLoop loop;
-  private final BatchServices services;
-  private final ResultRelease release;
+  private final BatchContext context;
+  private final ResultReleaser releaser;
   private final Map<String, BatchQueue> queues = new HashMap<>();
 
   private BatchCoordinator(Builder builder) {
     this.loop = builder.loop;
-    this.release =
-        new ResultRelease(
+    this.releaser =
+        new ResultReleaser(
             loop,
             builder.caller,
             builder.upstreams,
             builder.protocol,
-            builder.sending,
-            this::makerOf,
-            this::freed);
-    this.services =
-        new BatchServices(
+            builder.sendingRule,
+            this::incarnationOf,
+            this::onReleased);
+    this.context =
+        new BatchContext(
             builder.box,
             builder.clock,
             builder.upstreams,
-            builder.board,
-            builder.budget,
+            builder.loads,
+            builder.retryBudget,
             builder.caller,
             new LivenessChecker(builder.caller, builder.upstreams::hasLeft),
-            builder.sending,
+            builder.sendingRule,
             builder.protocol,
             builder.events,
-            builder.toCome,
+            builder.pendingPieces,
             builder.limits,
-            this::free);
+            this::release);
     builder.upstreams.onRetired(
         upstream ->
             Optional.ofNullable(queues.get(upstream.service())).ifPresent(BatchQueue::dispatch));
     builder.upstreams.onZonesChanged(() -> queues.values().forEach(BatchQueue::dispatch));
   }
 
-  /** Starts the work on a group; the listener hears once how it ended, unless it is cancelled. */
+  /**
+   * Starts a group of pieces; the listener receives the result once, unless the group is cancelled.
+   */
   public void submit(StageGroup group, StageWorkListener listener) {
-    queue(group.service()).submit(group, listener);
+    queueOf(group.service()).submit(group, listener);
   }
 
-  /** Drops the pieces of a request that wait for a service. */
+  /** Discards the pieces of a request that wait for a service. */
   public void cancel(String service, String requestId) {
-    queue(service).cancel(requestId);
+    queueOf(service).cancel(requestId);
   }
 
-  /** Gives results up that nobody needs any more. */
-  public void free(List<String> handles) {
-    release.release(handles);
+  /** Releases results that are no longer required. */
+  public void release(List<String> handles) {
+    releaser.release(handles);
   }
 
-  /** Returns the zone that a result lies in. */
+  /** Returns the availability zone of the upstream that stores a result. */
   public Optional<String> zoneOf(String handle) {
-    return services.zoneOf(handle);
+    return context.zoneOf(handle);
   }
 
-  /** Returns which start of an upstream made a result, if that was called from here. */
-  private Optional<String> makerOf(String handle) {
-    return queues.values().stream().flatMap(queue -> queue.makerOf(handle).stream()).findFirst();
+  /** Returns the upstream incarnation that stores a result, if this box made the call. */
+  private Optional<String> incarnationOf(String handle) {
+    return queues.values().stream()
+        .flatMap(queue -> queue.incarnationOf(handle).stream())
+        .findFirst();
   }
 
-  private void freed(Collection<String> handles) {
-    queues.values().forEach(queue -> queue.freed(handles));
+  private void onReleased(Collection<String> handles) {
+    queues.values().forEach(queue -> queue.onReleased(handles));
   }
 
   /**
-   * Returns how long what waits here or is on its way keeps each service busy, in milliseconds: for
-   * each priority from 0 what is as urgent or more; priorities after the first that has all of it
-   * are left out, as heartbeats carry these lists.
+   * Returns the expected time in milliseconds to process the waiting and pending pieces of each
+   * service. The element at index {@code p} covers the pieces of priority {@code p} and all more
+   * urgent ones; a list ends at the first priority that covers all pieces.
    */
   public Map<String, List<Long>> backlogMillis() {
     queues.values().forEach(BatchQueue::expireResults);
@@ -107,8 +111,8 @@
   }
 
   /**
-   * Returns how long what waits here for a service, or is on its way to it, and is as urgent as a
-   * priority or more keeps its upstreams busy, in milliseconds.
+   * Returns the expected time in milliseconds to process the waiting and pending pieces of a
+   * service that have the given priority or a more urgent one.
    */
   public long backlogMillisOf(String service, int priority) {
     BatchQueue queue = queues.get(service);
@@ -116,42 +120,44 @@
   }
 
   private static List<Long> byPriority(BatchQueue queue) {
-    long all = queue.backlogMillis(PiecesToCome.PRIORITIES - 1);
-    Stream<Long> rising =
-        IntStream.range(0, PiecesToCome.PRIORITIES)
+    long total = queue.backlogMillis(PendingPieces.PRIORITY_LEVELS - 1);
+    Stream<Long> partial =
+        IntStream.range(0, PendingPieces.PRIORITY_LEVELS)
             .mapToObj(queue::backlogMillis)
-            .takeWhile(millis -> millis < all);
-    return Stream.concat(rising, Stream.of(all)).toList();
+            .takeWhile(millis -> millis < total);
+    return Stream.concat(partial, Stream.of(total)).toList();
   }
 
-  private BatchQueue queue(String service) {
-    return queues.computeIfAbsent(service, name -> new BatchQueue(name, services, loop));
+  private BatchQueue queueOf(String service) {
+    return queues.computeIfAbsent(service, name -> new BatchQueue(name, context, loop));
   }
 
-  /** Returns a builder without any part. */
+  /** Returns an empty builder. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Builds a coordinator; all but the pieces to come and a rule on sending must be given. */
+  /**
+   * Builds a coordinator; all parts except the pending pieces and the sending rule are required.
+   */
   public static final class Builder {
 
     private String box;
     private EventLoop loop;
     private MonotonicClock clock;
     private UpstreamRegistry upstreams;
-    private UpstreamLoads board;
-    private RetryBudget budget;
+    private UpstreamLoads loads;
+    private RetryBudget retryBudget;
     private UpstreamCaller caller;
     private StageProtocol protocol;
     private EventLog events;
-    private PiecesToCome toCome = new PiecesToCome();
-    private SendLimiter sending = SendLimiter.UNLIMITED;
+    private PendingPieces pendingPieces = new PendingPieces();
+    private SendLimiter sendingRule = SendLimiter.UNLIMITED;
     private Function<String, Optional<BatchLimits>> limits;
 
     private Builder() {}
 
-    /** Sets the name of the box and where its work is done. */
+    /** Sets the id of the box, its event loop and its clock. */
     public Builder box(String name, EventLoop eventLoop, MonotonicClock monotonicClock) {
       this.box = name;
       this.loop = eventLoop;
@@ -159,42 +165,43 @@
       return this;
     }
 
-    /** Sets where the upstreams and their limits are known. */
+    /** Sets the registry of upstreams and the batch limits by service. */
     public Builder upstreams(
-        UpstreamRegistry registry, Function<String, Optional<BatchLimits>> limitsOf) {
+        UpstreamRegistry registry, Function<String, Optional<BatchLimits>> limitsByService) {
       this.upstreams = registry;
-      this.limits = limitsOf;
+      this.limits = limitsByService;
       return this;
     }
 
-    /** Sets how upstreams are called. */
+    /** Sets the client that calls upstreams and the format of the calls. */
     public Builder calls(UpstreamCaller upstreamCaller, StageProtocol stageProtocol) {
       this.caller = upstreamCaller;
       this.protocol = stageProtocol;
       return this;
     }
 
-    /** Sets what the box believes of upstreams, and what it may repeat. */
-    public Builder beliefs(UpstreamLoads loadBoard, RetryBudget retryBudget, EventLog eventLog) {
-      this.board = loadBoard;
-      this.budget = retryBudget;
+    /** Sets the load table, the retry budget and the event log. */
+    public Builder loadAndRetries(
+        UpstreamLoads loadBoard, RetryBudget retryBudget, EventLog eventLog) {
+      this.loads = loadBoard;
+      this.retryBudget = retryBudget;
       this.events = eventLog;
       return this;
     }
 
-    /** Sets the pieces that are on their way, none if not given. */
-    public Builder toCome(PiecesToCome piecesToCome) {
-      this.toCome = piecesToCome;
+    /** Sets the pieces that admitted requests will submit; none by default. */
+    public Builder pendingPieces(PendingPieces pieces) {
+      this.pendingPieces = pieces;
       return this;
     }
 
-    /** Sets which upstreams take one more request now; all do if it is not given. */
-    public Builder sending(SendLimiter rule) {
-      this.sending = rule;
+    /** Sets the rule that limits the requests to an upstream; unlimited by default. */
+    public Builder sendingRule(SendLimiter rule) {
+      this.sendingRule = rule;
       return this;
     }
 
-    /** Returns the coordinator. */
+    /** Creates the coordinator. */
     public BatchCoordinator build() {
       return new BatchCoordinator(this);
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/WaitingPieces.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/WaitingPieces.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** The pieces that wait for one service, most urgent first. Confined to the event loop. */
+/** The queue of pieces that wait for one service, most urgent first. Confined to the event loop. */
 final class WaitingPieces {
 
   private final List<StagePiece> pieces = new ArrayList<>();
@@ -29,76 +29,83 @@
     }
   }
 
-  void addAll(Collection<StagePiece> again) {
-    pieces.addAll(again);
+  void addAll(Collection<StagePiece> retried) {
+    pieces.addAll(retried);
   }
 
-  /** Returns how many pieces go before those of a group; a call takes so many milliseconds. */
-  long aheadOf(GroupInProgress group, double callMillis, long now) {
+  /**
+   * Returns the number of pieces ahead of a group.
+   *
+   * @param callMillis expected duration of a call
+   */
+  long countAhead(GroupInProgress group, double callMillis, long now) {
     return pieces.stream()
-        .filter(piece -> piece.group().inTimeAfter(callMillis, now))
-        .filter(piece -> piece.group().orderNanos() <= group.orderNanos())
+        .filter(piece -> piece.group().meetsTargetAfter(callMillis, now))
+        .filter(piece -> piece.group().sortKeyNanos() <= group.sortKeyNanos())
         .count();
   }
 
   /**
-   * Returns how many pieces can still be in time and are as urgent as a priority or more; a call
-   * takes so many milliseconds.
+   * Returns the number of pieces of this priority or a more urgent one that can still meet their
+   * target time.
+   *
+   * @param callMillis expected duration of a call
    */
-  long inTime(int priority, double callMillis, long now) {
+  long countInTime(int priority, double callMillis, long now) {
     return pieces.stream()
         .filter(piece -> piece.group().group().priority() <= priority)
-        .filter(piece -> piece.group().inTimeAfter(callMillis, now))
+        .filter(piece -> piece.group().meetsTargetAfter(callMillis, now))
         .count();
   }
 
-  /** Drops the pieces of a request without telling anybody. */
+  /** Discards the pieces of a request without notifying its listeners. */
   void cancel(String requestId) {
     pieces.stream()
         .filter(piece -> piece.group().group().requestId().equals(requestId))
         .forEach(piece -> piece.group().cancel());
-    pieces.removeIf(piece -> piece.group().isOver());
+    pieces.removeIf(piece -> piece.group().hasEnded());
   }
 
-  /** Takes out the groups that are better given up; a call takes at least so many milliseconds. */
-  Set<GroupInProgress> takeLate(double shortestMillis, long now) {
+  /** Removes and returns the groups that cannot complete in time or have waited too long. */
+  Set<GroupInProgress> removeExpired(double shortestMillis, long now) {
     Set<GroupInProgress> late =
         pieces.stream()
             .map(StagePiece::group)
-            .filter(group -> !group.isOver())
-            .filter(group -> group.leftMillis(now) < shortestMillis || group.waitedTooLong(now))
+            .filter(group -> !group.hasEnded())
+            .filter(
+                group -> group.remainingMillis(now) < shortestMillis || group.hasExceededWait(now))
             .collect(Collectors.toSet());
-    pieces.removeIf(piece -> piece.group().isOver() || late.contains(piece.group()));
+    pieces.removeIf(piece -> piece.group().hasEnded() || late.contains(piece.group()));
     return late;
   }
 
-  /** Pieces that can still be in time go first; those that cannot are worth little. */
+  /** Sorts by target time, with pieces that can no longer meet it at the end. */
   void sort(double callMillis, long now) {
     pieces.sort(
-        Comparator.comparing((StagePiece piece) -> !piece.group().inTimeAfter(callMillis, now))
-            .thenComparingLong(piece -> piece.group().orderNanos()));
+        Comparator.comparing((StagePiece piece) -> !piece.group().meetsTargetAfter(callMillis, now))
+            .thenComparingLong(piece -> piece.group().sortKeyNanos()));
   }
 
-  /** Takes out the most urgent pieces that a call has place and room for. */
-  List<StagePiece> take(int most, long roomBytes, Predicate<GroupInProgress> suits) {
-    CallLoad load = new CallLoad(most, roomBytes);
-    byGroup().forEach((group, waiting) -> offer(load, group, waiting, suits));
-    List<StagePiece> chosen = load.pieces();
-    pieces.removeAll(Set.copyOf(chosen));
-    return chosen;
+  /** Removes and returns the most urgent eligible pieces that fit into one call. */
+  List<StagePiece> takeBatch(int maxPieces, long freeBytes, Predicate<GroupInProgress> eligible) {
+    BatchAssembler assembler = new BatchAssembler(maxPieces, freeBytes);
+    byGroup().forEach((group, waiting) -> offer(assembler, group, waiting, eligible));
+    List<StagePiece> batch = assembler.pieces();
+    pieces.removeAll(Set.copyOf(batch));
+    return batch;
   }
 
   private static void offer(
-      CallLoad load,
+      BatchAssembler assembler,
       GroupInProgress group,
       List<StagePiece> waiting,
-      Predicate<GroupInProgress> suits) {
-    if (suits.test(group)) {
-      load.offer(group, waiting);
+      Predicate<GroupInProgress> eligible) {
+    if (eligible.test(group)) {
+      assembler.offer(group, waiting);
     }
   }
 
-  /** Returns the pieces of each group, in the order in which the groups stand. */
+  /** Returns the pieces by group, in queue order. */
   private Map<GroupInProgress, List<StagePiece>> byGroup() {
     return pieces.stream()
         .collect(Collectors.groupingBy(StagePiece::group, LinkedHashMap::new, Collectors.toList()));
--- a/gradeledge-core/src/main/java/org/gradeledge/retry/RetryBudget.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/retry/RetryBudget.java
@@ -7,11 +7,11 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * This box's share of the deployment's retries. In any window a box sends again at most a part of
- * the deployment's fixed allowance and a ratio of the requests that it took itself, so that all
- * boxes together stay within the deployment's budget without asking each other.
+ * This box's share of the retry budget of the deployment, by service.
  *
- * <p>A box that is killed forgets what it spent; half of the fixed allowance is kept back for that.
+ * <p>In any window, a box retries at most its part of the fixed allowance plus a ratio of the
+ * requests that it received itself, so that all boxes together stay within the budget without
+ * coordination. Half of the fixed allowance is reserved because a killed box loses its counts.
  * Confined to the event loop.
  *
  * @since 0.2
@@ -19,52 +19,53 @@
 public final class RetryBudget {
 
   private static final int BUCKETS = 10;
-  private static final double USED_RATIO = 0.8;
-  private static final double USED_ALLOWANCE = 0.5;
+  private static final double RATIO_SAFETY_FACTOR = 0.8;
+  private static final double ALLOWANCE_SAFETY_FACTOR = 0.5;
 
   private final MonotonicClock clock;
   private final double ratio;
   private final double allowance;
   private final long bucketNanos;
-  private final IntSupplier boxes;
+  private final IntSupplier boxCount;
   private final Map<String, Window> byService = new HashMap<>();
 
   /**
    * Creates a budget.
    *
-   * @param ratio retries for each request that the deployment allows
-   * @param allowance retries in a window that it allows besides
+   * @param ratio retries that the deployment allows per request
+   * @param allowance additional retries that the deployment allows in a window
    * @param window length of a window
-   * @param boxes how many boxes may be spending now
+   * @param boxCount number of boxes that currently use the budget
    */
   public RetryBudget(
-      MonotonicClock clock, double ratio, double allowance, Duration window, IntSupplier boxes) {
+      MonotonicClock clock, double ratio, double allowance, Duration window, IntSupplier boxCount) {
     this.clock = clock;
-    this.ratio = ratio * USED_RATIO;
-    this.allowance = allowance * USED_ALLOWANCE;
+    this.ratio = ratio * RATIO_SAFETY_FACTOR;
+    this.allowance = allowance * ALLOWANCE_SAFETY_FACTOR;
     this.bucketNanos = window.toNanos() / BUCKETS;
-    this.boxes = boxes;
+    this.boxCount = boxCount;
   }
 
-  /** Counts a request for a service that a caller sent. */
-  public void requested(String service) {
-    window(service).requested[window(service).current()]++;
+  /** Records a request of a caller for a service. */
+  public void recordRequest(String service) {
+    window(service).requests[window(service).currentBucket()]++;
   }
 
-  /** Returns whether something may be sent to a service again, and counts it if so. */
+  /** Returns whether one retry for a service is allowed, and records it if so. */
   public boolean trySpend(String service) {
     return trySpend(service, 1);
   }
 
-  /** Returns whether so many things may be sent to a service again, and counts them if so. */
+  /** Returns whether the given number of retries is allowed, and records all of them if so. */
   public boolean trySpend(String service, int count) {
     Window window = window(service);
-    int bucket = window.current();
-    double limit = allowance / Math.max(1, boxes.getAsInt()) + ratio * window.sum(window.requested);
-    if (window.sum(window.spent) + count > limit) {
+    int bucket = window.currentBucket();
+    double limit =
+        allowance / Math.max(1, boxCount.getAsInt()) + ratio * window.sum(window.requests);
+    if (window.sum(window.retries) + count > limit) {
       return false;
     }
-    window.spent[bucket] += count;
+    window.retries[bucket] += count;
     return true;
   }
 
@@ -72,27 +73,27 @@
     return byService.computeIfAbsent(service, name -> new Window());
   }
 
-  /** Counts over the buckets of one window. */
+  /** Requests and retries in a sliding window, counted in buckets. */
   private final class Window {
 
-    private final int[] requested = new int[BUCKETS];
-    private final int[] spent = new int[BUCKETS];
-    private long newest = clock.nanos() / bucketNanos;
+    private final int[] requests = new int[BUCKETS];
+    private final int[] retries = new int[BUCKETS];
+    private long newestBucket = clock.nanos() / bucketNanos;
 
-    int current() {
+    int currentBucket() {
       long now = clock.nanos() / bucketNanos;
-      long passed = Math.min(BUCKETS, now - newest);
-      for (long i = 1; i <= passed; i++) {
-        int bucket = Math.floorMod(newest + i, BUCKETS);
-        requested[bucket] = 0;
-        spent[bucket] = 0;
+      long elapsedBuckets = Math.min(BUCKETS, now - newestBucket);
+      for (long i = 1; i <= elapsedBuckets; i++) {
+        int bucket = Math.floorMod(newestBucket + i, BUCKETS);
+        requests[bucket] = 0;
+        retries[bucket] = 0;
       }
-      newest = Math.max(newest, now);
-      return Math.floorMod(newest, BUCKETS);
+      newestBucket = Math.max(newestBucket, now);
+      return Math.floorMod(newestBucket, BUCKETS);
     }
 
     int sum(int[] counts) {
-      current();
+      currentBucket();
       int total = 0;
       for (int count : counts) {
         total += count;
--- a/gradeledge-core/src/test/java/org/gradeledge/admission/StageTimesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/admission/StageLatenciesTests.java
@@ -5,34 +5,34 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class StageTimesTests {
+class StageLatenciesTests {
 
   private long nanos;
-  private final StageTimes times = new StageTimes(() -> nanos);
+  private final StageLatencies latencies = new StageLatencies(() -> nanos);
 
   @Test
-  void knowsNothingOfTooFewCalls() {
-    times.record(Duration.ofMillis(10).toNanos());
-    assertThat(times.typical()).isZero();
+  void reportsZeroForTooFewCalls() {
+    latencies.record(Duration.ofMillis(10).toNanos());
+    assertThat(latencies.median()).isZero();
   }
 
   @Test
-  void forgetsOldCalls() {
+  void discardsOldCalls() {
     record(100, 500);
     record(100, 10);
-    assertThat(times.likely()).isLessThan(Duration.ofMillis(11));
+    assertThat(latencies.percentile90()).isLessThan(Duration.ofMillis(11));
   }
 
   @Test
-  void anEstimateFadesWhileNothingCompletesSoThatItCannotRefuseForEver() {
+  void anEstimateDecaysWhileNoCallCompletes() {
     record(10, 900);
-    assertThat(times.likely()).isGreaterThan(Duration.ofMillis(890));
+    assertThat(latencies.percentile90()).isGreaterThan(Duration.ofMillis(890));
     nanos += Duration.ofSeconds(2).toNanos();
-    assertThat(times.likely()).isLessThan(Duration.ofMillis(5));
+    assertThat(latencies.percentile90()).isLessThan(Duration.ofMillis(5));
   }
 
   @Test
-  void aLimitShrinksWhereCallsSlowDownAndGrowsBack() {
+  void aLimitShrinksWithHigherLatencyAndRecovers() {
     AdaptiveLimit limit = new AdaptiveLimit(200);
     recordAll(limit, 200, 10);
     assertThat(limit.current()).isEqualTo(200);
@@ -50,7 +50,7 @@
 
   private void record(int calls, int millis) {
     for (int i = 0; i < calls; i++) {
-      times.record(Duration.ofMillis(millis).toNanos());
+      latencies.record(Duration.ofMillis(millis).toNanos());
     }
   }
 }
