--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -145,7 +145,7 @@
         .write();
     if (jump.isSuspension()) {
       metrics.suspended();
-      handler.wokeUp();
+      handler.expireOverdue();
     }
     if (jump.mayBeSuspension()) {
       caller.closeResting();
@@ -230,7 +230,7 @@
     CountDownLatch stopped = new CountDownLatch(1);
     loop.execute(() -> stop.start(stopped::countDown));
     stopped.await(settings.grace().toMillis(), TimeUnit.MILLISECONDS);
-    events.change("stopped").with("active", server.active()).write();
+    events.change("stopped").with("active", server.activeRequests()).write();
     events.drain(200);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
@@ -55,8 +55,8 @@
 
   /** Shows what upstreams say of themselves. */
   void show(RelayMetrics metrics, LimitedSending limited) {
-    metrics.watchLimits(limits::count, limited::heldOff);
-    metrics.watchSignals(
+    metrics.registerLimits(limits::count, limited::heldOff);
+    metrics.registerSignals(
         () -> upstreams.leavingAsTheySaid().size(), backoffs::count, backoffs::heldOff);
   }
 
