--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
@@ -6,7 +6,10 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.jspecify.annotations.Nullable;
 
-/** What attempts share: their load on the board, and answers that say "not run". */
+/**
+ * Base class of attempts: records load and failures of the upstream and detects answers that report
+ * that the request was not run.
+ */
 abstract class AbstractAttempt implements Attempt {
 
   private static final int FIRST_SERVER_ERROR = 500;
@@ -27,16 +30,16 @@
     services.loads().started(upstream, tokens);
   }
 
-  /** The upstream did not run the request. */
-  abstract void onNotRun(int status, HttpHeaders headers, AnswerSignals facts);
+  /** Called when the upstream reports that it did not run the request. */
+  abstract void onNotRun(int status, HttpHeaders headers, AnswerSignals signals);
 
-  /** The head of an answer that ran. */
+  /** Called with the head of an answer to a request that was run. */
   abstract void onAnswerHead(int status, HttpHeaders headers);
 
-  /** There is no whole answer, and none will come. */
+  /** Called when the call has failed before the answer was complete. */
   abstract void onAnswerIncomplete(CallFailure failure);
 
-  /** The answer is whole. */
+  /** Called when the answer is complete. */
   abstract void onAnswerComplete();
 
   @Override
@@ -45,10 +48,10 @@
   }
 
   @Override
-  public final void setCall(UpstreamCall started) {
-    call = started;
+  public final void setCall(UpstreamCall upstreamCall) {
+    call = upstreamCall;
     if (finished) {
-      started.cancel();
+      upstreamCall.cancel();
     }
   }
 
@@ -70,15 +73,15 @@
   public final void onHead(int status, HttpHeaders headers) {
     services.loads().heard(upstream);
     services.quarantine().heardFrom(upstream.start());
-    AnswerSignals facts = services.protocol().readAnswer(status, headers);
-    notRun = facts.notRun();
+    AnswerSignals signals = services.protocol().readAnswer(status, headers);
+    notRun = signals.notRun();
     if (!notRun) {
       onAnswerHead(status, headers);
       return;
     }
     cancel();
     services.metrics().attemptEnded("not_run");
-    onNotRun(status, headers, facts);
+    onNotRun(status, headers, signals);
   }
 
   @Override
@@ -105,7 +108,7 @@
     }
   }
 
-  /** Notes on the board how the answer's status speaks of the upstream. */
+  /** Records a success or a failure of the upstream from the status of its answer. */
   final void recordStatus(int status) {
     if (status >= FIRST_SERVER_ERROR) {
       services.loads().failed(upstream, false, "status " + status);
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
@@ -7,12 +7,12 @@
 import org.gradeledge.deployment.Urgency;
 
 /**
- * A request with what the configuration in force says of it.
+ * A request together with the configuration that applies to it.
  *
- * @param request as it came
- * @param deployment configuration that it was admitted under
- * @param route route that takes it
- * @param account client account whose key it has, if any
+ * @param request the caller's request
+ * @param deployment configuration under which the request was admitted
+ * @param route route that matches the request
+ * @param account client account that the request's key belongs to, if any
  */
 record AdmittedRequest(
     RelayRequest request,
@@ -20,17 +20,20 @@
     RouteDefinition route,
     Optional<ClientAccount> account) {
 
-  /** Returns the service that runs it. */
+  /** Returns the service that the request is routed to. */
   String service() {
     return route.serviceFor(request.id().hashCode());
   }
 
-  /** Returns after how many milliseconds its answer is worth nothing. */
+  /**
+   * Returns the timeout of the request: the caller's deadline or the route's timeout, whichever is
+   * shorter.
+   */
   long timeoutMillis() {
     return Math.min(request.deadlineMillis().orElse(Long.MAX_VALUE), route.timeoutMillis());
   }
 
-  /** Returns how urgent it is, 0 is the most urgent. */
+  /** Returns the priority; 0 is the highest. */
   int priority() {
     return Urgency.of(account.flatMap(ClientAccount::priority), route.priority()).rank();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AnswerSignals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AnswerSignals.java
@@ -1,10 +1,10 @@
 package org.gradeledge.relay;
 
 /**
- * What the head of an upstream's answer tells.
+ * Signals in the head of an upstream's answer.
  *
- * @param notRun whether the upstream says that it did not run the request
- * @param addressReused whether another upstream has taken the address over
+ * @param notRun whether the upstream reports that it did not run the request
+ * @param addressReused whether another upstream now uses the address
  * @since 0.2
  */
 public record AnswerSignals(boolean notRun, boolean addressReused) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/Attempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/Attempt.java
@@ -4,25 +4,25 @@
 import org.gradeledge.connection.UpstreamCall;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** One try of a request at one upstream. Confined to the event loop. */
+/** One attempt to send a request to an upstream. Confined to the event loop. */
 interface Attempt extends CallListener {
 
-  /** The upstream that was chosen. */
+  /** Returns the upstream that the request is sent to. */
   UpstreamRecord upstream();
 
-  /** Tells how to give the call up. */
+  /** Sets the call, so that the attempt can cancel it. */
   void setCall(UpstreamCall call);
 
-  /** Gives the call up. */
+  /** Cancels the call. */
   void cancel();
 
   /**
-   * Gives the call up as nothing came on its connection for too long: none of that age is used
-   * again, and the upstream is avoided for a while.
+   * Cancels the call because the upstream was silent for too long: discards pooled connections to
+   * it and avoids it for a while.
    */
   void abandonAsSilent();
 
-  /** Returns an attempt of the kind that the route's answers need. */
+  /** Creates an attempt for the type of answer that the route expects. */
   static Attempt create(
       RelayServices services,
       UpstreamRecord upstream,
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptHistory.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptHistory.java
@@ -3,12 +3,12 @@
 import org.gradeledge.deployment.RouteDefinition;
 
 /**
- * How often one request was sent to upstreams, how many of them may have run it, and what follows
- * for sending it again. Confined to the event loop.
+ * Counts the attempts of one request and decides whether it may be sent again. Confined to the
+ * event loop.
  */
 final class AttemptHistory {
 
-  /** Attempts that were turned away count too, so that a request does not visit every upstream. */
+  /** Includes rejected attempts, so that a request is not sent to every upstream. */
   private static final int MAX_SENDS = 4;
 
   private static final int FIRST_SERVER_ERROR = 500;
@@ -21,33 +21,32 @@
     this.route = route;
   }
 
-  /** Counts one more attempt; returns its number, from 1. */
+  /** Counts an attempt; returns its number, starting with 1. */
   int recordSent() {
     sendCount++;
     return sendCount;
   }
 
-  /** Counts an attempt that failed in such a way that the upstream may have run the request. */
+  /** Counts a failed attempt that may have run the request. */
   void recordPossibleRun() {
     possibleRuns++;
   }
 
-  /** Returns whether any upstream may have run the request. */
   boolean hasPossiblyRun() {
     return possibleRuns > 0;
   }
 
-  /** Returns whether another upstream may run the request while one more may have run it. */
+  /** Returns whether the request may be retried after an attempt that may have run it. */
   boolean mayRunAgain() {
     return route.repeatability().repeatable() && possibleRuns + 1 < route.maxAttempts();
   }
 
-  /** Returns whether an answer with a status may give way to one of another upstream. */
+  /** Returns whether a retry may replace an answer with this status. */
   boolean mayReplaceAnswer(int status) {
     return status >= FIRST_SERVER_ERROR && mayRunAgain() && !isExhausted();
   }
 
-  /** Returns whether the request was sent as often as it may be. */
+  /** Returns whether the maximum number of attempts was reached. */
   boolean isExhausted() {
     return sendCount >= MAX_SENDS;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptListener.java
@@ -4,24 +4,24 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import org.gradeledge.connection.CallFailure;
 
-/** Hears what comes of attempts. */
+/** Receives the progress and the result of attempts. */
 interface AttemptListener {
 
-  /** The request was handed to an open connection to the upstream. */
+  /** Called when the request has been written to a connection to the upstream. */
   void sent(Attempt attempt);
 
-  /** The upstream did not run the request. */
-  void notRun(Attempt attempt, int status, HttpHeaders headers, AnswerSignals facts);
+  /** Called when the upstream reports that it did not run the request. */
+  void notRun(Attempt attempt, int status, HttpHeaders headers, AnswerSignals signals);
 
-  /** There is no whole answer. */
+  /** Called when the attempt has failed before the answer was complete. */
   void failed(Attempt attempt, CallFailure failure);
 
-  /** There is a whole answer. */
+  /** Called with a complete answer. */
   void answered(Attempt attempt, int status, HttpHeaders headers, ByteBuf body);
 
-  /** Whole events have arrived; takes over the reference. */
+  /** Called with complete events; the listener must release the buffer. */
   void eventsReceived(StreamAttempt attempt, ByteBuf events);
 
-  /** The stream has ended after its last event. */
+  /** Called when the stream has ended after a complete event. */
   void streamEnded(StreamAttempt attempt);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptWatchdog.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptWatchdog.java
@@ -7,21 +7,20 @@
 import org.gradeledge.deployment.RouteDefinition;
 
 /**
- * When an attempt that shows no sign of life is given up, so that another upstream can be asked. It
- * looks once the attempt can have been silent for long enough and no sooner: a look ten times a
- * second at each stream was the largest part of the times that a box woke up for nothing.
+ * Detects attempts whose upstream is silent for too long, so that the request can be retried at
+ * another upstream. Checks only when the silence timeout can have elapsed.
  *
  * <p>Confined to the event loop.
  */
 final class AttemptWatchdog {
 
-  /** Several times the longest pause that engines make between two events of a stream. */
+  /** Longer than the pauses between the events of a healthy stream. */
   private static final long STREAM_SILENCE_TIMEOUT_MILLIS = 1_500;
 
-  /** What is silent and cannot be given up now is looked at again after this. */
+  /** Interval of repeated reports while the upstream stays silent. */
   private static final long REPEAT_MILLIS = 100;
 
-  /** Of the time that a request has left, so that as much is left for another upstream. */
+  /** Share of the remaining time that an attempt may use; the rest is left for a retry. */
   private static final double SHARE_OF_REMAINING_TIME = 0.5;
 
   private final EventLoop loop;
@@ -31,10 +30,11 @@
   private boolean stopped;
 
   /**
-   * Starts to look.
+   * Starts the watchdog.
    *
-   * @param millisUntilSilent how much longer nothing may come; 0 or less once that has passed
-   * @param onSilent called again and again while the upstream is not expected to answer any more
+   * @param millisUntilSilent returns the time left until the attempt counts as silent; 0 or less
+   *     once it does
+   * @param onSilent called repeatedly while the attempt is silent
    */
   AttemptWatchdog(EventLoop loop, LongSupplier millisUntilSilent, Runnable onSilent) {
     this.loop = loop;
@@ -43,18 +43,18 @@
     this.scheduledCheck = scheduleCheck(millisUntilSilent.getAsLong());
   }
 
-  /** Watches an attempt by what the route's answers are expected to be like. */
+  /** Creates a watchdog for an attempt with the timeout that suits the route's type of answer. */
   static AttemptWatchdog forAttempt(
       RelayServices services,
       RouteDefinition route,
       RequestClock clock,
       Attempt attempt,
       Runnable onSilent) {
-    LongSupplier left =
+    LongSupplier millisLeft =
         route.repeatability().streaming()
             ? streamTimeLeft(services, (StreamAttempt) attempt)
             : answerTimeLeft(clock);
-    return new AttemptWatchdog(services.eventLoop(), left, onSilent);
+    return new AttemptWatchdog(services.eventLoop(), millisLeft, onSilent);
   }
 
   private static LongSupplier streamTimeLeft(RelayServices services, StreamAttempt stream) {
@@ -64,23 +64,23 @@
   }
 
   private static LongSupplier answerTimeLeft(RequestClock clock) {
-    long end = clock.elapsedMillis() + (long) (clock.remainingMillis() * SHARE_OF_REMAINING_TIME);
-    return () -> end - clock.elapsedMillis();
+    long deadlineMillis =
+        clock.elapsedMillis() + (long) (clock.remainingMillis() * SHARE_OF_REMAINING_TIME);
+    return () -> deadlineMillis - clock.elapsedMillis();
   }
 
-  /** Stops to look. */
   void stop() {
     stopped = true;
     scheduledCheck.cancel(false);
   }
 
   private void check() {
-    long left = millisUntilSilent.getAsLong();
-    if (left <= 0) {
+    long millisLeft = millisUntilSilent.getAsLong();
+    if (millisLeft <= 0) {
       onSilent.run();
     }
     if (!stopped) {
-      scheduledCheck = scheduleCheck(left <= 0 ? REPEAT_MILLIS : left);
+      scheduledCheck = scheduleCheck(millisLeft <= 0 ? REPEAT_MILLIS : millisLeft);
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/CallerResponse.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/CallerResponse.java
@@ -4,32 +4,33 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * The way back to a caller. Exactly one final call is made: {@link #refuse}, {@link #answer},
- * {@link #endStream} or {@link #abort}.
+ * Sends the answer of a request to its caller. Exactly one final method is called: {@link #refuse},
+ * {@link #answer}, {@link #endStream} or {@link #abort}.
  *
  * @since 0.2
  */
 public interface CallerResponse {
 
   /**
-   * Ends the request with an answer of the box itself.
+   * Ends the request with an error answer of this box.
    *
-   * @param retryAfterMillis when asking again may help; told only where the request has not run
+   * @param retryAfterMillis delay after which a retry may succeed; sent only if the request has not
+   *     run
    */
   void refuse(Refusal refusal, long retryAfterMillis);
 
-  /** Ends the request with an upstream's whole answer. */
+  /** Ends the request with the complete answer of an upstream. */
   void answer(int status, HttpHeaders headers, ByteBuf body);
 
-  /** Starts to pass a stream of events on. */
+  /** Starts a stream of events. */
   void beginStream(int status, HttpHeaders headers);
 
-  /** Passes a part of the stream on and takes over its reference. */
+  /** Sends events of the stream and takes over the reference to the buffer. */
   void sendEvents(ByteBuf events);
 
-  /** Ends the stream as complete. */
+  /** Ends the stream normally. */
   void endStream();
 
-  /** Breaks the stream off, so that it cannot be taken for complete. */
+  /** Aborts the connection, so that the caller can tell that the stream is incomplete. */
   void abort();
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/DispatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/DispatchQueue.java
@@ -11,16 +11,16 @@
 import java.util.stream.Stream;
 
 /**
- * Requests that have not been sent to an upstream yet: those that wait for one to take more, as all
- * of their service name limits, and those whose stage work is under way. The more urgent come
- * first, among equals the earlier. Confined to the event loop.
+ * Queue of requests that have not been sent to an upstream yet: requests that wait until an
+ * upstream of their service accepts them, and requests whose stage work is in flight. Ordered by
+ * priority, then by arrival. Confined to the event loop.
  */
 final class DispatchQueue {
 
-  /** A small part of the time that a limited upstream takes between two requests of a box. */
+  /** Short compared with the interval at which a limited upstream accepts requests. */
   private static final long POLL_INTERVAL_MILLIS = 20;
 
-  /** One request in the queue. */
+  /** A request in the queue. */
   static final class QueuedRequest {
 
     private final String service;
@@ -43,45 +43,50 @@
     this.loop = loop;
   }
 
-  /** Adds a request that will want an upstream later. */
-  void add(QueuedRequest place) {
-    requestsByService.computeIfAbsent(place.service, service -> new LinkedHashSet<>()).add(place);
+  /** Adds a request that is not ready to be sent yet. */
+  void add(QueuedRequest request) {
+    requestsByService
+        .computeIfAbsent(request.service, service -> new LinkedHashSet<>())
+        .add(request);
   }
 
-  /** Lets a request wait; it is dispatched when it may be its turn, as often as it waits again. */
-  void addWaiting(QueuedRequest place) {
-    add(place);
-    place.waiting = true;
+  /**
+   * Adds a request that waits for an upstream. It is dispatched when it is next in line and must be
+   * added again if it still has to wait.
+   */
+  void addWaiting(QueuedRequest request) {
+    add(request);
+    request.waiting = true;
     schedulePoll();
   }
 
-  /** Takes a request out that was sent or has ended. */
-  void remove(QueuedRequest place) {
+  /** Removes a request that was sent or has ended. */
+  void remove(QueuedRequest request) {
     requestsByService.computeIfPresent(
-        place.service,
-        (service, places) -> {
-          places.remove(place);
-          return places.isEmpty() ? null : places;
+        request.service,
+        (service, requests) -> {
+          requests.remove(request);
+          return requests.isEmpty() ? null : requests;
         });
   }
 
-  /** Returns how many other requests for the same service are before one. */
-  long countAhead(QueuedRequest place) {
-    return requestsAhead(place).count();
+  /** Returns how many requests for the same service are ahead of this one. */
+  long countAhead(QueuedRequest request) {
+    return requestsAhead(request).count();
   }
 
-  /** Returns how many others before one wait for an upstream already. */
-  long countWaitingAhead(QueuedRequest place) {
-    return requestsAhead(place).filter(each -> each.waiting).count();
+  /** Returns how many of the requests ahead of this one are ready to be sent. */
+  long countWaitingAhead(QueuedRequest request) {
+    return requestsAhead(request).filter(each -> each.waiting).count();
   }
 
-  private Stream<QueuedRequest> requestsAhead(QueuedRequest place) {
-    Set<QueuedRequest> places = requestsByService.getOrDefault(place.service, Set.of());
+  private Stream<QueuedRequest> requestsAhead(QueuedRequest request) {
+    Set<QueuedRequest> requests = requestsByService.getOrDefault(request.service, Set.of());
     return Stream.concat(
-        places.stream().filter(each -> each.priority < place.priority),
-        places.stream()
-            .takeWhile(each -> each != place)
-            .filter(each -> each.priority == place.priority));
+        requests.stream().filter(each -> each.priority < request.priority),
+        requests.stream()
+            .takeWhile(each -> each != request)
+            .filter(each -> each.priority == request.priority));
   }
 
   private void schedulePoll() {
@@ -96,23 +101,23 @@
     Set.copyOf(requestsByService.keySet()).forEach(this::dispatch);
   }
 
-  /** Dispatches as long as the request whose turn it is does not have to wait again. */
+  /** Dispatches waiting requests in order until one has to wait again. */
   private void dispatch(String service) {
-    Optional<QueuedRequest> next = nextWaiting(service);
-    while (next.isPresent()) {
-      QueuedRequest place = next.get();
-      place.waiting = false;
-      place.dispatch.run();
-      if (place.waiting) {
+    Optional<QueuedRequest> waitingRequest = nextWaiting(service);
+    while (waitingRequest.isPresent()) {
+      QueuedRequest request = waitingRequest.get();
+      request.waiting = false;
+      request.dispatch.run();
+      if (request.waiting) {
         return;
       }
-      next = nextWaiting(service);
+      waitingRequest = nextWaiting(service);
     }
   }
 
   private Optional<QueuedRequest> nextWaiting(String service) {
     return requestsByService.getOrDefault(service, Set.of()).stream()
-        .filter(place -> place.waiting)
-        .min(Comparator.comparingInt(place -> place.priority));
+        .filter(request -> request.waiting)
+        .min(Comparator.comparingInt(request -> request.priority));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/EventFramer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/EventFramer.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events into whole events, so that an event that an upstream broke
- * off is never passed on in part. Confined to the event loop.
+ * Splits a stream of server-sent events into complete events, so that an event that the upstream
+ * did not finish is never forwarded. Confined to the event loop.
  */
 final class EventFramer {
 
@@ -19,34 +19,35 @@
   private Optional<String> lastId = Optional.empty();
 
   /**
-   * Takes bytes in and returns all whole events that they complete; empty where there are none.
+   * Adds received bytes and returns all events that they complete; the buffer may be empty.
    *
-   * @throws IllegalStateException if one event grows without end
+   * @throws IllegalStateException if one event exceeds the size limit
    */
   ByteBuf append(ByteBuf bytes) {
-    ByteBuf all = pending.isReadable() ? Unpooled.copiedBuffer(pending, bytes) : bytes.copy();
-    int end = lengthOfWholeEvents(all);
-    ByteBuf whole = all.readRetainedSlice(end);
-    pending = all.isReadable() ? Unpooled.copiedBuffer(all) : Unpooled.EMPTY_BUFFER;
-    all.release();
+    ByteBuf buffered = pending.isReadable() ? Unpooled.copiedBuffer(pending, bytes) : bytes.copy();
+    int wholeLength = lengthOfWholeEvents(buffered);
+    ByteBuf wholeEvents = buffered.readRetainedSlice(wholeLength);
+    pending = buffered.isReadable() ? Unpooled.copiedBuffer(buffered) : Unpooled.EMPTY_BUFFER;
+    buffered.release();
     if (pending.readableBytes() > MAX_PENDING_BYTES) {
-      throw new IllegalStateException("an event has no end after " + pending.readableBytes());
+      throw new IllegalStateException(
+          "event exceeds the size limit, bytes pending: " + pending.readableBytes());
     }
-    recordLastId(whole);
-    return whole;
+    recordLastId(wholeEvents);
+    return wholeEvents;
   }
 
-  /** Returns the id of the last whole event. */
+  /** Returns the id of the last complete event. */
   Optional<String> lastId() {
     return lastId;
   }
 
-  /** Returns whether the stream stands between two events. */
+  /** Returns whether no partial event is pending. */
   boolean isAtEventBoundary() {
     return !pending.isReadable();
   }
 
-  /** Drops an event that was broken off. */
+  /** Discards a partial event. */
   void dropPartial() {
     pending = Unpooled.EMPTY_BUFFER;
   }
@@ -71,9 +72,9 @@
       return;
     }
     String text = new String(ByteBufUtil.getBytes(events), StandardCharsets.UTF_8);
-    int at = text.startsWith(ID_FIELD) ? 0 : -1;
-    int last = text.lastIndexOf('\n' + ID_FIELD);
-    int field = last >= 0 ? last + 1 : at;
+    int firstField = text.startsWith(ID_FIELD) ? 0 : -1;
+    int laterField = text.lastIndexOf('\n' + ID_FIELD);
+    int field = laterField >= 0 ? laterField + 1 : firstField;
     if (field >= 0) {
       int end = text.indexOf('\n', field);
       lastId = Optional.of(text.substring(field + ID_FIELD.length(), end).trim());
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeContext.java
@@ -7,15 +7,15 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * What one request needs on its way, put together for it.
+ * Collaborators and state of one request.
  *
- * @param services what all requests share
+ * @param services services shared by all requests
  * @param admitted the request
- * @param clock its times
- * @param outcome its answer
- * @param candidates the upstreams it may go to
- * @param stagePlan its stage work
- * @param inputs results of that
+ * @param clock clock of the request
+ * @param outcome sends the answer
+ * @param candidates upstreams that the request may be sent to
+ * @param stagePlan stage work of the request
+ * @param inputs stage results that the request uses
  * @param queue requests that have not been sent yet
  */
 record ExchangeContext(
@@ -63,30 +63,30 @@
         queue);
   }
 
-  /** Counts the request for the retry budgets of all services that it needs. */
+  /** Counts the request for the retry budgets of all services that it uses. */
   void countRequest() {
     services.retryBudget().requested(admitted.service());
     admitted.route().stages().forEach(stage -> services.retryBudget().requested(stage.service()));
   }
 
-  /** Returns whether the retry budget allows to send the request again, and counts that. */
+  /** Takes one retry from the budget; returns whether it allowed one. */
   boolean trySpendRetry() {
     return services.retryBudget().trySpend(admitted.service());
   }
 
-  /** Returns the request as it goes to an upstream, after what was passed on of its answer. */
-  OutgoingRequest outgoingRequest(UpstreamRecord upstream, Optional<String> passedOn) {
-    ForwardingContext facts =
+  /** Encodes the request for an upstream; a resumed stream starts after the given event. */
+  OutgoingRequest outgoingRequest(UpstreamRecord upstream, Optional<String> lastEventId) {
+    ForwardingContext forwarding =
         new ForwardingContext(
             clock.remainingMillis(),
             admitted.account().map(ClientAccount::name),
             admitted.priority(),
             inputs.handles(),
-            passedOn);
+            lastEventId);
     ConnectionReuse reuse =
         admitted.route().repeatability().repeatable()
             ? ConnectionReuse.ANY
             : ConnectionReuse.RECENT;
-    return services.protocol().encodeRequest(admitted.request(), upstream, facts, reuse);
+    return services.protocol().encodeRequest(admitted.request(), upstream, forwarding, reuse);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeOutcome.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeOutcome.java
@@ -9,7 +9,7 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLog;
 
-/** The answer of one request, and the lines and counts that tell how it came about. */
+/** Sends the answer of one request and writes its log line and metrics. */
 final class ExchangeOutcome {
 
   private static final long MIN_RETRY_AFTER_MILLIS = 300;
@@ -54,14 +54,17 @@
     return finished;
   }
 
-  /** Notes when asking again may help; spread, so that callers do not come back all at once. */
+  /**
+   * Sets the retry delay of a refusal, with random jitter so that callers do not retry at the same
+   * time.
+   */
   void setJitteredRetryAfter(long millis) {
-    double spread = 1 + RETRY_JITTER * ThreadLocalRandom.current().nextDouble();
-    long later = (long) (Math.min(millis, MAX_RETRY_AFTER_MILLIS) * spread);
-    retryAfterMillis = Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(later, MAX_RETRY_AFTER_MILLIS));
+    double jitter = 1 + RETRY_JITTER * ThreadLocalRandom.current().nextDouble();
+    long jittered = (long) (Math.min(millis, MAX_RETRY_AFTER_MILLIS) * jitter);
+    retryAfterMillis = Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(jittered, MAX_RETRY_AFTER_MILLIS));
   }
 
-  /** Notes when asking again may help of a request that is held back for a long time. */
+  /** Sets the retry delay of a refusal without bounds and jitter. */
   void setRetryAfter(long millis) {
     retryAfterMillis = millis;
   }
@@ -70,8 +73,8 @@
     stagesMillis = clock.elapsedMillis();
   }
 
-  void attemptSent(UpstreamRecord upstream, int number) {
-    attemptTrace.append(number > 1 ? " > " : "").append(upstream.id()).append('@');
+  void attemptSent(UpstreamRecord upstream, int attemptNumber) {
+    attemptTrace.append(attemptNumber > 1 ? " > " : "").append(upstream.id()).append('@');
     attemptTrace.append(clock.elapsedMillis());
   }
 
@@ -109,11 +112,11 @@
     finish("caller-gone", 0);
   }
 
-  void refuse(Refusal refusal, String why, boolean streaming) {
+  void refuse(Refusal refusal, String reason, boolean streaming) {
     if (finished) {
       return;
     }
-    attemptTrace.append(" (").append(why).append(')');
+    attemptTrace.append(" (").append(reason).append(')');
     finish(refusal.name().toLowerCase(Locale.ROOT), refusal.status());
     if (streaming) {
       response.abort();
@@ -122,17 +125,19 @@
     }
   }
 
-  private void finish(String name, int status) {
+  private void finish(String outcome, int status) {
     finished = true;
-    services.metrics().requestEnded(route.repeatability(), name, clock.elapsedMillis());
-    boolean well = status >= 200 && status < 300;
+    services.metrics().requestEnded(route.repeatability(), outcome, clock.elapsedMillis());
+    boolean successful = status >= 200 && status < 300;
     EventLog.Event event =
-        well ? services.events().step("request-ended") : services.events().problem("request-ended");
+        successful
+            ? services.events().step("request-ended")
+            : services.events().problem("request-ended");
     event
         .with("request", request.id())
         .with("route", route.name())
         .with("revision", admitted.deployment().revision())
-        .with("outcome", name)
+        .with("outcome", outcome)
         .with("status", status)
         .with("ms", clock.elapsedMillis())
         .with("left-ms", clock.remainingMillis())
@@ -146,14 +151,14 @@
         .write();
   }
 
-  private void logProblem(String name, UpstreamRecord upstream, String why) {
+  private void logProblem(String name, UpstreamRecord upstream, String reason) {
     services
         .events()
         .problem(name)
         .with("request", request.id())
         .with("upstream", upstream.id())
         .with("service", upstream.service())
-        .with("why", why)
+        .with("why", reason)
         .with("left-ms", clock.remainingMillis())
         .write();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeTimers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeTimers.java
@@ -5,7 +5,10 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** What ends a request that takes too long, and an attempt that is silent. Confined to the loop. */
+/**
+ * Timers of one request: its timeout and the watchdog of its current attempt. Confined to the event
+ * loop.
+ */
 final class ExchangeTimers {
 
   private final EventLoop loop;
@@ -19,21 +22,24 @@
     this.clock = clock;
   }
 
-  /** Runs an action once the time of the request is up. */
+  /** Starts the timeout. */
   void start(Runnable action) {
     onTimeout = action;
     timeout = loop.schedule(action, clock.remainingMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Does what is due by the true time, as timers do not count suspended time. */
+  /**
+   * Runs the timeout action if the time has elapsed; timers do not count time during which the
+   * machine was suspended.
+   */
   void expireOverdue() {
     if (clock.remainingMillis() == 0) {
       onTimeout.run();
     }
   }
 
-  void setWatchdog(AttemptWatchdog started) {
-    watchdog = started;
+  void setWatchdog(AttemptWatchdog newWatchdog) {
+    watchdog = newWatchdog;
   }
 
   void stopWatchdog() {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/FirstEventTimes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/FirstEventTimes.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * How long upstreams usually take from a request to the first event of its answer, by route.
+ * Moving average of the time from sending a request to the first event of its answer, by route.
  * Confined to the event loop.
  */
 final class FirstEventTimes {
@@ -14,12 +14,11 @@
 
   private final Map<String, Double> meanMillisByRoute = new HashMap<>();
 
-  /** Takes a measurement in. */
   void observe(String route, double millis) {
     meanMillisByRoute.merge(route, millis, (mean, latest) -> mean + SMOOTHING * (latest - mean));
   }
 
-  /** Returns the usual time in milliseconds, a guess where none was measured. */
+  /** Returns the average in milliseconds, or a default if there is no measurement. */
   double meanMillis(String route) {
     return meanMillisByRoute.getOrDefault(route, INITIAL_MILLIS);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ForwardedStream.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ForwardedStream.java
@@ -2,39 +2,38 @@
 
 import java.util.Optional;
 
-/** How far the stream of one answer was passed on to the caller. Confined to the event loop. */
+/** Tracks how much of a stream was forwarded to the caller. Confined to the event loop. */
 final class ForwardedStream {
 
   private Optional<String> lastEventId;
   private boolean started;
 
   /**
-   * Creates one that has not begun.
+   * Creates a stream of which nothing was forwarded.
    *
-   * @param resumeAfter the event after which the caller wants the stream to begin
+   * @param resumeAfter id of the event after which the caller resumes the stream
    */
   ForwardedStream(Optional<String> resumeAfter) {
     this.lastEventId = resumeAfter;
   }
 
-  /** Notes that events are passed on; returns whether they are the first. */
+  /** Marks the stream as started; returns whether it was not started before. */
   boolean start() {
     boolean first = !started;
     started = true;
     return first;
   }
 
-  /** Returns whether the caller has got any of it. */
   boolean isStarted() {
     return started;
   }
 
-  /** Notes the id of the last event, where it had one. */
+  /** Records the id of the last forwarded event, if it has one. */
   void recordLastEventId(Optional<String> id) {
     lastEventId = id.or(() -> lastEventId);
   }
 
-  /** Returns the id of the event after which another upstream is to go on. */
+  /** Returns the id of the event after which another upstream must resume. */
   Optional<String> lastEventId() {
     return lastEventId;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ForwardingContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ForwardingContext.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * What an upstream is told of a request besides what the caller sent.
+ * Metadata that is sent to an upstream along with the caller's request.
  *
- * @param remainingMillis time left for it
+ * @param remainingMillis time left until the request times out
  * @param account name of the client account
- * @param priority 0 is the most urgent
- * @param inputHandles results of the stages that come before
- * @param lastEventId id of the last event that was passed on
+ * @param priority 0 is the highest
+ * @param inputHandles handles of the stage results that the request uses
+ * @param lastEventId id of the last event that was forwarded to the caller
  * @since 0.2
  */
 public record ForwardingContext(
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/InputReleasePolicy.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/InputReleasePolicy.java
@@ -7,20 +7,19 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * When results that requests take as inputs are given up at the upstreams that keep them: a moment
- * after a request was sent, since an upstream fetches the inputs before it does anything else. Room
- * for results is what binds stage work under load, and until the first event of an answer it would
- * be taken for another 180 ms (median) to 450 ms (90th percentile).
+ * Decides when the stage results that a request uses as inputs are released at the upstreams that
+ * store them: shortly after the request was sent, since an upstream fetches its inputs first and
+ * memory for results limits the throughput of stages.
  *
- * <p>An upstream that says that inputs were gone proves the guess wrong; then inputs are kept until
- * the first event for a while. Confined to the event loop.
+ * <p>If an upstream reports missing inputs, they are kept until the first event of the answer for a
+ * while. Confined to the event loop.
  */
 final class InputReleasePolicy {
 
-  /** Ten times what a call's inputs of some 5 MB need over a link of 10,000 Mbit/s, and a hop. */
+  /** Time in which an upstream has fetched its inputs, with a margin. */
   private static final long FETCH_MILLIS = 80;
 
-  /** About the length of a burst, in which a busy upstream lets requests wait. */
+  /** Time during which inputs are kept after some were released too early. */
   private static final long SUSPENSION_MILLIS = 5_000;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -34,20 +33,20 @@
     this.clock = clock;
   }
 
-  /** Runs an action once an upstream of a service that was sent a request has its inputs. */
-  void scheduleRelease(String service, Runnable action) {
+  /** Schedules the release of the inputs of a request that was sent to the service. */
+  void scheduleRelease(String service, Runnable release) {
     if (!isSuspended(service)) {
-      loop.schedule(action, FETCH_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(release, FETCH_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Notes that an upstream of a service did not find the inputs of a request any more. */
+  /** Suspends early release because an upstream of the service has not found its inputs. */
   void suspendEarlyRelease(String service) {
     suspendedUntilNanos.put(service, clock.nanos() + SUSPENSION_MILLIS * NANOS_PER_MILLI);
   }
 
   private boolean isSuspended(String service) {
-    Long until = suspendedUntilNanos.get(service);
-    return until != null && until - clock.nanos() > 0;
+    Long untilNanos = suspendedUntilNanos.get(service);
+    return untilNanos != null && untilNanos - clock.nanos() > 0;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/PromptPart.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/PromptPart.java
@@ -1,10 +1,10 @@
 package org.gradeledge.relay;
 
 /**
- * A part of a prompt that other requests may share.
+ * A part of a prompt that several requests may share.
  *
- * @param id the same for the same part
- * @param tokens its length
+ * @param id identifies the content of the part
+ * @param tokens length in tokens
  * @since 0.2
  */
 public record PromptPart(String id, long tokens) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ReactorCallerResponse.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ReactorCallerResponse.java
@@ -13,7 +13,7 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Hands the answer of an exchange to Reactor Netty. Confined to the event loop. */
+/** Publishes the answer of a request to Reactor Netty. Confined to the event loop. */
 final class ReactorCallerResponse implements CallerResponse {
 
   private static final List<CharSequence> HOP_BY_HOP_HEADERS =
@@ -30,7 +30,7 @@
   private final Sinks.One<RelayAnswer> answer = Sinks.one();
   private final Sinks.Many<ByteBuf> eventSink = Sinks.many().unicast().onBackpressureBuffer();
 
-  /** Returns the answer, once it has begun. */
+  /** Returns the answer; it is emitted when its head is available. */
   Mono<RelayAnswer> answer() {
     return answer.asMono();
   }
@@ -41,16 +41,19 @@
     if (refusal.notRun()) {
       headers.set(HttpHeaderNames.RETRY_AFTER, formatSeconds(Math.max(0, retryAfterMillis)));
     }
-    ByteBuf words = Unpooled.copiedBuffer(refusal.explanation(), StandardCharsets.UTF_8);
-    headers.set(HttpHeaderNames.CONTENT_LENGTH, words.readableBytes());
-    if (words.isReadable()) {
+    ByteBuf explanation = Unpooled.copiedBuffer(refusal.explanation(), StandardCharsets.UTF_8);
+    headers.set(HttpHeaderNames.CONTENT_LENGTH, explanation.readableBytes());
+    if (explanation.isReadable()) {
       headers.set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
     }
-    Flux<ByteBuf> body = words.isReadable() ? Flux.just(words) : Flux.empty();
+    Flux<ByteBuf> body = explanation.isReadable() ? Flux.just(explanation) : Flux.empty();
     answer.tryEmitValue(new RelayAnswer(refusal.status(), headers, body, false));
   }
 
-  /** Returns seconds with all three decimals, put together by hand: a formatter is slow to load. */
+  /**
+   * Formats milliseconds as seconds with three decimals, without a formatter, which is slow to
+   * load.
+   */
   static String formatSeconds(long millis) {
     String decimals = String.valueOf(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND).substring(1);
     return millis / MILLIS_PER_SECOND + "." + decimals;
@@ -58,10 +61,10 @@
 
   @Override
   public void answer(int status, HttpHeaders headers, ByteBuf body) {
-    HttpHeaders passedOn = endToEndHeaders(headers);
-    passedOn.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+    HttpHeaders forwarded = endToEndHeaders(headers);
+    forwarded.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     Flux<ByteBuf> content = body.isReadable() ? Flux.just(body) : Flux.empty();
-    answer.tryEmitValue(new RelayAnswer(status, passedOn, content, false));
+    answer.tryEmitValue(new RelayAnswer(status, forwarded, content, false));
   }
 
   @Override
@@ -84,12 +87,12 @@
 
   @Override
   public void abort() {
-    eventSink.tryEmitError(new IOException("the upstream broke the stream off"));
+    eventSink.tryEmitError(new IOException("upstream closed the stream before its end"));
   }
 
   private static HttpHeaders endToEndHeaders(HttpHeaders headers) {
-    HttpHeaders passedOn = new DefaultHttpHeaders().set(headers);
-    HOP_BY_HOP_HEADERS.forEach(passedOn::remove);
-    return passedOn;
+    HttpHeaders forwarded = new DefaultHttpHeaders().set(headers);
+    HOP_BY_HOP_HEADERS.forEach(forwarded::remove);
+    return forwarded;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/Refusal.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/Refusal.java
@@ -1,44 +1,44 @@
 package org.gradeledge.relay;
 
 /**
- * Why the box itself ends a request, and what it tells the caller.
+ * Reasons why the box answers a request with an error itself.
  *
- * <p>A status of 503 or 429 promises that the request has not run and never will; 502 and 504
- * promise nothing.
+ * <p>The status codes 503 and 429 guarantee that the request has not run and will not run; 502 and
+ * 504 guarantee nothing.
  *
  * @since 0.2
  */
 public enum Refusal {
-  /** The box knows no configuration yet. */
+  /** The box has no configuration yet. */
   NO_CONFIGURATION(503, true),
-  /** No route takes the request. */
+  /** No route matches the request. */
   NO_ROUTE(404, false),
-  /** The route needs a key, and the request has none that is known. */
+  /** The route requires a key, and the request has no valid one. */
   UNKNOWN_KEY(401, false),
-  /** The request cannot be understood. */
+  /** The request is malformed. */
   BAD_REQUEST(400, false),
-  /** The body is over the bound. */
+  /** The body exceeds the size limit. */
   BODY_TOO_LARGE(413, false),
   /** The box is stopping. */
   STOPPING(503, true),
-  /** No upstream of the service takes new work. */
+  /** No upstream of the service accepts new requests. */
   NO_UPSTREAM(503, true),
-  /** All upstreams that were asked said that they did not run it. */
+  /** All upstreams that were tried rejected the request. */
   UPSTREAMS_FULL(503, true),
-  /** What the upstreams say they take now is used up, and more comes too late. */
+  /** No upstream accepts the request before its target time. */
   UPSTREAMS_LIMITED(503, true),
-  /** The stages before cannot be done in the time left, or failed. */
+  /** The stage work failed or cannot be completed in time. */
   STAGES_FAILED(503, true),
-  /** Each upstream that ran it ended, so that it is held back. */
+  /** The request is quarantined because upstreams crashed while serving it. */
   QUARANTINED(
       503,
       "Each upstream that began to run this request ended. It was not run now, and repeating it"
           + " does not help.\n"),
-  /** The time is up, and the request has not run. */
+  /** The request timed out before it was sent. */
   LATE_NOT_RUN(503, true),
-  /** The time is up while an upstream was at work. */
+  /** The request timed out after it was sent. */
   LATE(504, false),
-  /** An upstream broke off; it may have run the request. */
+  /** The connection to the upstream was lost; the request may have run. */
   BROKEN(502, false);
 
   private final int status;
@@ -49,7 +49,7 @@
     this(status, notRun, "");
   }
 
-  /** One that promises that the request has not run, and says why in words. */
+  /** Creates a refusal that guarantees that the request has not run and explains why. */
   Refusal(int status, String explanation) {
     this(status, true, explanation);
   }
@@ -60,17 +60,19 @@
     this.explanation = explanation;
   }
 
-  /** Returns the status of the answer. */
+  /** Returns the HTTP status code. */
   public int status() {
     return status;
   }
 
-  /** Returns whether the answer promises that the request has not run; asking again may help. */
+  /**
+   * Returns whether the answer guarantees that the request has not run, so that a retry is safe.
+   */
   public boolean notRun() {
     return notRun;
   }
 
-  /** Returns what the caller is told in words; empty where the status says it all. */
+  /** Returns the text of the answer; empty if the status code suffices. */
   public String explanation() {
     return explanation;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
@@ -195,11 +195,11 @@
     }
   }
 
-  private void retry(String why, Refusal refusal, boolean spendsRetry) {
+  private void retry(String reason, Refusal refusal, boolean spendsRetry) {
     if (history.isExhausted()) {
-      fail(refusal, why);
+      fail(refusal, reason);
     } else if (spendsRetry && !context.trySpendRetry()) {
-      fail(refusal, why + ", retry budget spent");
+      fail(refusal, reason + ", retry budget spent");
     } else {
       dispatch();
     }
@@ -252,7 +252,6 @@
     }
   }
 
-  /** Refuses the request with {@link Refusal#STOPPING} if it has not been sent. */
   void refuseUnsent() {
     if (attempt == null && !outcome.isFinished()) {
       finish(Refusal.STOPPING, "not sent before the stop");
@@ -260,14 +259,14 @@
   }
 
   /** Ends the request; reports {@link Refusal#BROKEN} if an upstream may have run it. */
-  private void fail(Refusal refusal, String why) {
+  private void fail(Refusal refusal, String reason) {
     dispatcher.recordRetryAfter(refusal);
-    finish(history.hasPossiblyRun() && refusal.notRun() ? Refusal.BROKEN : refusal, why);
+    finish(history.hasPossiblyRun() && refusal.notRun() ? Refusal.BROKEN : refusal, reason);
   }
 
-  private void finish(Refusal refusal, String why) {
+  private void finish(Refusal refusal, String reason) {
     release();
-    outcome.refuse(refusal, why, stream.isStarted());
+    outcome.refuse(refusal, reason, stream.isStarted());
   }
 
   private void release() {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayHandler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayHandler.java
@@ -9,18 +9,18 @@
 import org.gradeledge.deployment.RouteDefinition;
 
 /**
- * Admits requests: finds the route and the account, and starts the exchange. Confined to the event
- * loop.
+ * Admits requests: finds the route and the client account and starts the exchange. Confined to the
+ * event loop.
  *
  * @since 0.2
  */
 public final class RelayHandler {
 
-  /** A request that is under way, as its connection sees it. */
+  /** A request in flight, as seen by its connection. */
   @FunctionalInterface
   public interface ActiveRequest {
 
-    /** The caller has closed its connection. */
+    /** Called when the caller has closed its connection. */
     void callerDisconnected();
   }
 
@@ -47,17 +47,17 @@
     stopping = true;
   }
 
-  /** Refuses the requests under way that no upstream has got yet. */
+  /** Refuses the requests in flight that have not been sent to an upstream. */
   public void refuseUnsent() {
     List.copyOf(inFlight).forEach(RelayExchange::refuseUnsent);
   }
 
-  /** Gives up the requests whose time passed while the machine was suspended. */
+  /** Fails the requests that timed out while the machine was suspended. */
   public void expireOverdue() {
     List.copyOf(inFlight).forEach(RelayExchange::expireOverdue);
   }
 
-  /** Takes a request; the response is called on the event loop, also before this returns. */
+  /** Processes a request. Calls the response on the event loop, possibly before returning. */
   public ActiveRequest handle(RelayRequest request, CallerResponse response) {
     Optional<Deployment> deployment = services.deployments().current();
     if (deployment.isEmpty()) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayMetrics.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayMetrics.java
@@ -14,7 +14,7 @@
 import org.gradeledge.deployment.Repeatability;
 
 /**
- * What a box counts of the requests that it relays. Times are in seconds. Thread-safe.
+ * Metrics of relayed requests. Times are in seconds. Thread-safe.
  *
  * @since 0.2
  */
@@ -71,12 +71,12 @@
           .register(registry);
 
   /**
-   * Shows limits that upstreams name.
+   * Registers metrics of limits that upstreams announce.
    *
-   * @param limited how many name one now
-   * @param heldOff how often one was passed over so far, as nothing more may be sent there
+   * @param limited number of upstreams with a limit
+   * @param skipped how often an upstream was skipped because of its limit
    */
-  public void registerLimits(LongSupplier limited, LongSupplier heldOff) {
+  public void registerLimits(LongSupplier limited, LongSupplier skipped) {
     GaugeWithCallback.builder()
         .name("gradeledge_upstreams_limited")
         .help("Upstreams that name a limit of requests now")
@@ -85,18 +85,19 @@
     CounterWithCallback.builder()
         .name("gradeledge_upstreams_held_off_total")
         .help("Times that a limited upstream was passed over, as it takes no more now")
-        .callback(counter -> counter.call(heldOff.getAsLong()))
+        .callback(counter -> counter.call(skipped.getAsLong()))
         .register(registry);
   }
 
   /**
-   * Shows what upstreams say of themselves in their answers.
+   * Registers metrics of signals in the answers of upstreams.
    *
-   * @param leaving how many have said so to this box, are still listed, and not as leaving
-   * @param backingOff how many want nothing from this box now
-   * @param heldOff how often one was passed over so far, as it wants nothing for a while
+   * @param leaving number of upstreams that announced to this box that they are leaving and are not
+   *     listed as leaving
+   * @param backingOff number of upstreams that are backing off
+   * @param skipped how often an upstream was skipped because it was backing off
    */
-  public void registerSignals(LongSupplier leaving, LongSupplier backingOff, LongSupplier heldOff) {
+  public void registerSignals(LongSupplier leaving, LongSupplier backingOff, LongSupplier skipped) {
     GaugeWithCallback.builder()
         .name("gradeledge_upstreams_announced_leaving")
         .help("Upstreams that told this box that they leave while the list does not say so")
@@ -110,32 +111,32 @@
     CounterWithCallback.builder()
         .name("gradeledge_upstreams_backoff_held_off_total")
         .help("Times that an upstream was passed over, as it wants nothing for a while")
-        .callback(counter -> counter.call(heldOff.getAsLong()))
+        .callback(counter -> counter.call(skipped.getAsLong()))
         .register(registry);
   }
 
-  /** Counts that the machine was suspended. */
+  /** Counts a suspension of the machine. */
   public void suspended() {
     suspensions.inc();
   }
 
-  /** Counts a row of the list of upstreams that names none. */
+  /** Counts a row of the list of upstreams that cannot be read. */
   public void unreadableRow() {
     unreadableRows.inc();
   }
 
-  /** Counts a request that ended. */
+  /** Counts a request that has ended. */
   public void requestEnded(Repeatability kind, String outcome, long millis) {
     requests.labelValues(name(kind), outcome).inc();
     seconds.labelValues(name(kind)).observe(millis / 1e3);
   }
 
-  /** Counts the stage work of a request. */
+  /** Records the duration of the stage work of a request. */
   public void stagesCompleted(Repeatability kind, long millis) {
     stageSeconds.labelValues(name(kind)).observe(millis / 1e3);
   }
 
-  /** Counts what came of a request that was sent to an upstream. */
+  /** Counts an attempt by its result. */
   public void attemptEnded(String result) {
     attempts.labelValues(result).inc();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayProtocol.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayProtocol.java
@@ -8,19 +8,22 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /**
- * How relayed requests and answers look on the wire.
+ * Encodes and decodes relayed requests and answers.
  *
  * @since 0.2
  */
 public interface RelayProtocol {
 
-  /** Returns a caller's request, or what is wrong with it. */
+  /** Returns a caller's request, or why it is malformed. */
   Either<String, RelayRequest> read(HttpServerRequest request, byte[] body);
 
-  /** Returns the request as it goes to an upstream. */
+  /** Encodes a request for an upstream. */
   OutgoingRequest encodeRequest(
-      RelayRequest request, UpstreamRecord target, ForwardingContext facts, ConnectionReuse reuse);
+      RelayRequest request,
+      UpstreamRecord target,
+      ForwardingContext forwarding,
+      ConnectionReuse reuse);
 
-  /** Returns what the head of an answer tells. */
+  /** Returns the signals in the head of an answer. */
   AnswerSignals readAnswer(int status, HttpHeaders headers);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayRequest.java
@@ -6,22 +6,22 @@
 import java.util.Optional;
 
 /**
- * A caller's request, with what the relay needs to know of it.
+ * A caller's request.
  *
- * @param id its id; empty text where the caller gave none
- * @param method method, unchanged
+ * @param id request id; empty if the caller sent none
+ * @param method HTTP method
  * @param uri path and query, unchanged
  * @param path path without the query
- * @param host host that the caller named
- * @param headers all headers as they came
- * @param body the whole body
- * @param deadlineMillis how long the caller waits, where it says so
+ * @param host requested host
+ * @param headers all headers, unchanged
+ * @param body the complete body
+ * @param deadlineMillis how long the caller waits, if it sent a deadline
  * @param accountKey key of a client account
- * @param lastEventId id of the last event that the caller has of a stream
+ * @param lastEventId id of the last event of a stream that the caller has received
  * @param promptParts parts of the prompt, shared ones first
- * @param maxTokens tokens of the prompt and of the longest answer together
- * @param pieceCounts pieces of each stage
- * @param pieceKey what the first stages work from
+ * @param maxTokens total tokens of the prompt and of the longest possible answer
+ * @param pieceCounts number of pieces by stage
+ * @param pieceKey key of the input of the first stages
  * @since 0.2
  */
 public record RelayRequest(
@@ -40,14 +40,14 @@
     List<Integer> pieceCounts,
     Optional<String> pieceKey) {
 
-  /** Returns the id of the last part of the prompt that other requests share. */
+  /** Returns the id of the last shared part of the prompt. */
   public Optional<String> sharedPartId() {
     return promptParts.size() < 2
         ? Optional.empty()
         : Optional.of(promptParts.get(promptParts.size() - 2).id());
   }
 
-  /** Returns the tokens of the prompt that other requests share. */
+  /** Returns the number of tokens in the shared parts of the prompt. */
   public long sharedTokens() {
     return promptParts.stream()
         .limit(Math.max(0, promptParts.size() - 1))
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServer.java
@@ -22,7 +22,7 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * Listens for callers over HTTP/1.1. Confined to the event loop.
+ * HTTP/1.1 server for callers. Confined to the event loop.
  *
  * @since 0.2
  */
@@ -43,7 +43,7 @@
   private int activeRequests;
   private boolean closeConnections;
 
-  /** Creates the server; it does not listen yet. */
+  /** Creates the server without starting it. */
   public RelayServer(RelayHandler handler, RelayServices services, LoopResources loops) {
     this.handler = handler;
     this.protocol = services.protocol();
@@ -52,7 +52,7 @@
     this.connections = new DefaultChannelGroup(services.eventLoop());
   }
 
-  /** Starts to listen. */
+  /** Binds the server to an address. */
   public Mono<? extends DisposableServer> listen(InetSocketAddress address) {
     return HttpServer.create()
         .runOn(loops, false)
@@ -66,17 +66,17 @@
         .bind();
   }
 
-  /** Returns how many requests are under way. */
+  /** Returns the number of requests in flight. */
   public int activeRequests() {
     return activeRequests;
   }
 
-  /** Tells callers with each answer from now on that their connection is closed. */
+  /** Closes each connection after its next answer from now on. */
   public void closeAfterAnswers() {
     closeConnections = true;
   }
 
-  /** Closes the connections on which no request is under way. */
+  /** Closes the connections that have no request in flight. */
   public void closeIdle() {
     connections.stream()
         .filter(channel -> !Boolean.TRUE.equals(channel.attr(PROCESSING).get()))
@@ -114,17 +114,17 @@
             .orElse(DEFAULT_MAX_BODY_BYTES);
     return request
         .receive()
-        .collect(ByteArrayOutputStream::new, (gathered, part) -> appendPart(gathered, part, limit))
+        .collect(ByteArrayOutputStream::new, (buffer, part) -> appendPart(buffer, part, limit))
         .map(ByteArrayOutputStream::toByteArray);
   }
 
-  private static void appendPart(ByteArrayOutputStream gathered, ByteBuf part, long limit) {
-    if (gathered.size() + part.readableBytes() > limit) {
+  private static void appendPart(ByteArrayOutputStream buffer, ByteBuf part, long limit) {
+    if (buffer.size() + part.readableBytes() > limit) {
       throw new BodyTooLargeException();
     }
     byte[] bytes = new byte[part.readableBytes()];
     part.readBytes(bytes);
-    gathered.writeBytes(bytes);
+    buffer.writeBytes(bytes);
   }
 
   private Mono<RelayAnswer> relay(HttpServerRequest request, byte[] bytes) {
@@ -133,7 +133,9 @@
           ReactorCallerResponse response = new ReactorCallerResponse();
           return protocol
               .read(request, bytes)
-              .fold(why -> rejectUnreadable(response), read -> relay(read, response));
+              .fold(
+                  error -> rejectUnreadable(response),
+                  relayRequest -> relay(relayRequest, response));
         });
   }
 
@@ -143,16 +145,16 @@
   }
 
   private Mono<RelayAnswer> relay(RelayRequest request, ReactorCallerResponse response) {
-    RelayHandler.ActiveRequest running = handler.handle(request, response);
+    RelayHandler.ActiveRequest activeRequest = handler.handle(request, response);
     return response
         .answer()
-        .doOnCancel(running::callerDisconnected)
-        .map(answer -> withDisconnectHandler(answer, running));
+        .doOnCancel(activeRequest::callerDisconnected)
+        .map(answer -> withDisconnectHandler(answer, activeRequest));
   }
 
   private static RelayAnswer withDisconnectHandler(
-      RelayAnswer answer, RelayHandler.ActiveRequest running) {
-    Flux<ByteBuf> body = answer.body().doOnCancel(running::callerDisconnected);
+      RelayAnswer answer, RelayHandler.ActiveRequest activeRequest) {
+    Flux<ByteBuf> body = answer.body().doOnCancel(activeRequest::callerDisconnected);
     return new RelayAnswer(answer.status(), answer.headers(), body, answer.streaming());
   }
 
@@ -175,7 +177,7 @@
     return response.send(answer.body()).then();
   }
 
-  /** The body is over the bound. */
+  /** Thrown when a body exceeds the size limit. */
   private static final class BodyTooLargeException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
@@ -16,25 +16,25 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * What all requests of a box share.
+ * Services shared by all requests of a box.
  *
  * @param zone availability zone of the box
- * @param eventLoop where all of it happens
+ * @param eventLoop event loop that processes all requests
  * @param clock monotonic clock
- * @param deployments configuration in force
- * @param upstreams upstreams that are known
- * @param loads their load and health
- * @param chooser chooses among them
- * @param sendingRule tells which of them takes one more request of this box now
- * @param retryBudget what may be sent again
- * @param upstreamCaller sends requests to them
- * @param crashDetector tells whether one that broke a call off has ended
- * @param quarantine holds back requests that end upstreams
- * @param trials tells when one that is held back is tried once more
- * @param protocol how requests look on the wire
- * @param stageWorkClient has stage work done
- * @param metrics counts
- * @param events log
+ * @param deployments current configuration
+ * @param upstreams registered upstreams
+ * @param loads load and health of upstreams
+ * @param chooser chooses an upstream for a request
+ * @param sendingRule decides whether an upstream accepts one more request of this box
+ * @param retryBudget limits retries
+ * @param upstreamCaller sends requests to upstreams
+ * @param crashDetector checks whether an upstream has crashed after a lost connection
+ * @param quarantine requests that crash upstreams
+ * @param trials grants trials of quarantined requests
+ * @param protocol wire format of requests and answers
+ * @param stageWorkClient submits stage work
+ * @param metrics metrics of relayed requests
+ * @param events event log
  * @since 0.2
  */
 public record RelayServices(
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestClock.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestClock.java
@@ -2,7 +2,7 @@
 
 import org.gradeledge.time.MonotonicClock;
 
-/** The times of one request, on the box's monotonic clock. */
+/** Measures the elapsed and remaining time of one request. */
 final class RequestClock {
 
   private final MonotonicClock clock;
@@ -11,10 +11,10 @@
   private final long targetMillis;
 
   /**
-   * Starts now.
+   * Starts the clock.
    *
-   * @param limitMillis after this the request is worth nothing
-   * @param targetMillis until then the answer earns its full worth
+   * @param timeoutMillis time after which the request fails
+   * @param targetMillis time within which the answer should be complete
    */
   RequestClock(MonotonicClock clock, long limitMillis, long targetMillis) {
     this.clock = clock;
@@ -31,13 +31,16 @@
     return Math.max(0, timeoutMillis - elapsedMillis());
   }
 
-  /** Returns the time left until a part of all the time is used, the whole rest once it is. */
-  long remainingMillisOfShare(double part) {
-    long left = (long) (timeoutMillis * part) - elapsedMillis();
-    return left > 0 ? left : remainingMillis();
+  /**
+   * Returns the time left until a share of the timeout has elapsed, or all remaining time once it
+   * has.
+   */
+  long remainingMillisOfShare(double share) {
+    long remaining = (long) (timeoutMillis * share) - elapsedMillis();
+    return remaining > 0 ? remaining : remainingMillis();
   }
 
-  /** Returns the time left until the answer comes late, negative once it is. */
+  /** Returns the time left until the target time, negative after it. */
   long targetRemainingMillis() {
     return targetMillis - elapsedMillis();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestDispatcher.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestDispatcher.java
@@ -6,13 +6,15 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * When one request may be sent to an upstream. Where all that it may go to name limits, it waits
- * for its turn as long as its answer can still be in time, and is refused at once otherwise.
+ * Chooses an upstream for one request. If all candidates are limited, the request waits in the
+ * {@link DispatchQueue} while its answer can still meet the target time, and is refused otherwise.
  * Confined to the event loop.
  */
 final class RequestDispatcher {
 
-  /** What waits leaves the rest of its time for the answer. */
+  /**
+   * Share of the remaining target time that a request may wait; the rest is left for the answer.
+   */
   private static final double MAX_WAIT_SHARE_OF_TARGET = 0.5;
 
   private final DispatchQueue queue;
@@ -31,32 +33,37 @@
     this.outcome = parts.outcome();
   }
 
-  /** The request is over. */
+  /** Removes the request from the queue. */
   void leaveQueue() {
     queue.remove(queued);
   }
 
-  /** Hands on the upstream to be tried, or why there is none; neither while the request waits. */
+  /**
+   * Passes the chosen upstream to {@code send}, or the reason why there is none to {@code refuse};
+   * calls neither while the request waits.
+   */
   void chooseUpstream(Consumer<UpstreamRecord> send, Consumer<Refusal> refuse) {
-    Optional<UpstreamRecord> next =
+    Optional<UpstreamRecord> upstream =
         isReservedForOthers() ? Optional.empty() : candidates.chooseNext();
-    if (next.isPresent()) {
+    if (upstream.isPresent()) {
       queue.remove(queued);
-      send.accept(next.get());
+      send.accept(upstream.get());
     } else if (!tryWait()) {
       refuse.accept(candidates.refusal());
     }
   }
 
-  /** Returns whether other requests that wait take what the upstreams still take now. */
+  /**
+   * Returns whether the waiting requests ahead of this one use up what the upstreams accept now.
+   */
   private boolean isReservedForOthers() {
-    long ahead = queue.countWaitingAhead(queued);
-    return ahead > 0 && candidates.millisUntilNext(ahead).orElse(0) > 0;
+    long waitingAhead = queue.countWaitingAhead(queued);
+    return waitingAhead > 0 && candidates.millisUntilNext(waitingAhead).orElse(0) > 0;
   }
 
   /**
-   * Puts the request, which will want an upstream once its stage work is done, into the queue;
-   * returns whether none takes it before its answer is late.
+   * Adds the request to the queue before its stage work starts; returns whether no upstream would
+   * accept it within its target time.
    */
   boolean enqueueAndCheckLate() {
     queue.add(queued);
@@ -65,18 +72,18 @@
 
   private boolean tryWait() {
     queue.add(queued);
-    boolean waits =
+    boolean mustWait =
         candidates.refusal() == Refusal.UPSTREAMS_LIMITED
             && !waitExceeds(clock.targetRemainingMillis() * MAX_WAIT_SHARE_OF_TARGET);
-    if (waits) {
+    if (mustWait) {
       queue.addWaiting(queued);
     }
-    return waits;
+    return mustWait;
   }
 
   /**
-   * Notes when asking again may help, where the request ends as all that were asked are full: not
-   * before one of the service takes any request of this box.
+   * Records when a retry may succeed if all upstreams have rejected the request: once one of the
+   * service accepts requests of this box again.
    */
   void recordRetryAfter(Refusal refusal) {
     if (refusal == Refusal.UPSTREAMS_FULL) {
@@ -84,12 +91,12 @@
     }
   }
 
-  private boolean waitExceeds(double mostMillis) {
-    OptionalDouble wait = candidates.millisUntilNext(queue.countAhead(queued));
-    if (wait.isEmpty() || wait.getAsDouble() <= mostMillis) {
+  private boolean waitExceeds(double maxMillis) {
+    OptionalDouble waitMillis = candidates.millisUntilNext(queue.countAhead(queued));
+    if (waitMillis.isEmpty() || waitMillis.getAsDouble() <= maxMillis) {
       return false;
     }
-    outcome.setJitteredRetryAfter((long) wait.getAsDouble());
+    outcome.setJitteredRetryAfter((long) waitMillis.getAsDouble());
     return true;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestInputs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestInputs.java
@@ -4,8 +4,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The results of its stages that a request takes to its upstream, and when they are given up.
- * Confined to the event loop.
+ * The stage results that one request uses as inputs, and their release. Confined to the event loop.
  */
 final class RequestInputs {
 
@@ -21,34 +20,37 @@
     this.releasePolicy = release;
   }
 
-  /** Notes where the results lie. */
-  void setHandles(List<String> results) {
-    handles = results;
+  /** Sets the handles of the results. */
+  void setHandles(List<String> newHandles) {
+    handles = newHandles;
   }
 
   List<String> handles() {
     return handles;
   }
 
-  /** Notes that an upstream has the request, and gives the inputs up once it has fetched them. */
-  void scheduleRelease(BooleanSupplier stillUnderWay) {
+  /** Schedules the release of the inputs after the request was sent. */
+  void scheduleRelease(BooleanSupplier stillInFlight) {
     if (handles.isEmpty()) {
       return;
     }
     releasePolicy.scheduleRelease(
         service,
         () -> {
-          if (stillUnderWay.getAsBoolean()) {
+          if (stillInFlight.getAsBoolean()) {
             stagePlan.releaseAll();
           }
         });
   }
 
-  /** Notes that an upstream did not find them; returns whether they may be made again, once. */
+  /**
+   * Records that an upstream has not found the inputs; returns whether they may be computed again,
+   * which is allowed once.
+   */
   boolean recordMissing() {
     releasePolicy.suspendEarlyRelease(service);
-    boolean again = !stagePlan.isEmpty() && !recomputed;
+    boolean mayRecompute = !stagePlan.isEmpty() && !recomputed;
     recomputed = true;
-    return again;
+    return mayRecompute;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestQuarantine.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestQuarantine.java
@@ -14,17 +14,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the quarantine knows of one request, and what it is told of it. The request's body is looked
- * at only where an upstream ended under it, or under another one of the same shape. Confined to the
- * event loop.
+ * Connects one request with the {@link Quarantine}: checks whether the request is quarantined and
+ * reports crashes and answers. The request body is hashed only if an upstream crashed while serving
+ * a request of the same shape. Confined to the event loop.
  */
 final class RequestQuarantine {
 
   private static final String NO_ACCOUNT = "";
 
-  /**
-   * Told to a caller where no trial is due any more: it is for the operator to lift the verdict.
-   */
+  /** Retry delay if no further trial is due and only an operator can lift the verdict. */
   private static final Duration RETRY_AFTER_WITHOUT_TRIAL = Duration.ofHours(1);
 
   private final RelayServices services;
@@ -33,7 +31,7 @@
   private final RequestIdentity identity;
   private @Nullable RequestFingerprint fingerprint;
 
-  /** Whether this request is the one trial that a held back one is given. */
+  /** Whether this request is a granted trial of a quarantined request. */
   private boolean trial;
 
   RequestQuarantine(RelayServices services, AdmittedRequest admitted) {
@@ -43,26 +41,26 @@
     this.identity = identity(admitted);
   }
 
-  /** Returns whether the request must be sent to no upstream. */
+  /** Returns whether the request must not be sent to any upstream. */
   boolean isQuarantined() {
     return !trial && isShapeKnown() && quarantine.bars(fingerprint());
   }
 
   /**
-   * Tells whether the request may run: at once, unless it is held back and a trial is due, which
-   * the platform grants to one box.
+   * Checks whether the request may run. If it is quarantined and a trial is due, requests the trial
+   * from the platform, which grants it to one box.
    */
-  void checkMayRun(Consumer<Boolean> answer) {
+  void checkMayRun(Consumer<Boolean> listener) {
     if (!isQuarantined()) {
-      answer.accept(true);
+      listener.accept(true);
     } else if (untilTrial().filter(Duration::isZero).isPresent()) {
-      requestTrial(answer);
+      requestTrial(listener);
     } else {
-      answer.accept(false);
+      listener.accept(false);
     }
   }
 
-  private void requestTrial(Consumer<Boolean> answer) {
+  private void requestTrial(Consumer<Boolean> listener) {
     EventLoop loop = services.eventLoop();
     services
         .trials()
@@ -74,16 +72,16 @@
                 loop.execute(
                     () -> {
                       trial = granted;
-                      answer.accept(granted);
+                      listener.accept(granted);
                     }));
   }
 
-  /** Notes that the request goes to an upstream; a trial is over with that. */
+  /** Records that the request was sent, which ends its trial. */
   void recordSent() {
     trial = false;
   }
 
-  /** Returns how long the request is held back from now on, in milliseconds. */
+  /** Returns the remaining time of the quarantine in milliseconds. */
   long remainingMillis() {
     return untilTrial().orElse(RETRY_AFTER_WITHOUT_TRIAL).toMillis();
   }
@@ -92,7 +90,7 @@
     return services.trials().untilNext(fingerprint());
   }
 
-  /** Notes that the request was answered whole. */
+  /** Records that the request was answered completely. */
   void recordAnswered() {
     if (isShapeKnown()) {
       quarantine.answered(fingerprint());
@@ -100,30 +98,32 @@
   }
 
   /**
-   * Notes that a connection on which the request was sent is lost, and looks whether the upstream
-   * has ended. Where others have ended under the request before, what follows waits for that: if
-   * this is one more, the request goes nowhere. Else it follows at once, as most connections are
-   * lost for reasons of their own.
+   * Starts a liveness check of an upstream whose connection was lost. Continues at once, unless
+   * upstreams have crashed while serving the request before: then it continues after the check,
+   * because one more crash may quarantine the request.
    */
-  void connectionLost(UpstreamRecord upstream, Runnable then) {
+  void connectionLost(UpstreamRecord upstream, Runnable continuation) {
     boolean suspect = isShapeKnown() && quarantine.endsUnder(fingerprint()) > 0;
     services
         .crashDetector()
         .prove(
             upstream,
-            proof -> {
-              recordLivenessCheck(upstream, proof);
+            result -> {
+              recordLivenessCheck(upstream, result);
               if (suspect) {
-                then.run();
+                continuation.run();
               }
             });
     if (!suspect) {
-      then.run();
+      continuation.run();
     }
   }
 
-  /** Only a refusal shows an end: what is silent may be a network that parts this box from it. */
-  private void recordLivenessCheck(UpstreamRecord upstream, UpstreamProof proof) {
+  /**
+   * Records the result of a liveness check. Only a refused connection counts as a crash, since
+   * silence may be a network partition.
+   */
+  private void recordLivenessCheck(UpstreamRecord upstream, UpstreamProof result) {
     services
         .events()
         .problem("upstream-broke-off")
@@ -131,16 +131,16 @@
         .with("request", admitted.request().id())
         .with("upstream", upstream.start())
         .with("service", upstream.service())
-        .with("proof", proof.name())
+        .with("proof", result.name())
         .write();
-    if (proof == UpstreamProof.REFUSED) {
+    if (result == UpstreamProof.REFUSED) {
       quarantine.endedUnder(fingerprint(), upstream.start());
     }
   }
 
-  /** Notes that upstreams ended while they made the pieces of a stage that was not made. */
-  void recordStageCrashes(List<String> starts) {
-    starts.forEach(start -> quarantine.endedUnder(fingerprint(), start));
+  /** Records that upstreams crashed while processing a stage of the request. */
+  void recordStageCrashes(List<String> incarnations) {
+    incarnations.forEach(incarnation -> quarantine.endedUnder(fingerprint(), incarnation));
   }
 
   private boolean isShapeKnown() {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageEstimator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageEstimator.java
@@ -8,7 +8,7 @@
 import org.gradeledge.deployment.ServiceDefinition;
 import org.gradeledge.deployment.StageWork;
 
-/** How long the stage work of one request takes. Confined to the event loop. */
+/** Estimates the duration of the stage work of one request. Confined to the event loop. */
 final class StageEstimator {
 
   private final List<Integer> pieceCounts;
@@ -31,33 +31,37 @@
   }
 
   /**
-   * Returns about how long all of it takes behind what waits for its services, or is on its way to
-   * them, now. A later stage's queue is worked off while the earlier stages are under way.
+   * Returns the expected duration of all stages, including the current backlogs of their services.
+   * The backlog of a later stage is processed while earlier stages run.
    */
   double expectedMillis() {
-    double[] doneAfter = new double[stages.size()];
+    double[] completionMillis = new double[stages.size()];
     for (int stage = 0; stage < stages.size(); stage++) {
       if (hasPieces(stage)) {
-        doneAfter[stage] = completionMillis(stage, doneAfter);
+        completionMillis[stage] = completionMillis(stage, completionMillis);
       }
     }
-    return Arrays.stream(doneAfter).max().orElse(0);
+    return Arrays.stream(completionMillis).max().orElse(0);
   }
 
-  private double completionMillis(int stage, double[] doneBefore) {
+  private double completionMillis(int stage, double[] completionMillis) {
     StageWork work = stages.get(stage);
-    double ready = work.after().stream().mapToDouble(before -> doneBefore[before]).max().orElse(0);
+    double inputsReady =
+        work.after().stream()
+            .mapToDouble(predecessor -> completionMillis[predecessor])
+            .max()
+            .orElse(0);
     long backlog = client.backlogMillis(work.service(), priority);
-    int others = backlog > 0 ? Integer.MAX_VALUE : 0;
-    return Math.max(ready, backlog) + callMillis(stage, others);
+    int otherPieces = backlog > 0 ? Integer.MAX_VALUE : 0;
+    return Math.max(inputsReady, backlog) + callMillis(stage, otherPieces);
   }
 
-  /** Returns about how long a stage takes alone behind what waits for its service now. */
+  /** Returns the expected duration of one stage, including the current backlog of its service. */
   double stageMillis(int stage) {
     return client.backlogMillis(stages.get(stage).service(), priority) + callMillis(stage, 0);
   }
 
-  /** Returns about how long the stages after a stage take where nothing waits. */
+  /** Returns the expected duration of the stages that depend on a stage, without backlogs. */
   double downstreamMillis(int stage) {
     double longest = 0;
     for (int next = stage + 1; next < stages.size(); next++) {
@@ -76,17 +80,17 @@
         .orElse(0);
   }
 
-  /** Returns the time of a call for a stage's pieces and those of others, as many as fit. */
-  private double callMillis(int stage, int others) {
+  /** Returns the duration of a call with the pieces of a stage and as many others as fit. */
+  private double callMillis(int stage, int otherPieces) {
     return deployment
         .service(stages.get(stage).service())
         .flatMap(ServiceDefinition::batch)
-        .map(batch -> batch.expectedMillis(itemsInCall(stage, others, batch)))
+        .map(batch -> batch.expectedMillis(itemsInCall(stage, otherPieces, batch)))
         .orElse(0.0);
   }
 
-  private int itemsInCall(int stage, int others, BatchLimits batch) {
-    return (int) Math.min((long) pieceCounts.get(stage) + others, batch.itemsPerCall());
+  private int itemsInCall(int stage, int otherPieces, BatchLimits batch) {
+    return (int) Math.min((long) pieceCounts.get(stage) + otherPieces, batch.itemsPerCall());
   }
 
   private boolean hasPieces(int stage) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
@@ -19,18 +19,18 @@
 import org.gradeledge.deployment.StageWork;
 
 /**
- * The stage work of one request: each stage starts once those that it comes after are done, and the
- * results that no other stage takes are handed on. Confined to the event loop.
+ * Runs the stages of one request: starts each stage after its predecessors and returns the results
+ * that no other stage uses. Confined to the event loop.
  */
 final class StagePlan {
 
   private static final int MAX_RECOMPUTATIONS = 2;
   private static final double MAX_WAIT_SHARE = 0.4;
 
-  /** Estimates are rough, and a late answer is worth more than none. */
+  /** Tolerance for inaccurate estimates when a request is rejected as too late. */
   private static final double LATENESS_TOLERANCE = 1.15;
 
-  /** A stage that can wait must take so much less than what is waited for. */
+  /** Factor by which the work that a deferred stage waits for must be longer than the stage. */
   private static final double DEFERRAL_MARGIN = 1.2;
 
   private final RelayRequest request;
@@ -74,18 +74,20 @@
   }
 
   /**
-   * Starts the work; exactly one of the two is called, unless the plan is cancelled. It fails at
-   * once where the request would come late behind what waits for its services.
+   * Starts the stages. Calls one of the listeners, unless the plan is cancelled; fails at once if
+   * the backlogs make the answer late.
    */
-  void start(Consumer<List<String>> done, BiConsumer<Integer, StageGroupResult> failed) {
-    onDone = done;
-    onFailure = failed;
-    double expected = estimator.expectedMillis() + firstEventMillis;
-    timeline.setExpectedMillis(expected);
-    if (expected > clock.targetRemainingMillis() * LATENESS_TOLERANCE) {
+  void start(
+      Consumer<List<String>> doneListener, BiConsumer<Integer, StageGroupResult> failureListener) {
+    onDone = doneListener;
+    onFailure = failureListener;
+    double expectedMillis = estimator.expectedMillis() + firstEventMillis;
+    timeline.setExpectedMillis(expectedMillis);
+    if (expectedMillis > clock.targetRemainingMillis() * LATENESS_TOLERANCE) {
       finished = true;
-      long comeBack = estimator.longestBacklogMillis();
-      failed.accept(0, new StageGroupResult(StageOutcome.LATE, List.of(), "", comeBack, 0));
+      long retryAfterMillis = estimator.longestBacklogMillis();
+      failureListener.accept(
+          0, new StageGroupResult(StageOutcome.LATE, List.of(), "", retryAfterMillis, 0));
       return;
     }
     announceAll();
@@ -107,14 +109,14 @@
     }
   }
 
-  /** Does all of the work again, as a result was gone before it was fetched. */
+  /** Runs all stages again after a result was lost before it was fetched. */
   void restart() {
     releaseAll();
     finished = false;
     startReadyStages();
   }
 
-  /** Drops what waits and gives up what was made. */
+  /** Cancels all stages and releases their results. */
   void cancel() {
     finished = true;
     Set.copyOf(announced).forEach(this::withdraw);
@@ -122,20 +124,19 @@
     releaseAll();
   }
 
-  /** Gives up all results, once they have been fetched or are not needed any more. */
   void releaseAll() {
     results.releaseAll();
   }
 
-  /** Returns whether there is any stage work. */
+  /** Returns whether there is no stage work. */
   boolean isEmpty() {
     return stages.isEmpty() || request.pieceCounts().stream().allMatch(count -> count == 0);
   }
 
   private void startReadyStages() {
-    List<Integer> startable = startableStages();
-    startable.stream().filter(results::hasConsumers).forEach(this::startStage);
-    startable.stream()
+    List<Integer> readyStages = startableStages();
+    readyStages.stream().filter(results::hasConsumers).forEach(this::startStage);
+    readyStages.stream()
         .filter(stage -> !results.hasConsumers(stage) && !running.contains(stage))
         .filter(stage -> !canDefer(stage))
         .forEach(this::startStage);
@@ -155,17 +156,19 @@
   }
 
   /**
-   * Returns whether a stage is better started once what runs now is done: the stages after that
-   * take longer than it does, and its results would only take room until then.
+   * Returns whether a stage should start later: if the stages that depend on the running ones take
+   * longer than this one, its results would occupy memory until then.
    */
   private boolean canDefer(int stage) {
-    double rest = running.stream().mapToDouble(estimator::downstreamMillis).max().orElse(0);
-    return estimator.stageMillis(stage) * DEFERRAL_MARGIN < rest;
+    double downstreamMillis =
+        running.stream().mapToDouble(estimator::downstreamMillis).max().orElse(0);
+    return estimator.stageMillis(stage) * DEFERRAL_MARGIN < downstreamMillis;
   }
 
   private long inputBytes(int stage) {
     return stages.get(stage).after().stream()
-        .mapToLong(before -> results.pieceCount(before) * stages.get(before).resultBytes())
+        .mapToLong(
+            predecessor -> results.pieceCount(predecessor) * stages.get(predecessor).resultBytes())
         .sum();
   }
 
@@ -178,8 +181,8 @@
     timeline.stageStarted(stage);
     withdraw(stage);
     List<String> inputs = new ArrayList<>();
-    work.after().forEach(before -> inputs.addAll(results.handlesOf(before)));
-    long due =
+    work.after().forEach(predecessor -> inputs.addAll(results.handlesOf(predecessor)));
+    long dueMillis =
         clock.targetRemainingMillis()
             - (long) (estimator.downstreamMillis(stage) + firstEventMillis);
     StageGroup group =
@@ -194,14 +197,14 @@
             work.resultBytes(),
             results.hasConsumers(stage) ? "" : zone,
             priority,
-            due,
+            dueMillis,
             clock.remainingMillis(),
             clock.remainingMillisOfShare(MAX_WAIT_SHARE),
             results.isEmpty());
     client.submit(group, new StageListener(stage));
   }
 
-  /** Hears how one stage goes. */
+  /** Receives the result of one stage. */
   private final class StageListener implements StageWorkListener {
 
     private final int stage;
@@ -243,7 +246,7 @@
     }
   }
 
-  /** Returns where most of what is handed on lies, by bytes. */
+  /** Returns the bytes of the final results by availability zone. */
   Map<String, Long> bytesByZone() {
     return results.bytesByZone();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
@@ -11,8 +11,8 @@
 import org.gradeledge.deployment.StageWork;
 
 /**
- * The results of one request's stages and who takes them; those that all takers are done with are
- * given up. Confined to the event loop.
+ * The results of one request's stages. Releases results once all stages that use them have fetched
+ * them. Confined to the event loop.
  */
 final class StageResults {
 
@@ -44,13 +44,13 @@
     return handlesByStage.isEmpty();
   }
 
-  /** Returns whether all that a stage comes after is done. */
+  /** Returns whether all predecessors of a stage are complete. */
   boolean isReady(int stage) {
     return stages.get(stage).after().stream()
-        .allMatch(before -> !hasPieces(before) || hasResults(before));
+        .allMatch(predecessor -> !hasPieces(predecessor) || hasResults(predecessor));
   }
 
-  /** Returns whether another stage takes a stage's results. */
+  /** Returns whether another stage uses the results of a stage. */
   boolean hasConsumers(int stage) {
     return consumers(stage).findAny().isPresent();
   }
@@ -59,14 +59,14 @@
     return handlesByStage.getOrDefault(stage, List.of());
   }
 
-  void put(int stage, List<String> made) {
-    handlesByStage.put(stage, made);
+  void put(int stage, List<String> handles) {
+    handlesByStage.put(stage, handles);
     recordInputsFetched(stage);
   }
 
   /**
-   * Notes that the inputs of a stage have been fetched; results that all their takers have fetched
-   * are given up, since the room that they take keeps the upstream from its next calls.
+   * Records that a stage has fetched its inputs, and releases results that all consumers have
+   * fetched: stored results limit the next calls of their upstream.
    */
   void recordInputsFetched(int stage) {
     stagesWithFetchedInputs.add(stage);
@@ -78,34 +78,33 @@
         .forEach(this::release);
   }
 
-  /** Forgets the results that a stage takes, so that they are made again. */
+  /** Discards the inputs of a stage, so that they are computed again. */
   void discardInputs(int stage) {
     stagesWithFetchedInputs.remove(stage);
-    for (int before : stages.get(stage).after()) {
-      client.free(stages.get(before).service(), handlesOf(before));
-      handlesByStage.remove(before);
-      stagesWithFetchedInputs.remove(before);
-      if (stages.get(before).after().stream().anyMatch(this::isReleased)) {
-        discardInputs(before);
+    for (int predecessor : stages.get(stage).after()) {
+      client.free(stages.get(predecessor).service(), handlesOf(predecessor));
+      handlesByStage.remove(predecessor);
+      stagesWithFetchedInputs.remove(predecessor);
+      if (stages.get(predecessor).after().stream().anyMatch(this::isReleased)) {
+        discardInputs(predecessor);
       }
     }
   }
 
-  /** Gives up all results. */
   void releaseAll() {
-    handlesByStage.forEach((stage, made) -> client.free(stages.get(stage).service(), made));
+    handlesByStage.forEach((stage, handles) -> client.free(stages.get(stage).service(), handles));
     handlesByStage.clear();
     stagesWithFetchedInputs.clear();
   }
 
-  /** Returns the results that no stage takes. */
+  /** Returns the handles of the results that no stage uses. */
   List<String> finalHandles() {
     List<String> all = new ArrayList<>();
     finalStages().forEach(stage -> all.addAll(handlesOf(stage)));
     return all;
   }
 
-  /** Returns where most of what is handed on lies, by bytes. */
+  /** Returns the bytes of the final results by availability zone. */
   Map<String, Long> bytesByZone() {
     Map<String, Long> bytes = new HashMap<>();
     finalStages()
@@ -113,7 +112,8 @@
             stage ->
                 handlesOf(stage).stream()
                     .flatMap(handle -> client.zoneOf(handle).stream())
-                    .forEach(at -> bytes.merge(at, stages.get(stage).resultBytes(), Long::sum)));
+                    .forEach(
+                        zone -> bytes.merge(zone, stages.get(stage).resultBytes(), Long::sum)));
     return bytes;
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageTimeline.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageTimeline.java
@@ -7,8 +7,8 @@
 import org.gradeledge.batch.StageOutcome;
 
 /**
- * When the stages of one request began and ended, and what was expected when it was admitted, for
- * the line that tells how the request came to its end. Confined to the event loop.
+ * Records start and end of the stages of one request and their expected duration, for the log line
+ * of the request. Confined to the event loop.
  */
 final class StageTimeline {
 
@@ -21,7 +21,7 @@
     this.clock = clock;
   }
 
-  /** Notes after how long the first event was expected. */
+  /** Sets the expected time until the first event. */
   void setExpectedMillis(double millis) {
     expectedMillis = (long) millis;
   }
@@ -31,19 +31,22 @@
   }
 
   void stageEnded(int stage, StageGroupResult result) {
-    long begun = startMillis.getOrDefault(stage, 0L);
+    long startedAt = startMillis.getOrDefault(stage, 0L);
     String outcome = result.outcome() == StageOutcome.MADE ? "" : " " + result.outcome();
-    long took = clock.elapsedMillis() - begun;
+    long durationMillis = clock.elapsedMillis() - startedAt;
     endedStages.put(
-        stage, stage + "@" + begun + ":" + result.waitedMillis() + "/" + took + outcome);
+        stage,
+        stage + "@" + startedAt + ":" + result.waitedMillis() + "/" + durationMillis + outcome);
   }
 
-  /** Returns the expected time to the first event in milliseconds, -1 where none was worked out. */
+  /**
+   * Returns the expected time until the first event in milliseconds, or -1 if it was not estimated.
+   */
   long expectedMillis() {
     return expectedMillis;
   }
 
-  /** Returns for each stage that ended: number, start, wait for its last call and whole time. */
+  /** Returns, for each completed stage, its number, start, wait for its last call and duration. */
   @Override
   public String toString() {
     return endedStages.values().stream().collect(Collectors.joining(" "));
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StreamAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StreamAttempt.java
@@ -9,7 +9,10 @@
 import org.gradeledge.connection.CallFailure;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** An attempt whose answer is a stream of events; other answers are passed on whole. */
+/**
+ * An attempt whose answer is a stream of events. Answers with an error status are buffered and
+ * forwarded as a whole.
+ */
 final class StreamAttempt extends AbstractAttempt {
 
   private static final int FIRST_SUCCESS = 200;
@@ -38,17 +41,16 @@
     return headers;
   }
 
-  /** Returns the id of the last whole event of this attempt. */
+  /** Returns the id of the last complete event of this attempt. */
   Optional<String> lastEventId() {
     return framer.lastId();
   }
 
-  /** Returns whether events have arrived. */
   boolean hasStartedEvents() {
     return eventsStarted;
   }
 
-  /** Returns for how long nothing has come of this attempt. */
+  /** Returns the time since something was last received for this attempt. */
   long silentMillis() {
     return (services().clock().nanos() - lastActivityNanos) / 1_000_000;
   }
@@ -59,14 +61,14 @@
   }
 
   @Override
-  void onNotRun(int answered, HttpHeaders answeredHeaders, AnswerSignals facts) {
-    listener.notRun(this, answered, answeredHeaders, facts);
+  void onNotRun(int answerStatus, HttpHeaders answerHeaders, AnswerSignals signals) {
+    listener.notRun(this, answerStatus, answerHeaders, signals);
   }
 
   @Override
-  void onAnswerHead(int answered, HttpHeaders answeredHeaders) {
-    status = answered;
-    headers = answeredHeaders;
+  void onAnswerHead(int answerStatus, HttpHeaders answerHeaders) {
+    status = answerStatus;
+    headers = answerHeaders;
     lastActivityNanos = services().clock().nanos();
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
@@ -13,10 +13,10 @@
 import org.gradeledge.limit.SendingRule;
 import org.gradeledge.selection.Demand;
 
-/** The upstreams that one request may still be sent to; each is tried once. */
+/** The upstreams that one request may be sent to; each is tried once. */
 final class UpstreamCandidates {
 
-  /** Enough to see what is wrong with a service; a line stays short. */
+  /** Keeps log lines short. */
   private static final int MAX_LOGGED_IDS = 8;
 
   private final RelayServices services;
@@ -34,7 +34,7 @@
     this.preferredZone = services.zone();
   }
 
-  /** Returns the zone of the upstream that would be tried now. */
+  /** Returns the availability zone of the upstream that would be chosen now. */
   String likelyZone() {
     return services
         .chooser()
@@ -43,21 +43,21 @@
         .orElse(preferredZone);
   }
 
-  /** Notes where what the request needs lies, in bytes by zone. */
+  /** Prefers the availability zone that stores most of the request's inputs. */
   void setInputBytes(Map<String, Long> bytesByZone) {
     bytesByZone.entrySet().stream()
         .max(Map.Entry.comparingByValue())
         .ifPresent(
-            most -> {
-              preferredZone = most.getKey();
-              preferredZoneBytes = most.getValue();
+            largest -> {
+              preferredZone = largest.getKey();
+              preferredZoneBytes = largest.getValue();
             });
   }
 
-  /** Returns the upstream to be tried next, empty where all have been. */
+  /** Chooses the next upstream; empty if none is left that accepts the request. */
   Optional<UpstreamRecord> chooseNext() {
-    List<UpstreamRecord> left = untried().filter(this::admitsRequest).toList();
-    Optional<UpstreamRecord> chosen = services.chooser().choose(left, demand());
+    List<UpstreamRecord> untried = untried().filter(this::admitsRequest).toList();
+    Optional<UpstreamRecord> chosen = services.chooser().choose(untried, demand());
     chosen.ifPresent(upstream -> tried.add(upstream.start()));
     chosen.ifPresent(services.sendingRule()::sent);
     return chosen;
@@ -71,7 +71,7 @@
     return admitted;
   }
 
-  /** Returns the ids of upstreams that were passed over so far, as they took no request then. */
+  /** Returns the ids of upstreams that were skipped because they did not accept the request. */
   String skippedIds() {
     return skipped.isEmpty()
         ? ""
@@ -84,35 +84,46 @@
   }
 
   /**
-   * Returns after about how many milliseconds one takes the request that so many others come
-   * before, zero if one does now; infinite if this box may send to none of them, empty if there is
-   * none left.
+   * Returns the estimated time until an upstream accepts the request, 0 if one does now; infinite
+   * if this box may send to none of them, empty if none is left.
+   *
+   * @param ahead number of requests that are sent before this one
    */
   OptionalDouble millisUntilNext(long ahead) {
     SendingRule sending = services.sendingRule();
-    List<UpstreamRecord> left = untried().toList();
-    double rate = left.stream().mapToDouble(sending::perSecond).sum();
-    if (Double.isInfinite(rate)) {
+    List<UpstreamRecord> untried = untried().toList();
+    double totalRate = untried.stream().mapToDouble(sending::perSecond).sum();
+    if (Double.isInfinite(totalRate)) {
       return OptionalDouble.of(0);
     }
-    return left.stream()
-        .mapToDouble(each -> sending.millisUntilAdmitted(each, ahead * shareOf(each, rate, left)))
+    return untried.stream()
+        .mapToDouble(
+            each -> sending.millisUntilAdmitted(each, ahead * shareOf(each, totalRate, untried)))
         .min();
   }
 
-  /** Returns after how many milliseconds one takes a request, those that were tried included. */
+  /**
+   * Returns the time until any upstream of the service accepts a request, including those that were
+   * tried.
+   */
   OptionalDouble millisUntilAny() {
     return services.upstreams().usable(service).stream()
         .mapToDouble(each -> services.sendingRule().millisUntilAdmitted(each, 0))
         .min();
   }
 
-  /** Where none takes any now, those that are before share the upstreams evenly later. */
-  private double shareOf(UpstreamRecord upstream, double rate, List<UpstreamRecord> all) {
-    return rate > 0 ? services.sendingRule().perSecond(upstream) / rate : 1.0 / all.size();
+  /**
+   * Returns the share of the requests ahead that an upstream accepts; equal shares if none accepts
+   * any now.
+   */
+  private double shareOf(
+      UpstreamRecord upstream, double totalRate, List<UpstreamRecord> candidates) {
+    return totalRate > 0
+        ? services.sendingRule().perSecond(upstream) / totalRate
+        : 1.0 / candidates.size();
   }
 
-  /** Returns why there is no candidate. */
+  /** Returns the reason why there is no candidate. */
   Refusal refusal() {
     if (services.upstreams().usable(service).isEmpty()) {
       return Refusal.NO_UPSTREAM;
@@ -120,7 +131,7 @@
     return untried().findAny().isPresent() ? Refusal.UPSTREAMS_LIMITED : Refusal.UPSTREAMS_FULL;
   }
 
-  /** Allows all upstreams again. */
+  /** Allows all upstreams to be tried again. */
   void clearTried() {
     tried.clear();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
@@ -8,7 +8,7 @@
 import org.gradeledge.connection.CallFailure;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** An attempt whose answer is passed on once it is whole. */
+/** An attempt whose answer is buffered and forwarded once it is complete. */
 final class WholeAnswerAttempt extends AbstractAttempt {
 
   private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
@@ -24,14 +24,14 @@
   }
 
   @Override
-  void onNotRun(int answered, HttpHeaders answeredHeaders, AnswerSignals facts) {
-    listener.notRun(this, answered, answeredHeaders, facts);
+  void onNotRun(int answerStatus, HttpHeaders answerHeaders, AnswerSignals signals) {
+    listener.notRun(this, answerStatus, answerHeaders, signals);
   }
 
   @Override
-  void onAnswerHead(int answered, HttpHeaders answeredHeaders) {
-    status = answered;
-    headers = answeredHeaders;
+  void onAnswerHead(int answerStatus, HttpHeaders answerHeaders) {
+    status = answerStatus;
+    headers = answerHeaders;
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/package-info.java
@@ -1,4 +1,4 @@
-/** Requests that are passed on to an upstream unchanged, and their answers on the way back. */
+/** Forwards requests to upstreams and the answers back to the callers. */
 @NullMarked
 package org.gradeledge.relay;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
@@ -12,7 +12,7 @@
 import org.gradeledge.limit.UpstreamBackoffs;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of requests where upstreams have asked for a time without any. */
+/** Dispatch of requests to upstreams that are backing off. */
 class BackingOffUpstreamTests {
 
   private static final List<Integer> NO_PIECES = List.of();
@@ -90,7 +90,7 @@
     for (int step = 0; step < 40; step++) {
       box.advance(10);
     }
-    assertThat(box.answers).as("those that wait are sent").hasSize(refused);
+    assertThat(box.answers).as("waiting requests are sent").hasSize(refused);
   }
 
   @Test
@@ -130,9 +130,9 @@
   }
 
   private SimulatedRelay box(RouteDefinition route, int... upstreams) {
-    UpstreamRecord[] known = new UpstreamRecord[upstreams.length];
+    UpstreamRecord[] records = new UpstreamRecord[upstreams.length];
     for (int i = 0; i < upstreams.length; i++) {
-      known[i] = upstream(upstreams[i]);
+      records[i] = upstream(upstreams[i]);
     }
     return new SimulatedRelay(
         clock -> {
@@ -140,7 +140,7 @@
           return backoffs;
         },
         route,
-        known);
+        records);
   }
 
   private void requestBackoff(int number, long millis) {
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/FakeStageWorkClient.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/FakeStageWorkClient.java
@@ -14,7 +14,7 @@
 import org.gradeledge.batch.StageWorkClient;
 import org.gradeledge.batch.StageWorkListener;
 
-/** Keeps the groups it was given until the test ends them. */
+/** Stage work client that records submitted groups; the test completes them. */
 final class FakeStageWorkClient implements StageWorkClient {
 
   final List<StageGroup> groups = new ArrayList<>();
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
@@ -17,7 +17,7 @@
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of requests where upstreams take few. */
+/** Dispatch of requests to upstreams that announce limits. */
 class LimitedUpstreamTests {
 
   private static final List<Integer> NO_PIECES = List.of();
@@ -83,7 +83,7 @@
     int refused = box.answers.size();
     assertThat(refused).isBetween(34, 37);
     box.advance(400);
-    assertThat(box.answers).as("those that wait are sent").hasSize(refused);
+    assertThat(box.answers).as("waiting requests are sent").hasSize(refused);
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
@@ -11,7 +11,7 @@
 import org.gradeledge.connection.UpstreamProof;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of one request under which upstreams end. */
+/** Handling of a request whose upstreams crash while serving it. */
 class QuarantinedRequestTests {
 
   private static final List<Integer> NO_PIECES = List.of();
@@ -95,7 +95,7 @@
     assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
   }
 
-  /** A box that is cut off takes nobody to have ended. */
+  /** Guards against counting a network partition as crashes. */
   @Test
   void doesNotCountSilentUpstreamAsCrashed() throws Exception {
     box.upstreamCaller.setProof(upstream(1), UpstreamProof.SILENT);
@@ -106,7 +106,7 @@
     assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
   }
 
-  /** It cuts what still runs there when it ends, and that says nothing of the requests. */
+  /** Guards against counting connections that a planned stop closes as crashes. */
   @Test
   void doesNotCountPlannedStopAsCrash() throws Exception {
     box.send("r1", NO_PIECES);
@@ -162,9 +162,9 @@
     box.runPendingTasks();
   }
 
-  private static void recordCrashes(SimulatedRelay relay, String... starts) {
-    for (String start : starts) {
-      relay.quarantine.endedUnder(relay.fingerprint(), start);
+  private static void recordCrashes(SimulatedRelay relay, String... incarnations) {
+    for (String incarnation : incarnations) {
+      relay.quarantine.endedUnder(relay.fingerprint(), incarnation);
     }
     relay.runPendingTasks();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
@@ -36,16 +36,18 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** The relay of one box between a caller and upstreams that a test plays, in virtual time. */
+/**
+ * Relay of one box in virtual time, with the caller and the upstreams under control of the test.
+ */
 final class SimulatedRelay implements CallerResponse {
 
   static final String HOST = "host";
   static final String PATH = "/path/x";
 
-  /** A route of requests that may be repeated. */
+  /** Route whose requests may be repeated. */
   static final RouteDefinition PLAIN = Deployments.route(HOST, "/path/", Repeatability.REPEATABLE);
 
-  /** The same with a stage before. */
+  /** Route with one stage whose requests may be repeated. */
   static final RouteDefinition STAGED =
       Deployments.route(
           HOST,
@@ -67,7 +69,7 @@
   private final RelayHandler handler;
   private RelayHandler.ActiveRequest activeRequest = () -> {};
 
-  /** Trials as a test grants them. */
+  /** Trials that the test grants. */
   static final class ControlledTrials implements Trials {
 
     Optional<Duration> untilNext = Optional.empty();
@@ -84,20 +86,22 @@
     }
   }
 
-  SimulatedRelay(RouteDefinition route, UpstreamRecord... known) {
-    this(clock -> SendingRule.NONE, route, known);
+  SimulatedRelay(RouteDefinition route, UpstreamRecord... registeredUpstreams) {
+    this(clock -> SendingRule.NONE, route, registeredUpstreams);
   }
 
-  /** Creates it with a rule on what may be sent, which goes by the virtual time. */
+  /** Creates a relay whose sending rule uses the virtual time. */
   SimulatedRelay(
-      Function<MonotonicClock, SendingRule> rule, RouteDefinition route, UpstreamRecord... known) {
-    SendingRule sending = rule.apply(clock);
+      Function<MonotonicClock, SendingRule> sendingRule,
+      RouteDefinition route,
+      UpstreamRecord... registeredUpstreams) {
+    SendingRule sending = sendingRule.apply(clock);
     channel.freezeTime();
     DeploymentRegistry deployments =
         new DeploymentRegistry(
             document -> Either.right(Deployments.of(1, route)), EventLogs.silent());
     deployments.offer(new byte[1], "test");
-    upstreams.replaceAll(1, List.of(known));
+    upstreams.replaceAll(1, List.of(registeredUpstreams));
     LoadBoard board = new LoadBoard(clock, EventLogs.silent());
     RelayServices services =
         new RelayServices(
@@ -125,12 +129,12 @@
     return new UpstreamRecord("u" + number, "service", "10.0.0.1", number, "zone", 8, false);
   }
 
-  /** Returns what names the request that {@link #send} sends. */
+  /** Returns the fingerprint of the request that {@link #send} sends. */
   RequestFingerprint fingerprint() {
     return new RequestIdentity("account", "POST", HOST, PATH, BODY).fingerprint();
   }
 
-  /** A caller sends the same request as always. */
+  /** Sends a request; all requests have the same fingerprint. */
   void send(String id, List<Integer> pieces) {
     activeRequest =
         handler.handle(
@@ -153,7 +157,7 @@
     runPendingTasks();
   }
 
-  /** The caller of the request that was sent last closes its connection. */
+  /** Closes the connection of the caller of the last request. */
   void disconnectCaller() {
     activeRequest.callerDisconnected();
     runPendingTasks();
@@ -163,14 +167,14 @@
     return handler;
   }
 
-  /** Lets time pass and does what is due. */
+  /** Advances the time and runs the tasks that are due. */
   void advance(long millis) {
     nowMillis += millis;
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
     runPendingTasks();
   }
 
-  /** Time goes by that no timer counts. */
+  /** Advances the clock without running timers. */
   void suspendMachine(long millis) {
     nowMillis += millis;
   }
@@ -210,19 +214,19 @@
     answers.add("abort");
   }
 
-  /** Requests go as they are; no answer says that the request was not run. */
+  /** Sends requests unchanged; no answer reports that the request was not run. */
   private static final class PassThroughProtocol implements RelayProtocol {
 
     @Override
     public Either<String, RelayRequest> read(HttpServerRequest request, byte[] body) {
-      return Either.left("nothing is read in this test");
+      return Either.left("not supported");
     }
 
     @Override
     public OutgoingRequest encodeRequest(
         RelayRequest request,
         UpstreamRecord target,
-        ForwardingContext facts,
+        ForwardingContext forwarding,
         ConnectionReuse reuse) {
       return new OutgoingRequest(
           request.method(),
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/StoppingBoxTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/StoppingBoxTests.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of the requests of a box that is about to end. */
+/** Requests in flight on a box that is stopping. */
 class StoppingBoxTests {
 
   private final SimulatedRelay box =
       new SimulatedRelay(SimulatedRelay.STAGED, SimulatedRelay.upstream(1));
 
-  // Guards against a request that waits for stage work and is cut without an answer at the end.
+  // Guards against closing the connection of a request in stage work without an answer.
   @Test
   void refusesUnsentRequests() {
     box.send("waits", List.of(2));
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
@@ -9,7 +9,7 @@
 import org.gradeledge.deployment.Repeatability;
 import org.junit.jupiter.api.Test;
 
-/** Requests that are under way while the machine is suspended; the timers count none of it. */
+/** Timeouts of requests in flight while the machine is suspended, when timers do not advance. */
 class SuspendedRequestTests {
 
   private static final List<Integer> NO_PIECES = List.of();
@@ -44,7 +44,9 @@
     assertThat(box.answers).containsExactly("200");
   }
 
-  /** Its time counts from when it came, by the true time: no timer has fired since waking. */
+  /**
+   * Guards against counting the timeout from a timer that has not run since the machine resumed.
+   */
   @Test
   void startsTimeoutOfNewRequestAfterResume() throws Exception {
     box.send("r1", NO_PIECES);
