--- a/gradeledge-core/src/main/java/org/gradeledge/event/EventLog.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/event/EventLog.java
@@ -23,7 +23,7 @@
   private final PrintStream out;
   private final String box;
   private final Deque<String> queue = new ArrayDeque<>();
-  private long leftOut;
+  private long droppedLines;
 
   /** Creates the log and starts its thread. */
   public EventLog(PrintStream out, String box) {
@@ -59,7 +59,7 @@
 
   synchronized void enqueue(String line, boolean important) {
     if (queue.size() >= (important ? QUEUE_LINES : QUEUE_LINES / 2)) {
-      leftOut++;
+      droppedLines++;
       return;
     }
     queue.add(line);
@@ -75,7 +75,7 @@
   private void writeLines() {
     try {
       while (true) {
-        out.print(takeAll());
+        out.print(takeQueuedLines());
         out.flush();
       }
     } catch (InterruptedException e) {
@@ -83,15 +83,15 @@
     }
   }
 
-  private synchronized String takeAll() throws InterruptedException {
+  private synchronized String takeQueuedLines() throws InterruptedException {
     while (queue.isEmpty()) {
       wait();
     }
     StringBuilder lines = new StringBuilder();
-    if (leftOut > 0) {
+    if (droppedLines > 0) {
       lines.append("{\"event\":\"left-out\",\"box\":\"").append(box).append("\",\"lines\":");
-      lines.append(leftOut).append("}\n");
-      leftOut = 0;
+      lines.append(droppedLines).append("}\n");
+      droppedLines = 0;
     }
     for (String line = queue.poll(); line != null; line = queue.poll()) {
       lines.append(line);
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -39,27 +39,27 @@
 
   private final String self;
   private final String zone;
-  private final int strength;
+  private final int weight;
   private final PeerNetwork network;
   private final EventLoop loop;
-  private final BoxBeliefs beliefs;
-  private final PeerBoard peers;
-  private final Set<String> known = new HashSet<>();
+  private final SharedBoxState state;
+  private final PeerTable peers;
+  private final Set<String> knownBoxes = new HashSet<>();
   private final Collection<String> seeds;
   private Supplier<Map<String, List<Long>>> backlogs = Map::of;
-  private BiConsumer<String, Map<String, List<Long>>> onBacklogs = (box, backlog) -> {};
-  private final MeshLinks links;
+  private BiConsumer<String, Map<String, List<Long>>> backlogListener = (box, backlog) -> {};
+  private final MeshConnections connections;
   private final HeartbeatRelay relay;
   private final HeartbeatRoutes routes;
   private final DocumentExchange documents;
-  private final UpstreamNews upstreamNews;
+  private final UpstreamListUpdates listUpdates;
   private final HeartbeatSender sender;
-  private final LostBoxes lost;
+  private final LostBoxSelector lostBoxes;
   private final SuspectExchange suspects;
-  private final ListDoubts listDoubts;
-  private final BeatNumbers numbers;
-  private long newestConfiguration = -1;
-  private long newestUpstreams = -1;
+  private final ListTrustTracker listTrust;
+  private final HeartbeatSequence sequence;
+  private long latestConfigurationRevision = -1;
+  private long latestUpstreamsRevision = -1;
   private boolean leaving;
 
   /**
@@ -77,117 +77,124 @@
       Collection<String> seeds,
       PeerNetwork network,
       EventLoop loop,
-      BoxBeliefs beliefs,
+      SharedBoxState beliefs,
       MonotonicClock clock,
       EventLog events) {
     this.self = self;
     this.zone = zone;
-    this.strength = strength;
+    this.weight = strength;
     this.network = network;
     this.loop = loop;
-    this.beliefs = beliefs;
+    this.state = beliefs;
     this.seeds = seeds.stream().filter(seed -> !seed.equals(self)).toList();
-    this.peers = new PeerBoard(self, zone, strength, clock, events);
+    this.peers = new PeerTable(self, zone, strength, clock, events);
     this.relay = new HeartbeatRelay(self, clock);
-    this.numbers = new BeatNumbers(clock, System.currentTimeMillis());
-    this.links = new MeshLinks(network, clock);
+    this.sequence = new HeartbeatSequence(clock, System.currentTimeMillis());
+    this.connections = new MeshConnections(network, clock);
     this.routes =
-        new HeartbeatRoutes(self, zone, peers, network::connectedIds, links::isUnreachable);
-    this.listDoubts = new ListDoubts(beliefs.upstreams());
+        new HeartbeatRoutes(self, zone, peers, network::connectedIds, connections::isUnreachable);
+    this.listTrust = new ListTrustTracker(beliefs.upstreams());
     this.documents =
-        new DocumentExchange(links, loop, beliefs.deployments(), beliefs.upstreams(), listDoubts);
-    this.upstreamNews = new UpstreamNews(routes, beliefs.upstreams(), documents, loop);
-    this.sender = new HeartbeatSender(network, loop, clock, peers, routes, relay, links, this::own);
-    this.lost = new LostBoxes(peers, known, new Random());
+        new DocumentExchange(
+            connections, loop, beliefs.deployments(), beliefs.upstreams(), listTrust);
+    this.listUpdates = new UpstreamListUpdates(routes, beliefs.upstreams(), documents, loop);
+    this.sender =
+        new HeartbeatSender(
+            network, loop, clock, peers, routes, relay, connections, this::ownHeartbeat);
+    this.lostBoxes = new LostBoxSelector(peers, knownBoxes, new Random());
     this.suspects = new SuspectExchange(beliefs.quarantine(), network, routes, sender, loop, clock);
     MeshMessages.registerFormats(network);
-    peers.onLost(relay::forget);
-    peers.onLost(beliefs::forget);
-    peers.onLost(links::lost);
-    peers.onLost(suspects::lost);
-    peers.onLost(listDoubts::lost);
+    peers.onLost(relay::removeBox);
+    peers.onLost(beliefs::removeBox);
+    peers.onLost(connections::removeBox);
+    peers.onLost(suspects::removeBox);
+    peers.onLost(listTrust::removeBox);
   }
 
   /** Returns what has stage work done by one box for each service. */
-  public StageWorkClient stageWork(BatchCoordinator coordinator) {
-    StageWorkHandler handler = new StageWorkHandler(coordinator, links);
+  public StageWorkClient stageWorkClient(BatchCoordinator coordinator) {
+    StageWorkHandler handler = new StageWorkHandler(coordinator, connections);
     network.register(
-        MeshMessages.STAGE_WORK, (from, group) -> onLoop(() -> work(handler, from, group)));
+        MeshMessages.STAGE_WORK,
+        (from, group) -> supplyOnLoop(() -> handleStageGroup(handler, from, group)));
     network.register(
         MeshMessages.STAGE_CANCEL,
-        (from, message) -> done(() -> coordinator.cancel(message.service(), message.requestId())));
+        (from, message) ->
+            executeOnLoop(() -> coordinator.cancel(message.service(), message.requestId())));
     network.register(
         MeshMessages.STAGE_FREE,
-        (from, message) -> done(() -> coordinator.free(message.handles())));
+        (from, message) -> executeOnLoop(() -> coordinator.release(message.handles())));
     backlogs = coordinator::backlogMillis;
     MeshStageWorkClient client =
-        new MeshStageWorkClient(self, links, peers, coordinator, loop, beliefs.toCome());
+        new MeshStageWorkClient(self, connections, peers, coordinator, loop, state.pendingPieces());
     network.register(
         MeshMessages.STAGE_INPUTS_TAKEN,
-        (from, message) -> done(() -> client.inputsTaken(from.boxId(), message)));
-    peers.onLost(client::lost);
-    onBacklogs = client::heardBacklogs;
+        (from, message) -> executeOnLoop(() -> client.onInputsTaken(from.boxId(), message)));
+    peers.onLost(client::onBoxLost);
+    backlogListener = client::updateBacklogs;
     return client;
   }
 
-  private Mono<StageGroupResult> work(
+  private Mono<StageGroupResult> handleStageGroup(
       StageWorkHandler handler, PeerIdentity from, StageGroup group) {
-    links.use(from.boxId());
-    return handler.work(from.boxId(), group);
+    connections.markUsed(from.boxId());
+    return handler.handle(from.boxId(), group);
   }
 
   /** Listens and starts to tell. */
   public Mono<? extends DisposableServer> start(InetSocketAddress listen) {
     network.register(
-        MeshMessages.HEARTBEAT, (from, beat) -> done(() -> heardDirectly(from.boxId(), beat)));
+        MeshMessages.HEARTBEAT,
+        (from, beat) -> executeOnLoop(() -> onHeartbeat(from.boxId(), beat)));
     network.register(
-        MeshMessages.DIGEST, (from, digest) -> done(() -> heardDigest(from.boxId(), digest)));
+        MeshMessages.DIGEST, (from, digest) -> executeOnLoop(() -> onDigest(from.boxId(), digest)));
     network.register(
         MeshMessages.CONFIGURATION,
-        (from, request) -> onLoop(() -> Mono.just(documents.configuration())));
+        (from, request) -> supplyOnLoop(() -> Mono.just(documents.configuration())));
     network.register(
         MeshMessages.UPSTREAMS,
-        (from, request) -> onLoop(() -> Mono.just(documents.upstreamList())));
-    network.register(MeshMessages.SUSPECTS, (from, news) -> done(() -> suspects.heard(news)));
+        (from, request) -> supplyOnLoop(() -> Mono.just(documents.upstreamList())));
+    network.register(
+        MeshMessages.SUSPECTS, (from, news) -> executeOnLoop(() -> suspects.receive(news)));
     network.setIncarnation(System.currentTimeMillis());
-    return network.listen(listen).doOnNext(server -> loop.execute(this::beat));
+    return network.listen(listen).doOnNext(server -> loop.execute(this::runHeartbeat));
   }
 
   /** Tells the others that this box takes no more work for them. */
   public void leave() {
     leaving = true;
     peers.leave();
-    sender.tell();
+    sender.sendHeartbeat();
   }
 
   /** Tells the others at once what was just learned. */
-  public void tellNow() {
-    sender.tell();
-    sender.tellDigestsSoon();
+  public void announceNow() {
+    sender.sendHeartbeat();
+    sender.scheduleDigests();
   }
 
   /** Runs an action whenever another box has read something newer of the list of upstreams. */
-  public void onUpstreamNews(Runnable action) {
-    upstreamNews.onRead(action);
+  public void onNewUpstreamList(Runnable action) {
+    listUpdates.setReadAction(action);
   }
 
   /** Runs an action once no other box doubts the list of upstreams any more. */
-  public void onListSettled(Runnable action) {
-    listDoubts.onSettled(action);
+  public void onListConfirmed(Runnable action) {
+    listTrust.onConfirmed(action);
   }
 
   /** Returns whether there are many boxes and this one hears of them by digests. */
-  public boolean hearsDigests() {
-    return sender.hearsDigests();
+  public boolean receivesDigests() {
+    return sender.receivesDigests();
   }
 
   /** Returns whether this box is among so many that have a duty for all. */
-  public boolean hasDuty(String duty, int boxes) {
+  public boolean isAssigned(String duty, int boxes) {
     return routes.isAmongFirst(duty, boxes);
   }
 
   /** Returns how many boxes are heard, this one included. */
-  public int boxes() {
+  public int aliveCount() {
     return peers.alive().size();
   }
 
@@ -196,12 +203,12 @@
     return peers.rank(duty);
   }
 
-  private void beat() {
-    peers.expire(sender.silenceMillis());
-    listDoubts.beat();
-    connect();
-    sender.beat();
-    loop.schedule(this::beat, sender.intervalMillis(), TimeUnit.MILLISECONDS);
+  private void runHeartbeat() {
+    peers.expire(sender.timeoutMillis());
+    listTrust.onHeartbeatInterval();
+    maintainConnections();
+    sender.sendScheduled();
+    loop.schedule(this::runHeartbeat, sender.intervalMillis(), TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -209,72 +216,78 @@
    * started among many knows more than it hears: it waits to be introduced by those that it hears,
    * as connections with all that it knows would be most of what its start costs.
    */
-  private void connect() {
-    if (routes.many()) {
-      links.use(sender.neighbours());
+  private void maintainConnections() {
+    if (routes.usesRelays()) {
+      connections.markUsed(sender.requiredConnections());
     } else {
-      links.use(HeartbeatRoutes.areMany(known.size()) ? othersHeard() : known);
+      connections.markUsed(
+          HeartbeatRoutes.requiresRelays(knownBoxes.size()) ? otherAliveBoxes() : knownBoxes);
     }
-    links.keepUp(sender.hearsDigests() ? List.of() : seeds);
-    lost.next().ifPresent(sender::meet);
+    connections.maintain(sender.receivesDigests() ? List.of() : seeds);
+    lostBoxes.next().ifPresent(sender::tryReconnect);
   }
 
-  private List<String> othersHeard() {
+  private List<String> otherAliveBoxes() {
     return peers.alive().stream().filter(box -> !box.equals(self)).toList();
   }
 
-  private Heartbeat own() {
-    return beliefs.heartbeat(zone, leaving, strength, backlogs.get(), numbers.next());
+  private Heartbeat ownHeartbeat() {
+    return state.heartbeat(zone, leaving, weight, backlogs.get(), sequence.next());
   }
 
-  private void heardDirectly(String box, Heartbeat beat) {
-    relay.heard(box, beat);
-    heard(box, beat, 0);
-    suspects.compare(box, beat.suspects());
-    if (beat.isOfFew()) {
-      sender.introduce(box);
+  private void onHeartbeat(String box, Heartbeat beat) {
+    relay.receive(box, beat);
+    applyHeartbeat(box, beat, 0);
+    suspects.compareDigest(box, beat.quarantineDigest());
+    if (beat.listsBoxes()) {
+      sender.sendIntroduction(box);
     }
   }
 
-  private void heardDigest(String relayBox, Digest digest) {
-    sender.heardDigest();
+  private void onDigest(String relayBox, Digest digest) {
+    sender.recordDigest();
     digest.entries().stream()
         .filter(entry -> entry.box().equals(relayBox))
-        .forEach(entry -> heardFromRelay(relayBox, entry.beat()));
-    relay.takeNewer(digest).forEach(entry -> heard(entry.box(), entry.beat(), entry.ageMillis()));
+        .forEach(entry -> onRelayHeartbeat(relayBox, entry.heartbeat()));
+    relay
+        .acceptNewer(digest)
+        .forEach(entry -> applyHeartbeat(entry.box(), entry.heartbeat(), entry.ageMillis()));
   }
 
-  private void heardFromRelay(String relayBox, Heartbeat beat) {
-    upstreamNews.heardFromRelay(relayBox, beat.upstreams());
-    suspects.compare(relayBox, beat.suspects());
+  private void onRelayHeartbeat(String relayBox, Heartbeat beat) {
+    listUpdates.onRelayRevision(relayBox, beat.upstreamsRevision());
+    suspects.compareDigest(relayBox, beat.quarantineDigest());
   }
 
-  private void heard(String box, Heartbeat beat, long ageMillis) {
-    peers.heard(box, beat.zone(), beat.leaving(), beat.strength(), ageMillis);
-    onBacklogs.accept(box, beat.backlogMillis());
-    known.add(box);
-    beat.boxes().stream().filter(other -> !other.equals(self)).forEach(known::add);
-    documents.learnConfigurationSoon(box, beat.configuration());
-    boolean otherDoubt = listDoubts.heard(box, ListTrust.ofCode(beat.listTrust()));
-    upstreamNews.heardOf(box, beat.upstreams());
-    boolean news = beliefs.heard(box, beat, ageMillis);
-    if (isNews(beat) || news || otherDoubt) {
-      sender.tellDigestsSoon();
+  private void applyHeartbeat(String box, Heartbeat beat, long ageMillis) {
+    peers.update(box, beat.zone(), beat.leaving(), beat.weight(), ageMillis);
+    backlogListener.accept(box, beat.backlogMillis());
+    knownBoxes.add(box);
+    beat.aliveBoxes().stream().filter(other -> !other.equals(self)).forEach(knownBoxes::add);
+    documents.scheduleConfigurationFetch(box, beat.configurationRevision());
+    boolean otherDoubt = listTrust.update(box, ListTrust.ofCode(beat.listTrust()));
+    listUpdates.onRevision(box, beat.upstreamsRevision());
+    boolean news = state.applyHeartbeat(box, beat, ageMillis);
+    if (hasNewRevision(beat) || news || otherDoubt) {
+      sender.scheduleDigests();
     }
   }
 
-  private boolean isNews(Heartbeat beat) {
-    boolean news = beat.configuration() > newestConfiguration || beat.upstreams() > newestUpstreams;
-    newestConfiguration = Math.max(newestConfiguration, beat.configuration());
-    newestUpstreams = Math.max(newestUpstreams, beat.upstreams());
+  private boolean hasNewRevision(Heartbeat beat) {
+    boolean news =
+        beat.configurationRevision() > latestConfigurationRevision
+            || beat.upstreamsRevision() > latestUpstreamsRevision;
+    latestConfigurationRevision =
+        Math.max(latestConfigurationRevision, beat.configurationRevision());
+    latestUpstreamsRevision = Math.max(latestUpstreamsRevision, beat.upstreamsRevision());
     return news;
   }
 
-  private <T> Mono<T> onLoop(Supplier<Mono<T>> action) {
+  private <T> Mono<T> supplyOnLoop(Supplier<Mono<T>> action) {
     return Mono.defer(action).subscribeOn(Schedulers.fromExecutor(loop));
   }
 
-  private Mono<Void> done(Runnable action) {
+  private Mono<Void> executeOnLoop(Runnable action) {
     return Mono.fromRunnable(() -> loop.execute(action));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/PlacedGroups.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DelegatedGroups.java
@@ -11,21 +11,21 @@
  * The groups that other boxes work on for this one, found by their request without a look at all
  * others. Confined to the event loop.
  */
-final class PlacedGroups {
+final class DelegatedGroups {
 
-  private final Map<String, List<PlacedGroup>> byRequest = new HashMap<>();
+  private final Map<String, List<DelegatedGroup>> byRequest = new HashMap<>();
 
   /** Adds a group that a box has. */
-  PlacedGroup add(StageGroup group, StageWorkListener listener, String box) {
-    PlacedGroup placed = new PlacedGroup(group, listener, box);
+  DelegatedGroup add(StageGroup group, StageWorkListener listener, String box) {
+    DelegatedGroup placed = new DelegatedGroup(group, listener, box);
     byRequest.computeIfAbsent(group.requestId(), id -> new ArrayList<>(2)).add(placed);
     return placed;
   }
 
   /** Takes a group out; returns whether it was still there. */
-  boolean remove(PlacedGroup placed) {
+  boolean remove(DelegatedGroup placed) {
     String request = placed.group().requestId();
-    List<PlacedGroup> ofRequest = byRequest.get(request);
+    List<DelegatedGroup> ofRequest = byRequest.get(request);
     if (ofRequest == null || !ofRequest.remove(placed)) {
       return false;
     }
@@ -36,12 +36,12 @@
   }
 
   /** Returns the groups of a request, as they are now. */
-  List<PlacedGroup> ofRequest(String requestId) {
+  List<DelegatedGroup> ofRequest(String requestId) {
     return List.copyOf(byRequest.getOrDefault(requestId, List.of()));
   }
 
   /** Returns the groups that a box has, as they are now. */
-  List<PlacedGroup> ofBox(String box) {
+  List<DelegatedGroup> ofBox(String box) {
     return byRequest.values().stream()
         .flatMap(List::stream)
         .filter(placed -> placed.box().equals(box))
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestEntry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestEntry.java
@@ -7,7 +7,7 @@
  *
  * @param box address of the box
  * @param ageMillis how long ago it was heard
- * @param beat what it told
+ * @param heartbeat what it told
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-record DigestEntry(String box, long ageMillis, Heartbeat beat) {}
+record DigestEntry(String box, long ageMillis, Heartbeat heartbeat) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestFormat.java
@@ -23,7 +23,7 @@
       packer.packArrayHeader(ENTRY_FIELDS);
       packer.packString(entry.box());
       packer.packLong(entry.ageMillis());
-      heartbeats.write(packer, entry.beat());
+      heartbeats.write(packer, entry.heartbeat());
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
@@ -12,45 +12,45 @@
 final class DocumentExchange {
 
   /** A box that reads the platform itself needs no other one for what is new. */
-  private static final long LEARN_DELAY_MILLIS = 150;
+  private static final long FETCH_DELAY_MILLIS = 150;
 
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final ListDoubts doubts;
-  private final DocumentLearner<DocumentAnswer> configurations;
-  private final DocumentLearner<UpstreamList> lists;
+  private final ListTrustTracker listTrust;
+  private final DocumentFetcher<DocumentAnswer> configurationFetcher;
+  private final DocumentFetcher<UpstreamList> upstreamListFetcher;
 
   DocumentExchange(
-      MeshLinks links,
+      MeshConnections links,
       EventLoop loop,
       DeploymentRegistry deployments,
       UpstreamRegistry upstreams,
-      ListDoubts doubts) {
-    this.doubts = doubts;
+      ListTrustTracker doubts) {
+    this.listTrust = doubts;
     this.deployments = deployments;
     this.upstreams = upstreams;
-    this.configurations =
-        new DocumentLearner<>(
+    this.configurationFetcher =
+        new DocumentFetcher<>(
             links,
             loop,
             MeshMessages.CONFIGURATION,
             DocumentAnswer.class,
             deployments::revision,
             (box, answer) -> deployments.offer(answer.document(), box));
-    this.lists =
-        new DocumentLearner<>(
+    this.upstreamListFetcher =
+        new DocumentFetcher<>(
             links,
             loop,
             MeshMessages.UPSTREAMS,
             UpstreamList.class,
             upstreams::revision,
-            (box, list) -> take(list));
+            (box, list) -> applyList(list));
   }
 
   /** A list that is doubted must be known to be before what it lacks is looked at. */
-  private void take(UpstreamList list) {
+  private void applyList(UpstreamList list) {
     if (list.doubted()) {
-      doubts.tookDoubtedList();
+      listTrust.onUnconfirmedList();
     }
     upstreams.replaceAll(list.revision(), list.upstreams());
   }
@@ -62,16 +62,16 @@
 
   UpstreamList upstreamList() {
     return new UpstreamList(
-        upstreams.revision(), List.copyOf(upstreams.listed()), upstreams.isDoubted());
+        upstreams.revision(), List.copyOf(upstreams.listed()), upstreams.areRemovalsUntrusted());
   }
 
   /** Asks a box for its configuration unless this box has one as new by then. */
-  void learnConfigurationSoon(String box, long revision) {
-    configurations.learnSoon(box, revision, LEARN_DELAY_MILLIS);
+  void scheduleConfigurationFetch(String box, long revision) {
+    configurationFetcher.scheduleFetch(box, revision, FETCH_DELAY_MILLIS);
   }
 
   /** Asks a box for its list of upstreams unless this box has one as new by then. */
-  void learnUpstreamsSoon(String box, long revision, long delayMillis) {
-    lists.learnSoon(box, revision, delayMillis);
+  void scheduleUpstreamsFetch(String box, long revision, long delayMillis) {
+    upstreamListFetcher.scheduleFetch(box, revision, delayMillis);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentLearner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentFetcher.java
@@ -11,17 +11,17 @@
  * Asks other boxes for one document, one at a time, as long as this box has none as new. Confined
  * to the event loop.
  */
-final class DocumentLearner<A> {
+final class DocumentFetcher<A> {
 
-  private static final Duration ANSWER_LIMIT = Duration.ofMillis(800);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(800);
 
-  private final MeshLinks links;
+  private final MeshConnections connections;
   private final EventLoop loop;
-  private final PeerMessageType<DocumentRequest> question;
+  private final PeerMessageType<DocumentRequest> requestType;
   private final Class<A> answerType;
   private final LongSupplier ownRevision;
-  private final BiConsumer<String, A> taker;
-  private boolean learning;
+  private final BiConsumer<String, A> consumer;
+  private boolean fetching;
 
   /**
    * Creates the learner.
@@ -29,36 +29,41 @@
    * @param ownRevision revision that this box has
    * @param taker takes what a box answered
    */
-  DocumentLearner(
-      MeshLinks links,
+  DocumentFetcher(
+      MeshConnections links,
       EventLoop loop,
       PeerMessageType<DocumentRequest> question,
       Class<A> answerType,
       LongSupplier ownRevision,
       BiConsumer<String, A> taker) {
-    this.links = links;
+    this.connections = links;
     this.loop = loop;
-    this.question = question;
+    this.requestType = question;
     this.answerType = answerType;
     this.ownRevision = ownRevision;
-    this.taker = taker;
+    this.consumer = taker;
   }
 
   /** Asks a box after a delay, unless this box has a revision as new by then. */
-  void learnSoon(String box, long revision, long delayMillis) {
+  void scheduleFetch(String box, long revision, long delayMillis) {
     if (revision > ownRevision.getAsLong()) {
-      loop.schedule(() -> learn(box, revision), delayMillis, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> fetch(box, revision), delayMillis, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void learn(String box, long revision) {
-    if (learning || ownRevision.getAsLong() >= revision) {
+  private void fetch(String box, long revision) {
+    if (fetching || ownRevision.getAsLong() >= revision) {
       return;
     }
-    learning = true;
-    links
-        .ask(box, question, new DocumentRequest(ownRevision.getAsLong()), answerType, ANSWER_LIMIT)
-        .doFinally(signal -> loop.execute(() -> learning = false))
-        .subscribe(answer -> loop.execute(() -> taker.accept(box, answer)), failure -> {});
+    fetching = true;
+    connections
+        .request(
+            box,
+            requestType,
+            new DocumentRequest(ownRevision.getAsLong()),
+            answerType,
+            RESPONSE_TIMEOUT)
+        .doFinally(signal -> loop.execute(() -> fetching = false))
+        .subscribe(answer -> loop.execute(() -> consumer.accept(box, answer)), failure -> {});
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
@@ -5,27 +5,28 @@
 import java.util.Map;
 import org.gradeledge.discovery.ZoneEvacuations;
 import org.gradeledge.limit.LimitReport;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
 
 /**
  * What a box tells all others again and again.
  *
  * @param zone its availability zone
  * @param leaving whether it is stopping
- * @param relayAsked whether the box that hears it directly is asked to pass it on
- * @param strength how much work for others it can bear; see RelaySettings
- * @param configuration revision of the configuration that it has in force
- * @param upstreams revision at which its list of upstreams last said something new
- * @param boxes addresses of the boxes that it hears; left out where heartbeats are relayed
- * @param shares what it has under way, by upstream
+ * @param relayRequested whether the box that hears it directly is asked to pass it on
+ * @param weight how much work for others it can bear; see RelaySettings
+ * @param configurationRevision revision of the configuration that it has in force
+ * @param upstreamsRevision revision at which its list of upstreams last said something new
+ * @param aliveBoxes addresses of the boxes that it hears; left out where heartbeats are relayed
+ * @param loadShares what it has under way, by upstream
  * @param backlogMillis how long the stage work that waits at it keeps each service busy, for each
  *     priority what is as urgent or more
- * @param piecesToCome pieces that its requests will want made, by service and priority
+ * @param pendingPieces pieces that its requests will want made, by service and priority
  * @param evacuations zones whose upstreams take nothing new
- * @param suspects a number that is the same where the same is known of requests that end upstreams
+ * @param quarantineDigest a number that is the same where the same is known of requests that end
+ *     upstreams
  * @param listTrust code of the {@link org.gradeledge.discovery.ListTrust} that it has in its list
  *     of upstreams
- * @param number rises with each heartbeat of a box, also over its lives; 0 from older boxes
+ * @param sequenceNumber rises with each heartbeat of a box, also over its lives; 0 from older boxes
  * @param limits limits that upstreams named to it or to others that told it
  * @param leavingUpstreams starts of upstreams that told it in an answer that they leave, while the
  *     list does not say so
@@ -34,24 +35,24 @@
 record Heartbeat(
     String zone,
     boolean leaving,
-    boolean relayAsked,
-    int strength,
-    long configuration,
-    long upstreams,
-    List<String> boxes,
-    Map<String, LoadShare> shares,
+    boolean relayRequested,
+    int weight,
+    long configurationRevision,
+    long upstreamsRevision,
+    List<String> aliveBoxes,
+    Map<String, BoxLoad> loadShares,
     Map<String, List<Long>> backlogMillis,
-    Map<String, List<Long>> piecesToCome,
+    Map<String, List<Long>> pendingPieces,
     ZoneEvacuations evacuations,
-    long suspects,
+    long quarantineDigest,
     int listTrust,
-    long number,
+    long sequenceNumber,
     List<LimitReport> limits,
     List<String> leavingUpstreams) {
 
   /** Returns whether the box knows so few others that it tells all of them what it hears. */
-  boolean isOfFew() {
-    return !boxes.isEmpty();
+  boolean listsBoxes() {
+    return !aliveBoxes.isEmpty();
   }
 
   /** Returns the same with the boxes that are heard. */
@@ -59,39 +60,39 @@
     return new Heartbeat(
         zone,
         leaving,
-        relayAsked,
-        strength,
-        configuration,
-        upstreams,
+        relayRequested,
+        weight,
+        configurationRevision,
+        upstreamsRevision,
         heard,
-        shares,
+        loadShares,
         backlogMillis,
-        piecesToCome,
+        pendingPieces,
         evacuations,
-        suspects,
+        quarantineDigest,
         listTrust,
-        number,
+        sequenceNumber,
         limits,
         leavingUpstreams);
   }
 
   /** Returns the same, to be passed on. */
-  Heartbeat askingToRelay() {
+  Heartbeat withRelayRequested() {
     return new Heartbeat(
         zone,
         leaving,
         true,
-        strength,
-        configuration,
-        upstreams,
-        boxes,
-        shares,
+        weight,
+        configurationRevision,
+        upstreamsRevision,
+        aliveBoxes,
+        loadShares,
         backlogMillis,
-        piecesToCome,
+        pendingPieces,
         evacuations,
-        suspects,
+        quarantineDigest,
         listTrust,
-        number,
+        sequenceNumber,
         limits,
         leavingUpstreams);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
@@ -8,7 +8,7 @@
 import org.gradeledge.discovery.ZoneEvacuations;
 import org.gradeledge.peer.MessageFormat;
 import org.gradeledge.peer.MessageReader;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
 import org.msgpack.core.MessagePacker;
 
 /** Heartbeats, as arrays. */
@@ -17,10 +17,10 @@
   private static final int FIELDS = 16;
 
   /** Fields that all older boxes send; they may know of none of those after them. */
-  private static final int FIRST_FIELDS = 10;
+  private static final int REQUIRED_FIELDS = 10;
 
-  private static final long NO_SUSPECTS = 0;
-  private static final long NO_NUMBER = 0;
+  private static final long NO_QUARANTINE_DIGEST = 0;
+  private static final long NO_SEQUENCE_NUMBER = 0;
   private static final int SHARE_FIELDS = 2;
   private static final int EVACUATION_FIELDS = 2;
 
@@ -29,24 +29,24 @@
     packer.packArrayHeader(FIELDS);
     packer.packString(beat.zone());
     packer.packBoolean(beat.leaving());
-    packer.packBoolean(beat.relayAsked());
-    packer.packInt(beat.strength());
-    packer.packLong(beat.configuration());
-    packer.packLong(beat.upstreams());
-    TextLists.write(packer, beat.boxes());
-    packer.packMapHeader(beat.shares().size());
-    for (Map.Entry<String, LoadShare> share : beat.shares().entrySet()) {
+    packer.packBoolean(beat.relayRequested());
+    packer.packInt(beat.weight());
+    packer.packLong(beat.configurationRevision());
+    packer.packLong(beat.upstreamsRevision());
+    TextLists.write(packer, beat.aliveBoxes());
+    packer.packMapHeader(beat.loadShares().size());
+    for (Map.Entry<String, BoxLoad> share : beat.loadShares().entrySet()) {
       packer.packString(share.getKey());
       packer.packArrayHeader(SHARE_FIELDS);
-      packer.packInt(share.getValue().running());
-      packer.packLong(share.getValue().tokens());
+      packer.packInt(share.getValue().inFlight());
+      packer.packLong(share.getValue().memory());
     }
     writeNumbers(packer, beat.backlogMillis());
-    writeNumbers(packer, beat.piecesToCome());
+    writeNumbers(packer, beat.pendingPieces());
     write(packer, beat.evacuations());
-    packer.packLong(beat.suspects());
+    packer.packLong(beat.quarantineDigest());
     packer.packInt(beat.listTrust());
-    packer.packLong(beat.number());
+    packer.packLong(beat.sequenceNumber());
     LimitReportFormat.writeAll(packer, beat.limits());
     TextLists.write(packer, beat.leavingUpstreams());
   }
@@ -71,7 +71,7 @@
 
   @Override
   public Heartbeat read(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(FIRST_FIELDS);
+    int more = reader.beginRecord(REQUIRED_FIELDS);
     Heartbeat beat =
         new Heartbeat(
             reader.text(),
@@ -85,9 +85,9 @@
             reader.map(HeartbeatFormat::readNumbers),
             reader.map(HeartbeatFormat::readNumbers),
             more > 0 ? readEvacuations(reader) : ZoneEvacuations.UNKNOWN,
-            more > 1 ? reader.number() : NO_SUSPECTS,
+            more > 1 ? reader.number() : NO_QUARANTINE_DIGEST,
             more > 2 ? reader.integer() : ListTrust.UNKNOWN.code(),
-            more > 3 ? reader.number() : NO_NUMBER,
+            more > 3 ? reader.number() : NO_SEQUENCE_NUMBER,
             more > 4 ? reader.list(LimitReportFormat::read) : List.of(),
             more > 5 ? reader.list(MessageReader::text) : List.of());
     reader.skip(Math.max(0, more - 6));
@@ -102,9 +102,9 @@
     return new ZoneEvacuations(revision, new HashSet<>(zones));
   }
 
-  private static LoadShare readShare(MessageReader reader) throws IOException {
+  private static BoxLoad readShare(MessageReader reader) throws IOException {
     int more = reader.beginRecord(SHARE_FIELDS);
-    LoadShare share = new LoadShare(reader.integer(), reader.number());
+    BoxLoad share = new BoxLoad(reader.integer(), reader.number());
     reader.skip(more);
     return share;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatRelay.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatRelay.java
@@ -19,21 +19,21 @@
    * The same heartbeat that comes over two relays seems to differ in age by less than this. Only
    * for those of older boxes, which have no number.
    */
-  private static final long SAME_MILLIS = 60;
+  private static final long MIN_AGE_DIFFERENCE_MILLIS = 60;
 
-  private static final long NO_NUMBER = 0;
+  private static final long NO_SEQUENCE_NUMBER = 0;
 
-  private static final long NANOS_OF_MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private record Held(Heartbeat beat, long heardNanos) {}
+  private record ReceivedHeartbeat(Heartbeat heartbeat, long receivedNanos) {}
 
   private final String self;
   private final MonotonicClock clock;
-  private final Map<String, Held> latest = new HashMap<>();
-  private final Map<String, Long> askedNanos = new HashMap<>();
+  private final Map<String, ReceivedHeartbeat> latest = new HashMap<>();
+  private final Map<String, Long> relayRequestedNanos = new HashMap<>();
 
   /** Kept when a box is lost: its last heartbeat, still on its way, must not bring it back. */
-  private final Map<String, Long> newestNumbers = new HashMap<>();
+  private final Map<String, Long> latestSequenceNumbers = new HashMap<>();
 
   HeartbeatRelay(String self, MonotonicClock clock) {
     this.self = self;
@@ -41,27 +41,27 @@
   }
 
   /** Takes in what a box told directly, and whether it asks for its heartbeats to be passed on. */
-  void heard(String box, Heartbeat beat) {
+  void receive(String box, Heartbeat beat) {
     long now = clock.nanos();
-    hold(box, beat, now);
-    if (beat.relayAsked()) {
-      askedNanos.put(box, now);
+    store(box, beat, now);
+    if (beat.relayRequested()) {
+      relayRequestedNanos.put(box, now);
     }
   }
 
   /** Takes a digest in; returns what is newer than what was known. */
-  List<DigestEntry> takeNewer(Digest digest) {
+  List<DigestEntry> acceptNewer(Digest digest) {
     return digest.entries().stream()
         .filter(entry -> !entry.box().equals(self))
-        .filter(this::take)
+        .filter(this::acceptIfNewer)
         .toList();
   }
 
-  private boolean take(DigestEntry entry) {
-    long heardNanos = clock.nanos() - entry.ageMillis() * NANOS_OF_MILLI;
+  private boolean acceptIfNewer(DigestEntry entry) {
+    long heardNanos = clock.nanos() - entry.ageMillis() * NANOS_PER_MILLI;
     boolean newer = isNewer(entry, heardNanos);
     if (newer) {
-      hold(entry.box(), entry.beat(), heardNanos);
+      store(entry.box(), entry.heartbeat(), heardNanos);
     }
     return newer;
   }
@@ -71,41 +71,42 @@
    * round on busy boxes would seem newer each time.
    */
   private boolean isNewer(DigestEntry entry, long heardNanos) {
-    Long newest = newestNumbers.get(entry.box());
-    if (newest != null && entry.beat().number() != NO_NUMBER) {
-      return entry.beat().number() > newest;
+    Long newest = latestSequenceNumbers.get(entry.box());
+    if (newest != null && entry.heartbeat().sequenceNumber() != NO_SEQUENCE_NUMBER) {
+      return entry.heartbeat().sequenceNumber() > newest;
     }
-    Held known = latest.get(entry.box());
-    return known == null || heardNanos - known.heardNanos() >= SAME_MILLIS * NANOS_OF_MILLI;
+    ReceivedHeartbeat known = latest.get(entry.box());
+    return known == null
+        || heardNanos - known.receivedNanos() >= MIN_AGE_DIFFERENCE_MILLIS * NANOS_PER_MILLI;
   }
 
-  private void hold(String box, Heartbeat beat, long heardNanos) {
-    latest.put(box, new Held(beat, heardNanos));
-    if (beat.number() != NO_NUMBER) {
-      newestNumbers.put(box, beat.number());
+  private void store(String box, Heartbeat beat, long heardNanos) {
+    latest.put(box, new ReceivedHeartbeat(beat, heardNanos));
+    if (beat.sequenceNumber() != NO_SEQUENCE_NUMBER) {
+      latestSequenceNumbers.put(box, beat.sequenceNumber());
     }
   }
 
   /** Forgets a box that is lost. */
-  void forget(String box) {
+  void removeBox(String box) {
     latest.remove(box);
-    askedNanos.remove(box);
+    relayRequestedNanos.remove(box);
   }
 
   /** Returns the boxes that this one passes heartbeats on for. */
-  Set<String> flock(long lastMillis) {
-    long since = clock.nanos() - lastMillis * NANOS_OF_MILLI;
-    askedNanos.values().removeIf(asked -> asked - since < 0);
-    return Set.copyOf(askedNanos.keySet());
+  Set<String> relayedBoxes(long lastMillis) {
+    long since = clock.nanos() - lastMillis * NANOS_PER_MILLI;
+    relayRequestedNanos.values().removeIf(asked -> asked - since < 0);
+    return Set.copyOf(relayRequestedNanos.keySet());
   }
 
   /** Returns what is known of all boxes, with the own heartbeat. */
-  Digest ofAll(Heartbeat own) {
+  Digest digestOfAll(Heartbeat own) {
     return digest(own, box -> true);
   }
 
   /** Returns what some boxes told this one, with the own heartbeat. */
-  Digest of(Collection<String> boxes, Heartbeat own) {
+  Digest digestOf(Collection<String> boxes, Heartbeat own) {
     return digest(own, boxes::contains);
   }
 
@@ -116,8 +117,8 @@
     latest.forEach(
         (box, held) -> {
           if (wanted.test(box)) {
-            long age = (now - held.heardNanos()) / NANOS_OF_MILLI;
-            entries.add(new DigestEntry(box, age, held.beat()));
+            long age = (now - held.receivedNanos()) / NANOS_PER_MILLI;
+            entries.add(new DigestEntry(box, age, held.heartbeat()));
           }
         });
     return new Digest(entries);
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatRoutes.java
@@ -12,27 +12,27 @@
  * Whom a box tells what it has. Few boxes tell all others. Among many, each tells two relays of its
  * zone, and the relays of different zones tell each other; so what a box sends and receives does
  * not grow with the number of boxes, but for the digests' length. Relays are those that rank first
- * ({@link PeerBoard#byRank}) among the boxes that are heard and connected. Connections are kept up
+ * ({@link PeerTable#byRank}) among the boxes that are heard and connected. Connections are kept up
  * with those and one spare of each zone alone, so that they do not grow with the number of boxes
  * either. Confined to the event loop.
  */
 final class HeartbeatRoutes {
 
   /** Up to so many boxes all tell all. */
-  static final int MOST_THAT_TELL_ALL = 12;
+  static final int MAX_FULL_MESH_BOXES = 12;
 
-  private static final int RELAYS_OF_ZONE = 2;
+  private static final int RELAYS_PER_ZONE = 2;
 
   /** Relays and a spare, which takes the place of one whose connection ends without a dial. */
-  private static final int CANDIDATES_OF_ZONE = RELAYS_OF_ZONE + 1;
+  private static final int CANDIDATES_PER_ZONE = RELAYS_PER_ZONE + 1;
 
   private final String self;
   private final String zone;
-  private final PeerBoard peers;
+  private final PeerTable peers;
   private final Supplier<Set<String>> connected;
   private final Predicate<String> unreachable;
   private final Map<String, List<String>> rankedByZone = new HashMap<>();
-  private Set<String> rankedAmong = Set.of();
+  private Set<String> rankedBoxes = Set.of();
 
   /**
    * Creates the routes of a box.
@@ -43,7 +43,7 @@
   HeartbeatRoutes(
       String self,
       String zone,
-      PeerBoard peers,
+      PeerTable peers,
       Supplier<Set<String>> connected,
       Predicate<String> unreachable) {
     this.self = self;
@@ -54,18 +54,18 @@
   }
 
   /** Returns whether there are so many boxes that heartbeats are relayed. */
-  boolean many() {
-    return areMany(peers.alive().size());
+  boolean usesRelays() {
+    return requiresRelays(peers.alive().size());
   }
 
   /** Returns whether heartbeats are relayed among so many boxes. */
-  static boolean areMany(int boxes) {
-    return boxes > MOST_THAT_TELL_ALL;
+  static boolean requiresRelays(int boxes) {
+    return boxes > MAX_FULL_MESH_BOXES;
   }
 
   /** Returns the relays of the own zone, without this box. */
-  List<String> ownRelays() {
-    return others(relays(zone, connected.get()::contains));
+  List<String> localRelays() {
+    return withoutSelf(relays(zone, connected.get()::contains));
   }
 
   /** Returns whether this box is a relay of its zone. */
@@ -74,7 +74,7 @@
   }
 
   /** Returns the relays of all other zones. */
-  List<String> foreignRelays() {
+  List<String> remoteRelays() {
     Set<String> reachable = connected.get();
     return peers.zones().stream()
         .filter(other -> !other.equals(zone))
@@ -83,31 +83,31 @@
   }
 
   /** Returns the boxes of the own zone to be connected with for heartbeats. */
-  List<String> ownCandidates() {
-    return others(first(zone, unreachable.negate(), CANDIDATES_OF_ZONE));
+  List<String> localCandidates() {
+    return withoutSelf(firstRanked(zone, unreachable.negate(), CANDIDATES_PER_ZONE));
   }
 
   /** Returns the boxes of other zones that a relay is to be connected with for digests. */
-  List<String> foreignCandidates() {
+  List<String> remoteCandidates() {
     return peers.zones().stream()
         .filter(other -> !other.equals(zone))
-        .flatMap(other -> first(other, unreachable.negate(), CANDIDATES_OF_ZONE).stream())
+        .flatMap(other -> firstRanked(other, unreachable.negate(), CANDIDATES_PER_ZONE).stream())
         .toList();
   }
 
   /** Returns whether this box is among the first so many of all that work for others. */
   boolean isAmongFirst(String duty, int count) {
-    return peers.working().stream()
+    return peers.available().stream()
         .sorted(RendezvousHash.byRank(duty))
         .limit(count)
         .anyMatch(self::equals);
   }
 
   private List<String> relays(String ofZone, Predicate<String> usable) {
-    return first(ofZone, usable, RELAYS_OF_ZONE);
+    return firstRanked(ofZone, usable, RELAYS_PER_ZONE);
   }
 
-  private List<String> first(String ofZone, Predicate<String> usable, int count) {
+  private List<String> firstRanked(String ofZone, Predicate<String> usable, int count) {
     return ranked(ofZone).stream()
         .filter(box -> box.equals(self) || usable.test(box))
         .limit(count)
@@ -116,22 +116,22 @@
 
   /** Each heartbeat asks several times, and the order changes only where a box does. */
   private List<String> ranked(String ofZone) {
-    Set<String> working = peers.working();
-    if (working != rankedAmong) {
-      rankedAmong = working;
+    Set<String> working = peers.available();
+    if (working != rankedBoxes) {
+      rankedBoxes = working;
       rankedByZone.clear();
     }
-    return rankedByZone.computeIfAbsent(ofZone, zoneName -> rankedOf(working, zoneName));
+    return rankedByZone.computeIfAbsent(ofZone, zoneName -> rankBoxes(working, zoneName));
   }
 
-  private List<String> rankedOf(Set<String> boxes, String ofZone) {
+  private List<String> rankBoxes(Set<String> boxes, String ofZone) {
     return boxes.stream()
         .filter(box -> peers.zoneOf(box).filter(ofZone::equals).isPresent())
         .sorted(peers.byRank("relay"))
         .toList();
   }
 
-  private List<String> others(List<String> boxes) {
+  private List<String> withoutSelf(List<String> boxes) {
     return boxes.stream().filter(box -> !box.equals(self)).toList();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
@@ -18,103 +18,103 @@
  */
 final class HeartbeatSender {
 
-  private static final long BEAT_MILLIS = 200;
-  private static final int BEATS_TO_LOSE = 5;
-  private static final long RELAYED_BEAT_MILLIS = 400;
-  private static final int RELAYED_BEATS_TO_LOSE = 10;
-  private static final int BEATS_OF_DIGEST = 3;
-  private static final Duration DIGEST_SILENCE = Duration.ofSeconds(3);
-  private static final Duration INTRODUCTION_PAUSE = Duration.ofSeconds(1);
-  private static final long NEWS_DELAY_MILLIS = 50;
+  private static final long DIRECT_INTERVAL_MILLIS = 200;
+  private static final int DIRECT_MISSED_LIMIT = 5;
+  private static final long RELAYED_INTERVAL_MILLIS = 400;
+  private static final int RELAYED_MISSED_LIMIT = 10;
+  private static final int HEARTBEATS_PER_DIGEST = 3;
+  private static final Duration DIGEST_TIMEOUT = Duration.ofSeconds(3);
+  private static final Duration INTRODUCTION_INTERVAL = Duration.ofSeconds(1);
+  private static final long DIGEST_DELAY_MILLIS = 50;
 
   private final PeerNetwork network;
   private final EventLoop loop;
   private final MonotonicClock clock;
-  private final PeerBoard peers;
+  private final PeerTable peers;
   private final HeartbeatRoutes routes;
   private final HeartbeatRelay relay;
-  private final Supplier<Heartbeat> own;
-  private final MeshLinks links;
-  private final Map<String, Long> introducedNanos = new HashMap<>();
-  private long digestNanos;
-  private long beats;
-  private boolean digestDue;
+  private final Supplier<Heartbeat> ownHeartbeat;
+  private final MeshConnections connections;
+  private final Map<String, Long> lastIntroductionNanos = new HashMap<>();
+  private long lastDigestNanos;
+  private long heartbeatCount;
+  private boolean digestScheduled;
 
   HeartbeatSender(
       PeerNetwork network,
       EventLoop loop,
       MonotonicClock clock,
-      PeerBoard peers,
+      PeerTable peers,
       HeartbeatRoutes routes,
       HeartbeatRelay relay,
-      MeshLinks links,
+      MeshConnections links,
       Supplier<Heartbeat> own) {
     this.network = network;
-    this.links = links;
+    this.connections = links;
     this.loop = loop;
     this.clock = clock;
     this.peers = peers;
     this.routes = routes;
     this.relay = relay;
-    this.own = own;
-    this.digestNanos = clock.nanos() - DIGEST_SILENCE.toNanos();
+    this.ownHeartbeat = own;
+    this.lastDigestNanos = clock.nanos() - DIGEST_TIMEOUT.toNanos();
   }
 
   /** Returns the time between heartbeats. */
   long intervalMillis() {
-    return routes.many() ? RELAYED_BEAT_MILLIS : BEAT_MILLIS;
+    return routes.usesRelays() ? RELAYED_INTERVAL_MILLIS : DIRECT_INTERVAL_MILLIS;
   }
 
   /** Returns after how long a box that is not heard counts as lost. */
-  long silenceMillis() {
-    return intervalMillis() * (routes.many() ? RELAYED_BEATS_TO_LOSE : BEATS_TO_LOSE);
+  long timeoutMillis() {
+    return intervalMillis() * (routes.usesRelays() ? RELAYED_MISSED_LIMIT : DIRECT_MISSED_LIMIT);
   }
 
   /** Sends what is due at each heartbeat. */
-  void beat() {
-    beats++;
-    tell();
-    if (routes.many() && digestTurn()) {
-      tellDigests();
+  void sendScheduled() {
+    heartbeatCount++;
+    sendHeartbeat();
+    if (routes.usesRelays() && isDigestDue()) {
+      sendDigests();
     }
   }
 
   /** Sends the own heartbeat. */
-  void tell() {
-    Heartbeat beat = own.get();
-    if (!routes.many()) {
+  void sendHeartbeat() {
+    Heartbeat beat = ownHeartbeat.get();
+    if (!routes.usesRelays()) {
       network.tellAll(MeshMessages.HEARTBEAT, beat.withBoxes(List.copyOf(peers.alive())));
       return;
     }
-    if (!hearsDigests() && digestTurn()) {
+    if (!receivesDigests() && isDigestDue()) {
       network.tellAll(MeshMessages.HEARTBEAT, beat);
     }
-    network.tellEach(routes.ownRelays(), MeshMessages.HEARTBEAT, beat.askingToRelay());
+    network.tellEach(routes.localRelays(), MeshMessages.HEARTBEAT, beat.withRelayRequested());
   }
 
   /** Sends digests without waiting for their turn, if there are enough boxes for them. */
-  void tellDigestsSoon() {
-    if (routes.many() && !digestDue) {
-      digestDue = true;
-      loop.schedule(this::tellDueDigests, NEWS_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+  void scheduleDigests() {
+    if (routes.usesRelays() && !digestScheduled) {
+      digestScheduled = true;
+      loop.schedule(this::sendScheduledDigests, DIGEST_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void tellDueDigests() {
-    digestDue = false;
-    tellDigests();
+  private void sendScheduledDigests() {
+    digestScheduled = false;
+    sendDigests();
   }
 
   /**
    * Tells a box that knows few others of all that are there, if there are many: it has just
    * started, and hears nobody who does not hear it.
    */
-  void introduce(String box) {
+  void sendIntroduction(String box) {
     long now = clock.nanos();
-    long last = introducedNanos.getOrDefault(box, now - INTRODUCTION_PAUSE.toNanos());
-    if (routes.many() && now - last >= INTRODUCTION_PAUSE.toNanos()) {
-      introducedNanos.put(box, now);
-      links.tellIfReached(box, MeshMessages.DIGEST, relay.ofAll(own.get()));
+    long last = lastIntroductionNanos.getOrDefault(box, now - INTRODUCTION_INTERVAL.toNanos());
+    if (routes.usesRelays() && now - last >= INTRODUCTION_INTERVAL.toNanos()) {
+      lastIntroductionNanos.put(box, now);
+      connections.sendIfReachable(box, MeshMessages.DIGEST, relay.digestOfAll(ownHeartbeat.get()));
     }
   }
 
@@ -122,66 +122,66 @@
    * Tries to meet a box that is not heard, and tells it of all that are: it has come back, or two
    * parts of the deployment were cut from each other.
    */
-  void meet(String box) {
-    links.tellIfReached(box, MeshMessages.DIGEST, relay.ofAll(own.get()));
+  void tryReconnect(String box) {
+    connections.sendIfReachable(box, MeshMessages.DIGEST, relay.digestOfAll(ownHeartbeat.get()));
   }
 
   /**
    * Returns the boxes to be connected with for heartbeats, where there are many. A box that others
    * asked to relay, or that ranks among the relays of its zone, needs those of other zones too.
    */
-  Set<String> neighbours() {
-    Set<String> flock = flock();
-    Set<String> boxes = new HashSet<>(routes.ownCandidates());
+  Set<String> requiredConnections() {
+    Set<String> flock = relayedBoxes();
+    Set<String> boxes = new HashSet<>(routes.localCandidates());
     boxes.addAll(flock);
-    if (speaksToOtherZones(flock)) {
-      boxes.addAll(routes.foreignCandidates());
+    if (sendsToOtherZones(flock)) {
+      boxes.addAll(routes.remoteCandidates());
     }
     return boxes;
   }
 
   /** Returns whom news goes to, where there are many boxes and each passes on what is new to it. */
-  Set<String> nextForNews() {
-    Set<String> flock = flock();
-    Set<String> boxes = new HashSet<>(routes.ownRelays());
+  Set<String> forwardingRecipients() {
+    Set<String> flock = relayedBoxes();
+    Set<String> boxes = new HashSet<>(routes.localRelays());
     boxes.addAll(flock);
-    if (speaksToOtherZones(flock)) {
-      boxes.addAll(routes.foreignRelays());
+    if (sendsToOtherZones(flock)) {
+      boxes.addAll(routes.remoteRelays());
     }
     return boxes;
   }
 
   /** Returns the boxes that this one passes heartbeats on for. */
-  private Set<String> flock() {
-    return relay.flock(silenceMillis());
+  private Set<String> relayedBoxes() {
+    return relay.relayedBoxes(timeoutMillis());
   }
 
-  private boolean speaksToOtherZones(Set<String> flock) {
+  private boolean sendsToOtherZones(Set<String> flock) {
     return !flock.isEmpty() || routes.isRelay();
   }
 
   /** Notes that a digest has come. */
-  void heardDigest() {
-    digestNanos = clock.nanos();
+  void recordDigest() {
+    lastDigestNanos = clock.nanos();
   }
 
   /** Returns whether there are many boxes and this one hears of them by digests. */
-  boolean hearsDigests() {
-    return routes.many() && clock.nanos() - digestNanos < DIGEST_SILENCE.toNanos();
+  boolean receivesDigests() {
+    return routes.usesRelays() && clock.nanos() - lastDigestNanos < DIGEST_TIMEOUT.toNanos();
   }
 
-  private boolean digestTurn() {
-    return beats % BEATS_OF_DIGEST == 0;
+  private boolean isDigestDue() {
+    return heartbeatCount % HEARTBEATS_PER_DIGEST == 0;
   }
 
-  private void tellDigests() {
-    Set<String> flock = flock();
-    Heartbeat beat = own.get();
+  private void sendDigests() {
+    Set<String> flock = relayedBoxes();
+    Heartbeat beat = ownHeartbeat.get();
     if (!flock.isEmpty()) {
-      network.tellEach(flock, MeshMessages.DIGEST, relay.ofAll(beat));
+      network.tellEach(flock, MeshMessages.DIGEST, relay.digestOfAll(beat));
     }
-    if (speaksToOtherZones(flock)) {
-      network.tellEach(routes.foreignRelays(), MeshMessages.DIGEST, relay.of(flock, beat));
+    if (sendsToOtherZones(flock)) {
+      network.tellEach(routes.remoteRelays(), MeshMessages.DIGEST, relay.digestOf(flock, beat));
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BeatNumbers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSequence.java
@@ -8,13 +8,13 @@
  * passed since. So they rise within a life, and from one life to the next; where the time of day
  * was set back in between, they are behind for no longer than by that. Confined to the event loop.
  */
-final class BeatNumbers {
+final class HeartbeatSequence {
 
   private final MonotonicClock clock;
   private final long startNanos;
   private final long startMillis;
 
-  BeatNumbers(MonotonicClock clock, long timeOfDayMillis) {
+  HeartbeatSequence(MonotonicClock clock, long timeOfDayMillis) {
     this.clock = clock;
     this.startNanos = clock.nanos();
     this.startMillis = timeOfDayMillis;
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/ListDoubts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/ListTrustTracker.java
@@ -13,40 +13,40 @@
  * trusts the list again. A box that the platform turns away alone doubts it too: that counts for
  * nothing beside one that reads it. Confined to the event loop.
  */
-final class ListDoubts {
+final class ListTrustTracker {
 
   /** A box that doubts says so in each heartbeat; within so many of them all have heard it. */
-  private static final int BEATS_TO_HEAR = 3;
+  private static final int PROPAGATION_HEARTBEATS = 3;
 
   private final UpstreamRegistry upstreams;
-  private final Map<String, ListTrust> told = new HashMap<>();
-  private Runnable onSettled = () -> {};
-  private boolean inDoubt;
-  private int beatsInDoubt;
+  private final Map<String, ListTrust> reportedTrust = new HashMap<>();
+  private Runnable confirmedAction = () -> {};
+  private boolean distrusted;
+  private int heartbeatsSinceDistrust;
 
-  ListDoubts(UpstreamRegistry upstreams) {
+  ListTrustTracker(UpstreamRegistry upstreams) {
     this.upstreams = upstreams;
   }
 
   /** Sets how the list is judged once it is not doubted any more. */
-  void onSettled(Runnable action) {
-    onSettled = action;
+  void onConfirmed(Runnable action) {
+    confirmedAction = action;
   }
 
   /** Hears what a box says of the list; returns whether it said something else before. */
-  boolean heard(String box, ListTrust trust) {
-    ListTrust before = told.put(box, trust);
+  boolean update(String box, ListTrust trust) {
+    ListTrust before = reportedTrust.put(box, trust);
     boolean other = before != trust;
     if (other) {
-      look();
+      evaluate();
     }
     return other && (before != null || trust == ListTrust.DOUBTED);
   }
 
   /** Forgets a box that is lost. */
-  void lost(String box) {
-    if (told.remove(box) != null) {
-      look();
+  void removeBox(String box) {
+    if (reportedTrust.remove(box) != null) {
+      evaluate();
     }
   }
 
@@ -54,38 +54,38 @@
    * Takes a list over from a box that doubts it, or was told so: a list may come sooner than the
    * heartbeat of the box that has noticed the outage.
    */
-  void tookDoubtedList() {
-    if (upstreams.trust() == ListTrust.UNKNOWN) {
-      doubt();
+  void onUnconfirmedList() {
+    if (upstreams.listTrust() == ListTrust.UNKNOWN) {
+      distrust();
     }
   }
 
   /** Notes that a heartbeat has passed. */
-  void beat() {
-    beatsInDoubt++;
-    if (inDoubt && beatsInDoubt > BEATS_TO_HEAR) {
-      look();
+  void onHeartbeatInterval() {
+    heartbeatsSinceDistrust++;
+    if (distrusted && heartbeatsSinceDistrust > PROPAGATION_HEARTBEATS) {
+      evaluate();
     }
   }
 
-  private void look() {
+  private void evaluate() {
     boolean doubted =
-        told.containsValue(ListTrust.DOUBTED)
-            && !told.containsValue(ListTrust.TRUSTED)
-            && upstreams.trust() == ListTrust.UNKNOWN;
+        reportedTrust.containsValue(ListTrust.DOUBTED)
+            && !reportedTrust.containsValue(ListTrust.TRUSTED)
+            && upstreams.listTrust() == ListTrust.UNKNOWN;
     if (doubted) {
-      doubt();
-    } else if (inDoubt) {
-      inDoubt = false;
-      onSettled.run();
+      distrust();
+    } else if (distrusted) {
+      distrusted = false;
+      confirmedAction.run();
     }
   }
 
-  private void doubt() {
-    if (!inDoubt) {
-      inDoubt = true;
-      beatsInDoubt = 0;
+  private void distrust() {
+    if (!distrusted) {
+      distrusted = true;
+      heartbeatsSinceDistrust = 0;
     }
-    upstreams.distrustRemovalsAsTold();
+    upstreams.distrustRemovalsReportedByPeer();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/LostBoxes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/LostBoxSelector.java
@@ -11,17 +11,17 @@
  * brings together what a cut has parted, and finds a box that came back while its seeds were away.
  * Confined to the event loop.
  */
-final class LostBoxes {
+final class LostBoxSelector {
 
   /**
    * How many of the boxes that are heard try a lost one at each heartbeat: at a heartbeat every 400
    * ms each lost box is tried five times a second, so that it is met within a second by far the
    * most times.
    */
-  private static final double TRIES_A_BEAT = 2;
+  private static final double ATTEMPTS_PER_HEARTBEAT = 2;
 
-  private final PeerBoard peers;
-  private final Set<String> known;
+  private final PeerTable peers;
+  private final Set<String> knownBoxes;
   private final Random random;
 
   /**
@@ -29,16 +29,16 @@
    *
    * @param known all boxes that were ever heard of; a view
    */
-  LostBoxes(PeerBoard peers, Set<String> known, Random random) {
+  LostBoxSelector(PeerTable peers, Set<String> known, Random random) {
     this.peers = peers;
-    this.known = known;
+    this.knownBoxes = known;
     this.random = random;
   }
 
   /** Returns the box to be tried at this heartbeat, if it is this box's turn. */
   Optional<String> next() {
-    List<String> lost = known.stream().filter(box -> !peers.isAlive(box)).sorted().toList();
-    double turn = TRIES_A_BEAT * lost.size() / peers.alive().size();
+    List<String> lost = knownBoxes.stream().filter(box -> !peers.isAlive(box)).sorted().toList();
+    double turn = ATTEMPTS_PER_HEARTBEAT * lost.size() / peers.alive().size();
     return lost.isEmpty() || random.nextDouble() >= turn
         ? Optional.empty()
         : Optional.of(lost.get(random.nextInt(lost.size())));
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshLinks.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshConnections.java
@@ -19,47 +19,47 @@
  * up until they have rested for a while. A box is named by the address that it listens on for
  * peers. Confined to the event loop.
  */
-final class MeshLinks {
+final class MeshConnections {
 
   /** Longer than the pauses of steady traffic, so that what is used is not opened again. */
-  private static final Duration REST = Duration.ofSeconds(10);
+  private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(10);
 
   /** A busy box takes a few tens of milliseconds for both greetings; work must not wait longer. */
-  private static final Duration OPENING_LIMIT = Duration.ofMillis(500);
+  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
   private final PeerNetwork network;
   private final MonotonicClock clock;
-  private final Map<String, Long> usedNanos = new HashMap<>();
+  private final Map<String, Long> lastUsedNanos = new HashMap<>();
 
-  MeshLinks(PeerNetwork network, MonotonicClock clock) {
+  MeshConnections(PeerNetwork network, MonotonicClock clock) {
     this.network = network;
     this.clock = clock;
   }
 
   /** Notes that boxes are needed; connections with them stay up for a while. */
-  void use(Collection<String> boxes) {
+  void markUsed(Collection<String> boxes) {
     long now = clock.nanos();
-    boxes.forEach(box -> usedNanos.put(box, now));
+    boxes.forEach(box -> lastUsedNanos.put(box, now));
   }
 
   /** Notes that a box is needed. */
-  void use(String box) {
-    use(List.of(box));
+  void markUsed(String box) {
+    markUsed(List.of(box));
   }
 
   /** Forgets a box that is lost; a connection with it that may have gone silent is closed. */
-  void lost(String box) {
-    usedNanos.remove(box);
+  void removeBox(String box) {
+    lastUsedNanos.remove(box);
     network.disconnect(box);
   }
 
   /** Keeps up the connections that are needed, and some more boxes' just now. */
-  void keepUp(Collection<String> more) {
-    long since = clock.nanos() - REST.toNanos();
-    usedNanos.values().removeIf(used -> used - since < 0);
-    Set<String> wanted = new HashSet<>(usedNanos.keySet());
+  void maintain(Collection<String> more) {
+    long since = clock.nanos() - IDLE_TIMEOUT.toNanos();
+    lastUsedNanos.values().removeIf(used -> used - since < 0);
+    Set<String> wanted = new HashSet<>(lastUsedNanos.keySet());
     wanted.addAll(more);
-    network.keepUp(wanted.stream().map(MeshLinks::address).toList());
+    network.keepUp(wanted.stream().map(MeshConnections::address).toList());
   }
 
   /** Returns whether the last dial of a box came to nothing. */
@@ -68,30 +68,30 @@
   }
 
   /** Sends a message, over a new connection if there is none. */
-  <T> void tell(String box, PeerMessageType<T> type, T message) {
-    use(box);
-    tellIfReached(box, type, message);
+  <T> void send(String box, PeerMessageType<T> type, T message) {
+    markUsed(box);
+    sendIfReachable(box, type, message);
   }
 
-  /** As {@link #tell}, but a box that cannot be reached is not dialed again for it. */
-  <T> void tellIfReached(String box, PeerMessageType<T> type, T message) {
+  /** As {@link #send}, but a box that cannot be reached is not dialed again for it. */
+  <T> void sendIfReachable(String box, PeerMessageType<T> type, T message) {
     network
-        .connect(address(box), OPENING_LIMIT)
+        .connect(address(box), CONNECT_TIMEOUT)
         .subscribe(
             ignored -> {},
             failure -> Logger.debug(failure, "{} was not told {}", box, type.name()),
             () -> {
-              use(box);
+              markUsed(box);
               network.tell(box, type, message);
             });
   }
 
   /** Asks a box, over a new connection if there is none; the limit counts from then on. */
-  <T, A> Mono<A> ask(
+  <T, A> Mono<A> request(
       String box, PeerMessageType<T> type, T message, Class<A> answerType, Duration limit) {
-    use(box);
+    markUsed(box);
     return network
-        .connect(address(box), limit.compareTo(OPENING_LIMIT) < 0 ? limit : OPENING_LIMIT)
+        .connect(address(box), limit.compareTo(CONNECT_TIMEOUT) < 0 ? limit : CONNECT_TIMEOUT)
         .then(network.ask(box, type, message, answerType, limit));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshStageWorkClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshStageWorkClient.java
@@ -10,47 +10,47 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import org.gradeledge.batch.BatchCoordinator;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.batch.StageGroup;
 import org.gradeledge.batch.StageGroupResult;
 import org.gradeledge.batch.StageWorkClient;
 import org.gradeledge.batch.StageWorkListener;
 
 /**
- * Hands the stage work of a service to the box that ranks first for it ({@link PeerBoard#byRank})
+ * Hands the stage work of a service to the box that ranks first for it ({@link PeerTable#byRank})
  * among those that are heard, so that the pieces of all boxes meet. If that box is lost or does not
  * take the work, this box does it itself. Confined to the event loop.
  */
 final class MeshStageWorkClient implements StageWorkClient {
 
-  private static final String NO_BOX_YET = "";
-  private static final long LOOK_AGAIN_MILLIS = 50;
+  private static final String UNASSIGNED = "";
+  private static final long RETRY_DELAY_MILLIS = 50;
 
   private final String self;
-  private final MeshLinks links;
-  private final PeerBoard peers;
-  private final BatchCoordinator local;
+  private final MeshConnections connections;
+  private final PeerTable peers;
+  private final BatchCoordinator localCoordinator;
   private final EventLoop loop;
-  private final PiecesToCome toCome;
-  private final PlacedGroups placed = new PlacedGroups();
-  private final Map<String, String> makers = new HashMap<>();
-  private final Map<String, Map<String, List<Long>>> toldBacklogs = new HashMap<>();
-  private final Map<String, String> coordinators = new HashMap<>();
-  private Set<String> coordinatorsAmong = Set.of();
+  private final PendingPieces pendingPieces;
+  private final DelegatedGroups delegated = new DelegatedGroups();
+  private final Map<String, String> boxByHandle = new HashMap<>();
+  private final Map<String, Map<String, List<Long>>> reportedBacklogs = new HashMap<>();
+  private final Map<String, String> ownerByService = new HashMap<>();
+  private Set<String> ownerCandidates = Set.of();
 
   MeshStageWorkClient(
       String self,
-      MeshLinks links,
-      PeerBoard peers,
+      MeshConnections links,
+      PeerTable peers,
       BatchCoordinator local,
       EventLoop loop,
-      PiecesToCome toCome) {
+      PendingPieces toCome) {
     this.self = self;
-    this.links = links;
+    this.connections = links;
     this.peers = peers;
-    this.local = local;
+    this.localCoordinator = local;
     this.loop = loop;
-    this.toCome = toCome;
+    this.pendingPieces = toCome;
   }
 
   /**
@@ -59,142 +59,142 @@
    */
   @Override
   public void submit(StageGroup group, StageWorkListener listener) {
-    if (peers.settled()) {
-      place(group, listener);
+    if (peers.isDiscoveryComplete()) {
+      delegate(group, listener);
       return;
     }
-    PlacedGroup placement = placed.add(group, listener, NO_BOX_YET);
-    loop.schedule(() -> submitAgain(placement), LOOK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+    DelegatedGroup placement = delegated.add(group, listener, UNASSIGNED);
+    loop.schedule(() -> resubmit(placement), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void submitAgain(PlacedGroup placement) {
-    if (placed.remove(placement)) {
+  private void resubmit(DelegatedGroup placement) {
+    if (delegated.remove(placement)) {
       submit(placement.group(), placement.listener());
     }
   }
 
-  private void place(StageGroup group, StageWorkListener listener) {
-    String box = coordinator(group.service());
+  private void delegate(StageGroup group, StageWorkListener listener) {
+    String box = owner(group.service());
     if (box.equals(self)) {
-      local.submit(group, listener);
+      localCoordinator.submit(group, listener);
       return;
     }
-    PlacedGroup placement = placed.add(group, listener, box);
-    links
-        .ask(
+    DelegatedGroup placement = delegated.add(group, listener, box);
+    connections
+        .request(
             box,
             MeshMessages.STAGE_WORK,
             group,
             StageGroupResult.class,
             Duration.ofMillis(Math.max(1, group.remainingMillis())))
         .subscribe(
-            result -> loop.execute(() -> answered(placement, result)),
-            failure -> loop.execute(() -> takeOver(placement)));
+            result -> loop.execute(() -> onResult(placement, result)),
+            failure -> loop.execute(() -> runLocally(placement)));
   }
 
   /** Each request asks several times, and the answer changes only where a box comes or goes. */
-  private String coordinator(String service) {
-    Set<String> working = peers.working();
-    if (working != coordinatorsAmong) {
-      coordinatorsAmong = working;
-      coordinators.clear();
+  private String owner(String service) {
+    Set<String> working = peers.available();
+    if (working != ownerCandidates) {
+      ownerCandidates = working;
+      ownerByService.clear();
     }
-    return coordinators.computeIfAbsent(service, name -> firstOf(working, name));
+    return ownerByService.computeIfAbsent(service, name -> firstRanked(working, name));
   }
 
-  private String firstOf(Set<String> boxes, String service) {
+  private String firstRanked(Set<String> boxes, String service) {
     return boxes.stream().min(peers.byRank(service)).orElse(self);
   }
 
-  private void answered(PlacedGroup placement, StageGroupResult result) {
-    if (!placed.remove(placement)) {
-      local.free(result.handles());
+  private void onResult(DelegatedGroup placement, StageGroupResult result) {
+    if (!delegated.remove(placement)) {
+      localCoordinator.release(result.handles());
       return;
     }
-    result.handles().forEach(handle -> makers.put(handle, result.box()));
-    placement.listener().ended(result);
+    result.handles().forEach(handle -> boxByHandle.put(handle, result.box()));
+    placement.listener().onEnd(result);
   }
 
-  private void takeOver(PlacedGroup placement) {
-    if (placed.remove(placement)) {
-      local.submit(placement.group(), placement.listener());
+  private void runLocally(DelegatedGroup placement) {
+    if (delegated.remove(placement)) {
+      localCoordinator.submit(placement.group(), placement.listener());
     }
   }
 
   /** Hears from a box that works on a group that its inputs have been fetched. */
-  void inputsTaken(String box, StageInputsTaken message) {
-    placed.ofRequest(message.requestId()).stream()
+  void onInputsTaken(String box, StageInputsTaken message) {
+    delegated.ofRequest(message.requestId()).stream()
         .filter(placement -> placement.box().equals(box))
         .filter(placement -> placement.group().stage() == message.stage())
-        .forEach(placement -> placement.listener().inputsTaken());
+        .forEach(placement -> placement.listener().onInputsFetched());
   }
 
   /** Does the work itself that a box had which is not heard any more. */
-  void lost(String box) {
-    toldBacklogs.remove(box);
-    placed.ofBox(box).forEach(this::takeOver);
+  void onBoxLost(String box) {
+    reportedBacklogs.remove(box);
+    delegated.ofBox(box).forEach(this::runLocally);
   }
 
   @Override
   public long backlogMillis(String service, int priority) {
-    String box = coordinator(service);
+    String box = owner(service);
     if (box.equals(self)) {
-      return local.backlogMillisOf(service, priority);
+      return localCoordinator.backlogMillisOf(service, priority);
     }
     List<Long> byPriority =
-        toldBacklogs.getOrDefault(box, Map.of()).getOrDefault(service, List.of());
+        reportedBacklogs.getOrDefault(box, Map.of()).getOrDefault(service, List.of());
     return byPriority.isEmpty() ? 0 : byPriority.get(Math.min(priority, byPriority.size() - 1));
   }
 
   /** Takes in what a box tells of the work that waits at it. */
-  void heardBacklogs(String box, Map<String, List<Long>> backlogMillis) {
-    toldBacklogs.put(box, backlogMillis);
+  void updateBacklogs(String box, Map<String, List<Long>> backlogMillis) {
+    reportedBacklogs.put(box, backlogMillis);
   }
 
   @Override
   public void announce(String service, int priority, int pieces) {
-    toCome.add(service, priority, pieces);
+    pendingPieces.add(service, priority, pieces);
   }
 
   @Override
   public void withdraw(String service, int priority, int pieces) {
-    toCome.remove(service, priority, pieces);
+    pendingPieces.remove(service, priority, pieces);
   }
 
   @Override
   public Optional<String> zoneOf(String handle) {
-    return local.zoneOf(handle);
+    return localCoordinator.zoneOf(handle);
   }
 
   @Override
   public void cancel(String service, String requestId) {
-    local.cancel(service, requestId);
-    placed.ofRequest(requestId).stream()
+    localCoordinator.cancel(service, requestId);
+    delegated.ofRequest(requestId).stream()
         .filter(placement -> placement.group().service().equals(service))
         .forEach(placement -> cancel(placement, new StageCancel(service, requestId)));
   }
 
-  private void cancel(PlacedGroup placement, StageCancel message) {
-    placed.remove(placement);
-    if (!placement.box().equals(NO_BOX_YET)) {
-      links.tell(placement.box(), MeshMessages.STAGE_CANCEL, message);
+  private void cancel(DelegatedGroup placement, StageCancel message) {
+    delegated.remove(placement);
+    if (!placement.box().equals(UNASSIGNED)) {
+      connections.send(placement.box(), MeshMessages.STAGE_CANCEL, message);
     }
   }
 
   @Override
-  public void free(String service, List<String> handles) {
+  public void release(String service, List<String> handles) {
     Map<String, List<String>> byBox =
         handles.stream()
-            .collect(Collectors.groupingBy(handle -> makers.getOrDefault(handle, self)));
-    handles.forEach(makers::remove);
+            .collect(Collectors.groupingBy(handle -> boxByHandle.getOrDefault(handle, self)));
+    handles.forEach(boxByHandle::remove);
     byBox.forEach(this::freeAt);
   }
 
   private void freeAt(String box, List<String> handles) {
     if (box.equals(self) || !peers.isAlive(box)) {
-      local.free(handles);
+      localCoordinator.release(handles);
     } else {
-      links.tell(box, MeshMessages.STAGE_FREE, new StageFree(handles));
+      connections.send(box, MeshMessages.STAGE_FREE, new StageFree(handles));
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/PeerBoard.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/PeerTable.java
@@ -17,57 +17,58 @@
 import org.gradeledge.time.MonotonicClock;
 
 /** Which boxes are heard, and which of them do work for others. Confined to the event loop. */
-final class PeerBoard {
+final class PeerTable {
 
-  private static final long FORGET_MILLIS = 60_000;
-  private static final long FIRST_LOOK_MILLIS = 500;
-  private static final long NOBODY_NEW_MILLIS = 300;
-  private static final long LAST_LOOK_MILLIS = 1_200;
+  private static final long RETENTION_MILLIS = 60_000;
+  private static final long MIN_DISCOVERY_MILLIS = 500;
+  private static final long QUIET_PERIOD_MILLIS = 300;
+  private static final long MAX_DISCOVERY_MILLIS = 1_200;
 
   /**
    * Twice the time over which what was sent to an upstream counts, and long after a box is lost.
    */
-  private static final Duration MAY_BE_AT_WORK = Duration.ofSeconds(10);
+  private static final Duration RANK_RETENTION = Duration.ofSeconds(10);
 
-  private record Seen(long nanos, String zone, boolean leaving, int strength, boolean alive) {
+  private record PeerState(
+      long reportedNanos, String zone, boolean leaving, int weight, boolean alive) {
 
     /** Returns the same of a box that is not heard any more. */
-    Seen lost() {
-      return new Seen(nanos, zone, leaving, strength, false);
+    PeerState asLost() {
+      return new PeerState(reportedNanos, zone, leaving, weight, false);
     }
 
     /** Returns whether anything but the time is not as it was. */
-    boolean differs(Seen before) {
+    boolean differsFrom(PeerState before) {
       return alive != before.alive
           || leaving != before.leaving
-          || strength != before.strength
+          || weight != before.weight
           || !zone.equals(before.zone);
     }
   }
 
   private final String self;
   private final String zone;
-  private final int strength;
+  private final int weight;
   private final MonotonicClock clock;
   private final EventLog events;
-  private final Map<String, Seen> seen = new HashMap<>();
+  private final Map<String, PeerState> peers = new HashMap<>();
   private final List<Consumer<String>> lostListeners = new ArrayList<>();
   private final long startNanos;
-  private long newestNanos;
+  private long lastJoinNanos;
   private boolean leaving;
   private Set<String> alive = Set.of();
-  private Set<String> working = Set.of();
+  private Set<String> available = Set.of();
   private Set<String> zones = Set.of();
 
-  PeerBoard(String self, String zone, int strength, MonotonicClock clock, EventLog events) {
+  PeerTable(String self, String zone, int strength, MonotonicClock clock, EventLog events) {
     this.self = self;
     this.zone = zone;
-    this.strength = strength;
+    this.weight = strength;
     this.clock = clock;
     this.startNanos = clock.nanos();
-    this.newestNanos = startNanos;
+    this.lastJoinNanos = startNanos;
     this.events = events;
-    lookAgain();
+    refreshSets();
   }
 
   void onLost(Consumer<String> listener) {
@@ -76,19 +77,19 @@
 
   void leave() {
     leaving = true;
-    lookAgain();
+    refreshSets();
   }
 
   /** Notes what a box told so many milliseconds ago. */
-  void heard(String box, String boxZone, boolean boxLeaving, int boxStrength, long ageMillis) {
+  void update(String box, String boxZone, boolean boxLeaving, int boxStrength, long ageMillis) {
     long nanos = clock.nanos() - ageMillis * 1_000_000;
-    Seen now = new Seen(nanos, boxZone, boxLeaving, boxStrength, true);
-    Seen before = seen.put(box, now);
-    if (before == null || now.differs(before)) {
-      lookAgain();
+    PeerState now = new PeerState(nanos, boxZone, boxLeaving, boxStrength, true);
+    PeerState before = peers.put(box, now);
+    if (before == null || now.differsFrom(before)) {
+      refreshSets();
     }
     if (before == null || !before.alive()) {
-      newestNanos = clock.nanos();
+      lastJoinNanos = clock.nanos();
       events.change("peer-heard").with("peer", box).write();
     }
   }
@@ -96,20 +97,20 @@
   /** Marks boxes that have been silent for too long; returns those that were lost just now. */
   void expire(long silentMillis) {
     long now = clock.nanos();
-    Set.copyOf(seen.keySet()).forEach(box -> expire(box, silentMillis, now));
+    Set.copyOf(peers.keySet()).forEach(box -> expire(box, silentMillis, now));
   }
 
   private void expire(String box, long silentMillis, long now) {
-    Seen last = seen.get(box);
-    long silent = (now - last.nanos()) / 1_000_000;
+    PeerState last = peers.get(box);
+    long silent = (now - last.reportedNanos()) / 1_000_000;
     if (last.alive() && silent > silentMillis) {
-      seen.put(box, last.lost());
-      lookAgain();
+      peers.put(box, last.asLost());
+      refreshSets();
       events.change("peer-lost").with("peer", box).with("silent-ms", silent).write();
       lostListeners.forEach(listener -> listener.accept(box));
-    } else if (silent > FORGET_MILLIS) {
-      seen.remove(box);
-      lookAgain();
+    } else if (silent > RETENTION_MILLIS) {
+      peers.remove(box);
+      refreshSets();
     }
   }
 
@@ -117,11 +118,12 @@
    * Returns whether this box has been up for long enough to know who else is there: it has looked
    * for a while and heard nobody new lately, or has looked for very long.
    */
-  boolean settled() {
+  boolean isDiscoveryComplete() {
     long now = clock.nanos();
     long up = (now - startNanos) / 1_000_000;
-    long nobodyNew = (now - newestNanos) / 1_000_000;
-    return up >= LAST_LOOK_MILLIS || (up >= FIRST_LOOK_MILLIS && nobodyNew >= NOBODY_NEW_MILLIS);
+    long nobodyNew = (now - lastJoinNanos) / 1_000_000;
+    return up >= MAX_DISCOVERY_MILLIS
+        || (up >= MIN_DISCOVERY_MILLIS && nobodyNew >= QUIET_PERIOD_MILLIS);
   }
 
   /**
@@ -130,14 +132,14 @@
    * not hear may go on. Empty while this box cannot know who is there.
    */
   Optional<BoxRank> rank(String duty) {
-    if (!settled()) {
+    if (!isDiscoveryComplete()) {
       return Optional.empty();
     }
     long own = RendezvousHash.weight(duty, self);
     long now = clock.nanos();
     List<String> others =
-        seen.entrySet().stream()
-            .filter(entry -> now - entry.getValue().nanos() < MAY_BE_AT_WORK.toNanos())
+        peers.entrySet().stream()
+            .filter(entry -> now - entry.getValue().reportedNanos() < RANK_RETENTION.toNanos())
             .map(Map.Entry::getKey)
             .filter(box -> !box.equals(self))
             .toList();
@@ -146,7 +148,7 @@
   }
 
   boolean isAlive(String box) {
-    Seen last = seen.get(box);
+    PeerState last = peers.get(box);
     return last != null && last.alive();
   }
 
@@ -154,7 +156,7 @@
   Optional<String> zoneOf(String box) {
     return box.equals(self)
         ? Optional.of(zone)
-        : Optional.ofNullable(seen.get(box)).map(Seen::zone);
+        : Optional.ofNullable(peers.get(box)).map(PeerState::zone);
   }
 
   /**
@@ -164,13 +166,13 @@
    * small differences do not bring all duties to one box.
    */
   Comparator<String> byRank(String duty) {
-    return Comparator.comparingInt(this::strengthClass)
+    return Comparator.comparingInt(this::weightClass)
         .reversed()
         .thenComparing(RendezvousHash.byRank(duty));
   }
 
-  private int strengthClass(String box) {
-    int known = box.equals(self) ? strength : seen.containsKey(box) ? seen.get(box).strength() : 0;
+  private int weightClass(String box) {
+    int known = box.equals(self) ? weight : peers.containsKey(box) ? peers.get(box).weight() : 0;
     return Integer.SIZE - Integer.numberOfLeadingZeros(known);
   }
 
@@ -188,16 +190,16 @@
    * Returns the boxes that do work for others; this one counts where there is no other. It is the
    * same set until one of them changes.
    */
-  Set<String> working() {
-    return working;
+  Set<String> available() {
+    return available;
   }
 
   /** These are asked for many times a request, and change only where a box comes or goes. */
-  private void lookAgain() {
+  private void refreshSets() {
     Set<String> zonesNow = new TreeSet<>(Set.of(zone));
     Set<String> aliveNow = new TreeSet<>(Set.of(self));
     Set<String> workingNow = new TreeSet<>();
-    seen.forEach(
+    peers.forEach(
         (box, last) -> {
           zonesNow.add(last.zone());
           addIf(last.alive(), aliveNow, box);
@@ -206,7 +208,7 @@
     addIf(!leaving || workingNow.isEmpty(), workingNow, self);
     zones = Collections.unmodifiableSet(zonesNow);
     alive = Collections.unmodifiableSet(aliveNow);
-    working = Collections.unmodifiableSet(workingNow);
+    available = Collections.unmodifiableSet(workingNow);
   }
 
   private static void addIf(boolean condition, Set<String> boxes, String box) {
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxBeliefs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import java.util.Map;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.limit.UpstreamLimits;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 
 /**
  * What a box holds to be so, which it tells others of and learns from them. Confined to the event
@@ -15,17 +15,17 @@
  *
  * @param deployments configuration in force
  * @param upstreams upstreams that are known
- * @param board load and health of upstreams
- * @param toCome pieces that requests will want made
+ * @param upstreamLoads load and health of upstreams
+ * @param pendingPieces pieces that requests will want made
  * @param quarantine requests that end upstreams
  * @param limits limits that upstreams name
  * @since 0.3
  */
-public record BoxBeliefs(
+public record SharedBoxState(
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    LoadBoard board,
-    PiecesToCome toCome,
+    UpstreamLoads upstreamLoads,
+    PendingPieces pendingPieces,
     Quarantine quarantine,
     UpstreamLimits limits) {
 
@@ -44,32 +44,32 @@
         deployments.revision(),
         upstreams.changedAt(),
         List.of(),
-        board.ownShares(),
+        upstreamLoads.ownLoads(),
         backlogMillis,
-        toCome.own(),
+        pendingPieces.ownCounts(),
         upstreams.evacuations(),
         quarantine.digest(),
-        upstreams.trust().code(),
+        upstreams.listTrust().code(),
         number,
         limits.reports(),
-        upstreams.leavingAsTheySaid());
+        upstreams.announcedLeaving());
   }
 
   /** Forgets what a box told of itself, as it is lost. */
-  void forget(String box) {
-    board.setPeerShares(box, Map.of());
-    toCome.forget(box);
+  void removeBox(String box) {
+    upstreamLoads.setPeerLoads(box, Map.of());
+    pendingPieces.removePeer(box);
   }
 
   /**
    * Takes in what a box tells; returns whether that orders the evacuation of other zones than
    * before, or tells of a limit or of an upstream that leaves which was not known.
    */
-  boolean heard(String box, Heartbeat beat, long ageMillis) {
-    board.setPeerShares(box, beat.shares());
-    toCome.told(box, beat.piecesToCome());
-    boolean limited = limits.told(box, beat.limits(), ageMillis);
-    boolean leaving = upstreams.toldLeaving(box, beat.leavingUpstreams());
-    return upstreams.evacuate(beat.evacuations()) || limited || leaving;
+  boolean applyHeartbeat(String box, Heartbeat beat, long ageMillis) {
+    upstreamLoads.setPeerLoads(box, beat.loadShares());
+    pendingPieces.setPeerCounts(box, beat.pendingPieces());
+    boolean limited = limits.merge(box, beat.limits(), ageMillis);
+    boolean leaving = upstreams.applyPeerLeavingAnnouncements(box, beat.leavingUpstreams());
+    return upstreams.applyEvacuations(beat.evacuations()) || limited || leaving;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageWorkHandler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageWorkHandler.java
@@ -12,54 +12,54 @@
 final class StageWorkHandler {
 
   private final BatchCoordinator coordinator;
-  private final MeshLinks links;
+  private final MeshConnections connections;
 
-  StageWorkHandler(BatchCoordinator coordinator, MeshLinks links) {
+  StageWorkHandler(BatchCoordinator coordinator, MeshConnections links) {
     this.coordinator = coordinator;
-    this.links = links;
+    this.connections = links;
   }
 
   /** Starts the work; if nobody waits for it any more it is cancelled, and its results given up. */
-  Mono<StageGroupResult> work(String box, StageGroup group) {
+  Mono<StageGroupResult> handle(String box, StageGroup group) {
     return Mono.create(
         sink -> {
-          Handed handed = new Handed(box, group, sink);
+          RemoteGroup handed = new RemoteGroup(box, group, sink);
           sink.onCancel(handed::cancel);
           coordinator.submit(group, handed);
         });
   }
 
   /** A group of another box, which hears how it goes as long as it waits for it. */
-  private final class Handed implements StageWorkListener {
+  private final class RemoteGroup implements StageWorkListener {
 
     private final String box;
     private final StageGroup group;
     private final MonoSink<StageGroupResult> sink;
-    private final AtomicBoolean wanted = new AtomicBoolean(true);
+    private final AtomicBoolean awaited = new AtomicBoolean(true);
 
-    Handed(String box, StageGroup group, MonoSink<StageGroupResult> sink) {
+    RemoteGroup(String box, StageGroup group, MonoSink<StageGroupResult> sink) {
       this.box = box;
       this.group = group;
       this.sink = sink;
     }
 
     void cancel() {
-      wanted.set(false);
+      awaited.set(false);
       coordinator.cancel(group.service(), group.requestId());
     }
 
     @Override
-    public void ended(StageGroupResult result) {
-      if (wanted.get()) {
+    public void onEnd(StageGroupResult result) {
+      if (awaited.get()) {
         sink.success(result);
       } else {
-        coordinator.free(result.handles());
+        coordinator.release(result.handles());
       }
     }
 
     @Override
-    public void inputsTaken() {
-      links.tell(
+    public void onInputsFetched() {
+      connections.send(
           box,
           MeshMessages.STAGE_INPUTS_TAKEN,
           new StageInputsTaken(group.requestId(), group.stage()));
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.quarantine.SuspectNews;
+import org.gradeledge.quarantine.SuspectUpdate;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -21,7 +21,7 @@
   /**
    * Two boxes that differ need one message each way; a busy one takes some hundred milliseconds.
    */
-  private static final long TELL_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long RESEND_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   private final Quarantine quarantine;
   private final PeerNetwork network;
@@ -29,8 +29,8 @@
   private final HeartbeatSender sender;
   private final EventLoop loop;
   private final MonotonicClock clock;
-  private final Map<String, Long> toldNanos = new HashMap<>();
-  private boolean gathering;
+  private final Map<String, Long> lastSentNanos = new HashMap<>();
+  private boolean sendScheduled;
 
   SuspectExchange(
       Quarantine quarantine,
@@ -45,56 +45,56 @@
     this.sender = sender;
     this.loop = loop;
     this.clock = clock;
-    quarantine.onNews(this::tellSoon);
+    quarantine.onUpdate(this::scheduleSend);
   }
 
   /** An upstream takes many requests along, and all are heard of in one turn: one message. */
-  private void tellSoon() {
-    if (!gathering) {
-      gathering = true;
-      loop.execute(this::tellGathered);
+  private void scheduleSend() {
+    if (!sendScheduled) {
+      sendScheduled = true;
+      loop.execute(this::sendPending);
     }
   }
 
-  private void tellGathered() {
-    gathering = false;
-    spread(quarantine.takeNews());
+  private void sendPending() {
+    sendScheduled = false;
+    broadcast(quarantine.takeUpdate());
   }
 
   /** Takes in what a box tells; among many boxes what is new is passed on. */
-  void heard(SuspectNews news) {
-    SuspectNews changed = quarantine.merge(news);
-    if (routes.many()) {
-      spread(changed);
+  void receive(SuspectUpdate news) {
+    SuspectUpdate changed = quarantine.merge(news);
+    if (routes.usesRelays()) {
+      broadcast(changed);
     }
   }
 
-  private void spread(SuspectNews news) {
+  private void broadcast(SuspectUpdate news) {
     if (news.isEmpty()) {
       return;
     }
-    if (!routes.many()) {
+    if (!routes.usesRelays()) {
       network.tellAll(MeshMessages.SUSPECTS, news);
       return;
     }
-    network.tellEach(sender.nextForNews(), MeshMessages.SUSPECTS, news);
+    network.tellEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, news);
   }
 
   /** Hears from a connected box by its own heartbeat what it knows, as a number. */
-  void compare(String box, long digest) {
+  void compareDigest(String box, long digest) {
     if (digest == quarantine.digest()) {
       return;
     }
     long now = clock.nanos();
-    Long last = toldNanos.get(box);
-    if (last == null || now - last > TELL_AGAIN_NANOS) {
-      toldNanos.put(box, now);
-      network.tell(box, MeshMessages.SUSPECTS, quarantine.all());
+    Long last = lastSentNanos.get(box);
+    if (last == null || now - last > RESEND_INTERVAL_NANOS) {
+      lastSentNanos.put(box, now);
+      network.tell(box, MeshMessages.SUSPECTS, quarantine.snapshot());
     }
   }
 
   /** Forgets a box that is lost. */
-  void lost(String box) {
-    toldNanos.remove(box);
+  void removeBox(String box) {
+    lastSentNanos.remove(box);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamNews.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListUpdates.java
@@ -10,24 +10,24 @@
  * that news costs one message of the zone in place of one call to the platform for each box.
  * Confined to the event loop.
  */
-final class UpstreamNews {
+final class UpstreamListUpdates {
 
   /**
    * A relay has the news and passes it on within about 200 ms; a box that has not learned it by
    * then reads it itself, well within the shortest bound for upstreams that leave (2 s).
    */
-  private static final long OWN_READ_MILLIS = 500;
+  private static final long READ_DELAY_MILLIS = 500;
 
   /** A box that cannot read the platform either asks whoever had the news first. */
-  private static final long ASK_ANYBODY_MILLIS = 1_000;
+  private static final long FALLBACK_FETCH_DELAY_MILLIS = 1_000;
 
   private final HeartbeatRoutes routes;
   private final UpstreamRegistry upstreams;
   private final DocumentExchange documents;
   private final EventLoop loop;
-  private Runnable read = () -> {};
+  private Runnable readAction = () -> {};
 
-  UpstreamNews(
+  UpstreamListUpdates(
       HeartbeatRoutes routes,
       UpstreamRegistry upstreams,
       DocumentExchange documents,
@@ -39,36 +39,36 @@
   }
 
   /** Sets how the list is read from the platform. */
-  void onRead(Runnable action) {
-    read = action;
+  void setReadAction(Runnable action) {
+    readAction = action;
   }
 
   /** Hears that a box has a list of some revision. */
-  void heardOf(String box, long revision) {
+  void onRevision(String box, long revision) {
     if (upstreams.revision() >= revision) {
       return;
     }
-    if (!routes.many()) {
-      read.run();
-      documents.learnUpstreamsSoon(box, revision, 0);
+    if (!routes.usesRelays()) {
+      readAction.run();
+      documents.scheduleUpstreamsFetch(box, revision, 0);
       return;
     }
     if (routes.isRelay()) {
-      read.run();
+      readAction.run();
     } else {
-      loop.schedule(() -> readUnlessLearned(revision), OWN_READ_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> readIfOutdated(revision), READ_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
-    documents.learnUpstreamsSoon(box, revision, ASK_ANYBODY_MILLIS);
+    documents.scheduleUpstreamsFetch(box, revision, FALLBACK_FETCH_DELAY_MILLIS);
   }
 
   /** Hears from a relay itself that it has a list of some revision. */
-  void heardFromRelay(String relay, long revision) {
-    documents.learnUpstreamsSoon(relay, revision, 0);
+  void onRelayRevision(String relay, long revision) {
+    documents.scheduleUpstreamsFetch(relay, revision, 0);
   }
 
-  private void readUnlessLearned(long revision) {
+  private void readIfOutdated(long revision) {
     if (upstreams.revision() < revision) {
-      read.run();
+      readAction.run();
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/metrics/BoxMetrics.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/metrics/BoxMetrics.java
@@ -23,7 +23,7 @@
 public final class BoxMetrics {
 
   private final PrometheusRegistry registry = new PrometheusRegistry();
-  private boolean processIncluded;
+  private boolean jvmMetricsRegistered;
 
   private final Counter requests =
       Counter.builder()
@@ -151,7 +151,7 @@
 
   /** Returns all metrics and the process's own figures in the Prometheus text format. */
   public byte[] exposition() {
-    includeProcess();
+    registerJvmMetrics();
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try {
       PrometheusTextFormatWriter.create().write(out, registry.scrape());
@@ -162,9 +162,9 @@
   }
 
   /** The process's figures load much of the JVM's management, which a box need not wait for. */
-  private synchronized void includeProcess() {
-    if (!processIncluded) {
-      processIncluded = true;
+  private synchronized void registerJvmMetrics() {
+    if (!jvmMetricsRegistered) {
+      jvmMetricsRegistered = true;
       JvmMetrics.builder().register(registry);
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
@@ -85,7 +85,7 @@
             "configuration",
             adapters.orderTable(),
             new OperatorTableListener(
-                adapters.orders(), deployments, registry, loop, mesh::tellNow),
+                adapters.orders(), deployments, registry, loop, mesh::announceNow),
             loop,
             clock,
             events,
@@ -96,7 +96,7 @@
             registry,
             adapters.upstreamReader(),
             new UnreadableRows(events, onUnreadableRow),
-            mesh::tellNow,
+            mesh::announceNow,
             loop,
             clock,
             leavingBound);
@@ -119,8 +119,8 @@
             events,
             new FollowPace(this::verdictWait, this::verdictPause, () -> VERDICT_BACKOFF));
     listener.onLook(upstreams::lookNow);
-    mesh.onUpstreamNews(upstreams::lookNow);
-    mesh.onListSettled(listener::settled);
+    mesh.onNewUpstreamList(upstreams::lookNow);
+    mesh.onListConfirmed(listener::settled);
   }
 
   void start() {
@@ -145,7 +145,7 @@
   }
 
   private Duration configurationWait() {
-    return mesh.hearsDigests() ? LONG_CONFIGURATION_WAIT : CONFIGURATION_WAIT;
+    return mesh.receivesDigests() ? LONG_CONFIGURATION_WAIT : CONFIGURATION_WAIT;
   }
 
   /** Boxes that hear each other share the reading, as each tells the others what it learned. */
@@ -154,17 +154,17 @@
   }
 
   private Duration upstreamBackoff() {
-    return mesh.hearsDigests() && !isReader() ? BACKOFF_OF_OTHERS : BACKOFF;
+    return mesh.receivesDigests() && !isReader() ? BACKOFF_OF_OTHERS : BACKOFF;
   }
 
   private boolean isReader() {
-    return mesh.hasDuty("read-upstreams", READERS);
+    return mesh.isAssigned("read-upstreams", READERS);
   }
 
   private double partOfBound() {
-    if (mesh.hearsDigests()) {
+    if (mesh.receivesDigests()) {
       return isReader() ? PAUSE_OF_READER : PAUSE_OF_OTHERS;
     }
-    return mesh.boxes() < BOXES_THAT_SHARE ? PAUSE_ALONE : PAUSE_OF_FEW;
+    return mesh.aliveCount() < BOXES_THAT_SHARE ? PAUSE_ALONE : PAUSE_OF_FEW;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -6,20 +6,20 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.batch.BatchCoordinator;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.batch.StageWorkClient;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.PooledUpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.Deployment;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.deployment.ServiceDefinition;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
-import org.gradeledge.mesh.BoxBeliefs;
+import org.gradeledge.limit.SendLimiter;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.mesh.BoxMesh;
+import org.gradeledge.mesh.SharedBoxState;
 import org.gradeledge.metrics.BoxMetrics;
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.peer.PeerSecret;
@@ -31,9 +31,9 @@
 import org.gradeledge.relay.RelayServices;
 import org.gradeledge.retry.RetryBudget;
 import org.gradeledge.selection.LeastLoadedChooser;
-import org.gradeledge.selection.LoadBoard;
 import org.gradeledge.selection.PrefixAffinityChooser;
 import org.gradeledge.selection.UpstreamChooser;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.ClockJump;
 import org.gradeledge.time.MonotonicClock;
 import org.gradeledge.time.SuspensionAwareClock;
@@ -61,7 +61,7 @@
   private final EventLog events;
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final PiecesToCome toCome = new PiecesToCome();
+  private final PendingPieces toCome = new PendingPieces();
   private final BoxMesh mesh;
   private final RelayMetrics metrics = new RelayMetrics();
   private final BoxMetrics boxMetrics = new BoxMetrics();
@@ -81,33 +81,33 @@
     SuspensionAwareClock clock = SuspensionAwareClock.ofMachine();
     this.deployments = new DeploymentRegistry(adapters.configurations(), events);
     this.upstreams = new UpstreamRegistry(events);
-    LoadBoard board = new LoadBoard(clock, events);
+    UpstreamLoads board = new UpstreamLoads(clock, events);
     Quarantine quarantine = new Quarantine(clock);
     UpstreamSending sending = new UpstreamSending(clock, events, upstreams, this::service);
     this.mesh =
         newMesh(
-            new BoxBeliefs(deployments, upstreams, board, toCome, quarantine, sending.limits()),
+            new SharedBoxState(deployments, upstreams, board, toCome, quarantine, sending.limits()),
             clock);
     VerdictKeeper verdicts = newVerdictKeeper(quarantine, adapters);
     this.followers = newFollowers(adapters, verdicts, clock);
     RetryBudget budget = newRetryBudget(clock);
     PooledUpstreamCaller caller = new PooledUpstreamCaller(loop, this::connectionLimit, clock);
-    upstreams.onEnd(caller::end);
-    upstreams.onReplaced(caller::breakOff);
+    upstreams.onRetired(caller::retire);
+    upstreams.onReplaced(caller::abort);
     sending.listen(caller, adapters.signals(), mesh);
-    LimitedSending limited = sending.limited(mesh);
+    UpstreamRateLimiter limited = sending.limited(mesh);
     sending.show(metrics, limited);
-    upstreams.onEnd(board::forget);
+    upstreams.onRetired(board::remove);
     BatchCoordinator coordinator =
         BatchCoordinator.builder()
             .box(peerName(settings), loop, clock)
             .upstreams(upstreams, service -> service(service).flatMap(ServiceDefinition::batch))
             .calls(caller, adapters.stages())
-            .beliefs(board, budget, events)
-            .toCome(toCome)
-            .sending(SendingRule.allOf(limited, sending.backoffs()))
+            .loadAndRetries(board, budget, events)
+            .pendingPieces(toCome)
+            .sendingRule(SendLimiter.allOf(limited, sending.backoffs()))
             .build();
-    StageWorkClient stageWork = mesh.stageWork(coordinator);
+    StageWorkClient stageWork = mesh.stageWorkClient(coordinator);
     RelayServices services =
         new RelayServices(
             settings.zone(),
@@ -117,10 +117,10 @@
             upstreams,
             board,
             newChooser(board),
-            SendingRule.allOf(sending.cold(this::boxes), limited, sending.backoffs()),
+            SendLimiter.allOf(sending.cold(this::boxes), limited, sending.backoffs()),
             budget,
             caller,
-            new UpstreamEnds(caller, upstreams::hasLeft),
+            new LivenessChecker(caller, upstreams::hasLeft),
             quarantine,
             verdicts,
             adapters.relay(),
@@ -148,12 +148,12 @@
       handler.expireOverdue();
     }
     if (jump.mayBeSuspension()) {
-      caller.closeResting();
+      caller.closeIdle();
       followers.wokeUp();
     }
   }
 
-  private UpstreamChooser newChooser(LoadBoard board) {
+  private UpstreamChooser newChooser(UpstreamLoads board) {
     return new PrefixAffinityChooser(
         board, new LeastLoadedChooser(board, new Random()), this::memoryTokens);
   }
@@ -164,7 +164,7 @@
         adapters.verdictTable(),
         loop,
         System::currentTimeMillis,
-        () -> mesh.hasDuty(VERDICT_DUTY, VERDICT_WRITERS),
+        () -> mesh.isAssigned(VERDICT_DUTY, VERDICT_WRITERS),
         events);
   }
 
@@ -192,7 +192,7 @@
         metrics::unreadableRow);
   }
 
-  private BoxMesh newMesh(BoxBeliefs beliefs, MonotonicClock clock) {
+  private BoxMesh newMesh(SharedBoxState beliefs, MonotonicClock clock) {
     PeerTransport transport =
         new PeerTransport(Optional.empty(), Optional.empty(), Optional.of(loops));
     PeerNetwork network =
@@ -239,7 +239,7 @@
   }
 
   private int boxes() {
-    return Math.max(FEWEST_BOXES, mesh.boxes());
+    return Math.max(FEWEST_BOXES, mesh.aliveCount());
   }
 
   private Optional<ServiceDefinition> service(String name) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 import org.gradeledge.connection.CallFailure;
-import org.gradeledge.connection.UpstreamCall;
+import org.gradeledge.connection.CancellableCall;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.jspecify.annotations.Nullable;
 
@@ -18,7 +18,7 @@
   private final UpstreamRecord upstream;
   private final long tokens;
   private final long startNanos;
-  private @Nullable UpstreamCall call;
+  private @Nullable CancellableCall call;
   private boolean finished;
   private boolean notRun;
 
@@ -27,7 +27,7 @@
     this.upstream = upstream;
     this.tokens = tokens;
     this.startNanos = services.clock().nanos();
-    services.loads().started(upstream, tokens);
+    services.loads().recordStart(upstream, tokens);
   }
 
   /** Called when the upstream reports that it did not run the request. */
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public final void setCall(UpstreamCall upstreamCall) {
+  public final void setCall(CancellableCall upstreamCall) {
     call = upstreamCall;
     if (finished) {
       upstreamCall.cancel();
@@ -65,14 +65,14 @@
   @Override
   public final void abandonAsSilent() {
     cancel();
-    services.upstreamCaller().forget(upstream);
-    services.loads().failed(upstream, true, "silent");
+    services.upstreamCaller().discardConnections(upstream);
+    services.loads().recordFailure(upstream, true, "silent");
   }
 
   @Override
   public final void onHead(int status, HttpHeaders headers) {
-    services.loads().heard(upstream);
-    services.quarantine().heardFrom(upstream.start());
+    services.loads().recordActivity(upstream);
+    services.quarantine().recordAlive(upstream.incarnationId());
     AnswerSignals signals = services.protocol().readAnswer(status, headers);
     notRun = signals.notRun();
     if (!notRun) {
@@ -95,25 +95,25 @@
   @Override
   public final void onFailure(CallFailure failure) {
     if (finish()) {
-      services.metrics().attemptEnded(failure.sent() ? "broken" : "not_sent");
+      services.metrics().attemptEnded(failure.isRequestSent() ? "broken" : "not_sent");
       recordFailure(failure);
       onAnswerIncomplete(failure);
     }
   }
 
   private void recordFailure(CallFailure failure) {
-    if (failure.blamesUpstream()) {
+    if (failure.isUpstreamFault()) {
       boolean certain = failure == CallFailure.NOT_CONNECTED;
-      services.loads().failed(upstream, certain, failure.name());
+      services.loads().recordFailure(upstream, certain, failure.name());
     }
   }
 
   /** Records a success or a failure of the upstream from the status of its answer. */
   final void recordStatus(int status) {
     if (status >= FIRST_SERVER_ERROR) {
-      services.loads().failed(upstream, false, "status " + status);
+      services.loads().recordFailure(upstream, false, "status " + status);
     } else {
-      services.loads().succeeded(upstream, (services.clock().nanos() - startNanos) / 1e6);
+      services.loads().recordSuccess(upstream, (services.clock().nanos() - startNanos) / 1e6);
     }
   }
 
@@ -134,7 +134,7 @@
       return false;
     }
     finished = true;
-    services.loads().ended(upstream, tokens);
+    services.loads().recordEnd(upstream, tokens);
     return true;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/Attempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/Attempt.java
@@ -1,7 +1,7 @@
 package org.gradeledge.relay;
 
 import org.gradeledge.connection.CallListener;
-import org.gradeledge.connection.UpstreamCall;
+import org.gradeledge.connection.CancellableCall;
 import org.gradeledge.discovery.UpstreamRecord;
 
 /** One attempt to send a request to an upstream. Confined to the event loop. */
@@ -11,7 +11,7 @@
   UpstreamRecord upstream();
 
   /** Sets the call, so that the attempt can cancel it. */
-  void setCall(UpstreamCall call);
+  void setCall(CancellableCall call);
 
   /** Cancels the call. */
   void cancel();
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeContext.java
@@ -65,8 +65,11 @@
 
   /** Counts the request for the retry budgets of all services that it uses. */
   void countRequest() {
-    services.retryBudget().requested(admitted.service());
-    admitted.route().stages().forEach(stage -> services.retryBudget().requested(stage.service()));
+    services.retryBudget().recordRequest(admitted.service());
+    admitted
+        .route()
+        .stages()
+        .forEach(stage -> services.retryBudget().recordRequest(stage.service()));
   }
 
   /** Takes one retry from the budget; returns whether it allowed one. */
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
@@ -157,7 +157,7 @@
       finish(Refusal.STAGES_FAILED, "upstream refused with " + status);
       return;
     } else {
-      services.loads().pause(rejected.upstream(), REJECTION_PAUSE_MILLIS);
+      services.loads().avoidFor(rejected.upstream(), REJECTION_PAUSE_MILLIS);
     }
     retry("not run, status " + status, Refusal.UPSTREAMS_FULL, true);
   }
@@ -175,7 +175,7 @@
   public void failed(Attempt failedAttempt, CallFailure failure) {
     timers.stopWatchdog();
     outcome.attemptFailed(failedAttempt.upstream(), failure);
-    if (failure.sent()) {
+    if (failure.isRequestSent()) {
       boolean mayRun = history.mayRunAgain();
       history.recordPossibleRun();
       quarantine.connectionLost(failedAttempt.upstream(), () -> connectionLost(mayRun, failure));
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
@@ -2,17 +2,17 @@
 
 import io.netty.channel.EventLoop;
 import org.gradeledge.batch.StageWorkClient;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.UpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.quarantine.Trials;
+import org.gradeledge.quarantine.QuarantineTrials;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
 import org.gradeledge.selection.UpstreamChooser;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -43,14 +43,14 @@
     MonotonicClock clock,
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    LoadBoard loads,
+    UpstreamLoads loads,
     UpstreamChooser chooser,
-    SendingRule sendingRule,
+    SendLimiter sendingRule,
     RetryBudget retryBudget,
     UpstreamCaller upstreamCaller,
-    UpstreamEnds crashDetector,
+    LivenessChecker crashDetector,
     Quarantine quarantine,
-    Trials trials,
+    QuarantineTrials trials,
     RelayProtocol protocol,
     StageWorkClient stageWorkClient,
     RelayMetrics metrics,
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestQuarantine.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestQuarantine.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.gradeledge.connection.UpstreamProof;
+import org.gradeledge.connection.LivenessResult;
 import org.gradeledge.deployment.ClientAccount;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.quarantine.Quarantine;
@@ -43,7 +43,7 @@
 
   /** Returns whether the request must not be sent to any upstream. */
   boolean isQuarantined() {
-    return !trial && isShapeKnown() && quarantine.bars(fingerprint());
+    return !trial && isShapeKnown() && quarantine.isQuarantined(fingerprint());
   }
 
   /**
@@ -64,7 +64,7 @@
     EventLoop loop = services.eventLoop();
     services
         .trials()
-        .take(fingerprint())
+        .claim(fingerprint())
         .onErrorReturn(false)
         .defaultIfEmpty(false)
         .subscribe(
@@ -87,13 +87,13 @@
   }
 
   private Optional<Duration> untilTrial() {
-    return services.trials().untilNext(fingerprint());
+    return services.trials().timeUntilNext(fingerprint());
   }
 
   /** Records that the request was answered completely. */
   void recordAnswered() {
     if (isShapeKnown()) {
-      quarantine.answered(fingerprint());
+      quarantine.recordSuccess(fingerprint());
     }
   }
 
@@ -103,10 +103,10 @@
    * because one more crash may quarantine the request.
    */
   void connectionLost(UpstreamRecord upstream, Runnable continuation) {
-    boolean suspect = isShapeKnown() && quarantine.endsUnder(fingerprint()) > 0;
+    boolean suspect = isShapeKnown() && quarantine.crashCount(fingerprint()) > 0;
     services
         .crashDetector()
-        .prove(
+        .check(
             upstream,
             result -> {
               recordLivenessCheck(upstream, result);
@@ -123,28 +123,28 @@
    * Records the result of a liveness check. Only a refused connection counts as a crash, since
    * silence may be a network partition.
    */
-  private void recordLivenessCheck(UpstreamRecord upstream, UpstreamProof result) {
+  private void recordLivenessCheck(UpstreamRecord upstream, LivenessResult result) {
     services
         .events()
         .problem("upstream-broke-off")
         .with("fingerprint", fingerprint().toString())
         .with("request", admitted.request().id())
-        .with("upstream", upstream.start())
+        .with("upstream", upstream.incarnationId())
         .with("service", upstream.service())
         .with("proof", result.name())
         .write();
-    if (result == UpstreamProof.REFUSED) {
-      quarantine.endedUnder(fingerprint(), upstream.start());
+    if (result == LivenessResult.REFUSED) {
+      quarantine.recordCrash(fingerprint(), upstream.incarnationId());
     }
   }
 
   /** Records that upstreams crashed while processing a stage of the request. */
   void recordStageCrashes(List<String> incarnations) {
-    incarnations.forEach(incarnation -> quarantine.endedUnder(fingerprint(), incarnation));
+    incarnations.forEach(incarnation -> quarantine.recordCrash(fingerprint(), incarnation));
   }
 
   private boolean isShapeKnown() {
-    return quarantine.knowsShape(identity.shape());
+    return quarantine.hasShapeHash(identity.shapeHash());
   }
 
   private RequestFingerprint fingerprint() {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
@@ -214,12 +214,12 @@
     }
 
     @Override
-    public void ended(StageGroupResult result) {
+    public void onEnd(StageGroupResult result) {
       StagePlan.this.stageEnded(stage, result);
     }
 
     @Override
-    public void inputsTaken() {
+    public void onInputsFetched() {
       if (!finished && running.contains(stage)) {
         results.recordInputsFetched(stage);
       }
@@ -230,7 +230,7 @@
     running.remove(stage);
     timeline.stageEnded(stage, result);
     if (finished) {
-      client.free(stages.get(stage).service(), result.handles());
+      client.release(stages.get(stage).service(), result.handles());
       return;
     }
     if (result.outcome() == StageOutcome.MADE) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
@@ -82,7 +82,7 @@
   void discardInputs(int stage) {
     stagesWithFetchedInputs.remove(stage);
     for (int predecessor : stages.get(stage).after()) {
-      client.free(stages.get(predecessor).service(), handlesOf(predecessor));
+      client.release(stages.get(predecessor).service(), handlesOf(predecessor));
       handlesByStage.remove(predecessor);
       stagesWithFetchedInputs.remove(predecessor);
       if (stages.get(predecessor).after().stream().anyMatch(this::isReleased)) {
@@ -92,7 +92,8 @@
   }
 
   void releaseAll() {
-    handlesByStage.forEach((stage, handles) -> client.free(stages.get(stage).service(), handles));
+    handlesByStage.forEach(
+        (stage, handles) -> client.release(stages.get(stage).service(), handles));
     handlesByStage.clear();
     stagesWithFetchedInputs.clear();
   }
@@ -128,7 +129,7 @@
   }
 
   private void release(int stage) {
-    client.free(stages.get(stage).service(), handlesOf(stage));
+    client.release(stages.get(stage).service(), handlesOf(stage));
     handlesByStage.replace(stage, List.of());
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StreamAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StreamAttempt.java
@@ -75,7 +75,7 @@
   @Override
   public void onContent(ByteBuf content) {
     lastActivityNanos = services().clock().nanos();
-    services().loads().heard(upstream());
+    services().loads().recordActivity(upstream());
     if (!isStream()) {
       byte[] bytes = new byte[content.readableBytes()];
       content.readBytes(bytes);
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.gradeledge.discovery.UpstreamRecord;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.selection.Demand;
 
 /** The upstreams that one request may be sent to; each is tried once. */
@@ -58,8 +58,8 @@
   Optional<UpstreamRecord> chooseNext() {
     List<UpstreamRecord> untried = untried().filter(this::admitsRequest).toList();
     Optional<UpstreamRecord> chosen = services.chooser().choose(untried, demand());
-    chosen.ifPresent(upstream -> tried.add(upstream.start()));
-    chosen.ifPresent(services.sendingRule()::sent);
+    chosen.ifPresent(upstream -> tried.add(upstream.incarnationId()));
+    chosen.ifPresent(services.sendingRule()::recordSent);
     return chosen;
   }
 
@@ -80,7 +80,7 @@
 
   private Stream<UpstreamRecord> untried() {
     return services.upstreams().usable(service).stream()
-        .filter(each -> !tried.contains(each.start()));
+        .filter(each -> !tried.contains(each.incarnationId()));
   }
 
   /**
@@ -90,9 +90,9 @@
    * @param ahead number of requests that are sent before this one
    */
   OptionalDouble millisUntilNext(long ahead) {
-    SendingRule sending = services.sendingRule();
+    SendLimiter sending = services.sendingRule();
     List<UpstreamRecord> untried = untried().toList();
-    double totalRate = untried.stream().mapToDouble(sending::perSecond).sum();
+    double totalRate = untried.stream().mapToDouble(sending::requestsPerSecond).sum();
     if (Double.isInfinite(totalRate)) {
       return OptionalDouble.of(0);
     }
@@ -119,7 +119,7 @@
   private double shareOf(
       UpstreamRecord upstream, double totalRate, List<UpstreamRecord> candidates) {
     return totalRate > 0
-        ? services.sendingRule().perSecond(upstream) / totalRate
+        ? services.sendingRule().requestsPerSecond(upstream) / totalRate
         : 1.0 / candidates.size();
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
@@ -4,8 +4,8 @@
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaders;
-import org.gradeledge.connection.AnswerBody;
 import org.gradeledge.connection.CallFailure;
+import org.gradeledge.connection.ResponseBuffer;
 import org.gradeledge.discovery.UpstreamRecord;
 
 /** An attempt whose answer is buffered and forwarded once it is complete. */
@@ -14,7 +14,7 @@
   private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
 
   private final AttemptListener listener;
-  private final AnswerBody body = new AnswerBody(MAX_BODY_BYTES);
+  private final ResponseBuffer body = new ResponseBuffer(MAX_BODY_BYTES);
   private int status;
   private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
 
@@ -49,6 +49,6 @@
   @Override
   void onAnswerComplete() {
     recordStatus(status);
-    listener.answered(this, status, headers, Unpooled.wrappedBuffer(body.bytes()));
+    listener.answered(this, status, headers, Unpooled.wrappedBuffer(body.toByteArray()));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
@@ -105,8 +105,8 @@
 
   private void noteLeaving(Heartbeat.LeavingUpstream leaving) {
     upstreams
-        .at(leaving.host(), leaving.port())
-        .ifPresent(state -> state.leaving(leaving.incarnation()));
+        .findByAddress(leaving.host(), leaving.port())
+        .ifPresent(state -> state.markLeaving(leaving.incarnation()));
   }
 
   private List<Heartbeat.LeavingUpstream> leavingUpstreams() {
--- a/gradeledge-core/src/test/java/org/gradeledge/event/RecordedEvents.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/event/RecordedEvents.java
@@ -7,12 +7,12 @@
 /** A log whose lines a test counts. */
 public final class RecordedEvents {
 
-  private static final String LAST = "last-line-so-far";
+  private static final String MARKER = "last-line-so-far";
 
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
   private final EventLog log =
       new EventLog(new PrintStream(bytes, true, StandardCharsets.UTF_8), "test");
-  private int looks;
+  private int markerCount;
 
   /** Returns the log. */
   public EventLog log() {
@@ -21,7 +21,7 @@
 
   /** Returns how many lines of an event were written, once all so far are. */
   public long count(String event) {
-    String last = LAST + ++looks;
+    String last = MARKER + ++markerCount;
     log.change(last).write();
     while (lines(last) == 0) {
       Thread.onSpinWait();
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/PlacedGroupsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/DelegatedGroupsTests.java
@@ -8,17 +8,17 @@
 import org.gradeledge.batch.StageWorkListener;
 import org.junit.jupiter.api.Test;
 
-class PlacedGroupsTests {
+class DelegatedGroupsTests {
 
   private static final StageWorkListener NOBODY = result -> {};
 
-  private final PlacedGroups placed = new PlacedGroups();
+  private final DelegatedGroups placed = new DelegatedGroups();
 
   @Test
   void findsTheGroupsOfARequestAndOfABox() {
-    PlacedGroup first = placed.add(group("one", 0), NOBODY, "box-1");
-    PlacedGroup second = placed.add(group("one", 1), NOBODY, "box-2");
-    PlacedGroup other = placed.add(group("two", 0), NOBODY, "box-1");
+    DelegatedGroup first = placed.add(group("one", 0), NOBODY, "box-1");
+    DelegatedGroup second = placed.add(group("one", 1), NOBODY, "box-2");
+    DelegatedGroup other = placed.add(group("two", 0), NOBODY, "box-1");
 
     assertThat(placed.ofRequest("one")).containsExactly(first, second);
     assertThat(placed.ofBox("box-1")).containsExactlyInAnyOrder(first, other);
@@ -26,8 +26,8 @@
 
   @Test
   void takesOutOneOfTwoThatAreAlikeAndEachOnlyOnce() {
-    PlacedGroup first = placed.add(group("one", 0), NOBODY, "box-1");
-    PlacedGroup second = placed.add(group("one", 0), NOBODY, "box-1");
+    DelegatedGroup first = placed.add(group("one", 0), NOBODY, "box-1");
+    DelegatedGroup second = placed.add(group("one", 0), NOBODY, "box-1");
 
     assertThat(placed.remove(first)).isTrue();
     assertThat(placed.remove(first)).isFalse();
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/HeartbeatRelayTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/HeartbeatRelayTests.java
@@ -16,10 +16,10 @@
 
   @Test
   void passesOnWhatItHeardWithItsAge() {
-    relay.heard("one", Heartbeats.of("zone-a", 3));
+    relay.receive("one", Heartbeats.of("zone-a", 3));
     nowNanos += 250 * MILLI;
 
-    assertThat(relay.ofAll(OWN).entries())
+    assertThat(relay.digestOfAll(OWN).entries())
         .containsExactly(
             new DigestEntry("self", 0, OWN),
             new DigestEntry("one", 250, Heartbeats.of("zone-a", 3)));
@@ -27,33 +27,33 @@
 
   @Test
   void worksForThoseThatAskedAShortWhileAgo() {
-    relay.heard("asks", Heartbeats.of("zone-a", 1).askingToRelay());
-    relay.heard("does-not", Heartbeats.of("zone-a", 1));
-    assertThat(relay.flock(1_000)).containsExactly("asks");
+    relay.receive("asks", Heartbeats.of("zone-a", 1).withRelayRequested());
+    relay.receive("does-not", Heartbeats.of("zone-a", 1));
+    assertThat(relay.relayedBoxes(1_000)).containsExactly("asks");
 
     nowNanos += 1_001 * MILLI;
 
-    assertThat(relay.flock(1_000)).isEmpty();
+    assertThat(relay.relayedBoxes(1_000)).isEmpty();
   }
 
   @Test
   void theSameHeartbeatOverTwoRelaysCountsOnce() {
     DigestEntry entry = new DigestEntry("far", 100, Heartbeats.of("zone-b", 1));
-    assertThat(relay.takeNewer(new Digest(List.of(entry)))).containsExactly(entry);
+    assertThat(relay.acceptNewer(new Digest(List.of(entry)))).containsExactly(entry);
     nowNanos += 20 * MILLI;
     DigestEntry again = new DigestEntry("far", 110, Heartbeats.of("zone-b", 1));
 
-    assertThat(relay.takeNewer(new Digest(List.of(again)))).isEmpty();
+    assertThat(relay.acceptNewer(new Digest(List.of(again)))).isEmpty();
   }
 
   @Test
   void anOlderHeartbeatNeverTakesThePlaceOfANewerOne() {
-    relay.heard("one", Heartbeats.of("zone-a", 7));
+    relay.receive("one", Heartbeats.of("zone-a", 7));
 
     DigestEntry older = new DigestEntry("one", 500, Heartbeats.of("zone-a", 6));
-    assertThat(relay.takeNewer(new Digest(List.of(older)))).isEmpty();
+    assertThat(relay.acceptNewer(new Digest(List.of(older)))).isEmpty();
 
-    assertThat(relay.ofAll(OWN).entries())
+    assertThat(relay.digestOfAll(OWN).entries())
         .contains(new DigestEntry("one", 0, Heartbeats.of("zone-a", 7)));
   }
 
@@ -66,63 +66,67 @@
    */
   @Test
   void theLastHeartbeatOfABoxThatHasEndedDoesNotGoRoundForEver() {
-    Heartbeat last = Heartbeats.numbered("zone-b", 77);
+    Heartbeat last = Heartbeats.withSequenceNumber("zone-b", 77);
     DigestEntry told = new DigestEntry("gone", 100, last);
-    assertThat(relay.takeNewer(new Digest(List.of(told)))).containsExactly(told);
+    assertThat(relay.acceptNewer(new Digest(List.of(told)))).containsExactly(told);
 
     for (int times = 0; times < 20; times++) {
       nowNanos += 400 * MILLI;
-      assertThat(relay.takeNewer(new Digest(List.of(told)))).isEmpty();
+      assertThat(relay.acceptNewer(new Digest(List.of(told)))).isEmpty();
     }
-    relay.forget("gone");
+    relay.removeBox("gone");
 
-    assertThat(relay.takeNewer(new Digest(List.of(told)))).isEmpty();
-    assertThat(relay.ofAll(OWN).entries()).extracting(DigestEntry::box).containsExactly("self");
+    assertThat(relay.acceptNewer(new Digest(List.of(told)))).isEmpty();
+    assertThat(relay.digestOfAll(OWN).entries())
+        .extracting(DigestEntry::box)
+        .containsExactly("self");
   }
 
   @Test
   void aBoxThatIsBackIsHeardByItsNextHeartbeat() {
-    relay.takeNewer(
-        new Digest(List.of(new DigestEntry("back", 0, Heartbeats.numbered("zone-b", 77)))));
-    relay.forget("back");
-    DigestEntry next = new DigestEntry("back", 0, Heartbeats.numbered("zone-b", 78));
+    relay.acceptNewer(
+        new Digest(
+            List.of(new DigestEntry("back", 0, Heartbeats.withSequenceNumber("zone-b", 77)))));
+    relay.removeBox("back");
+    DigestEntry next = new DigestEntry("back", 0, Heartbeats.withSequenceNumber("zone-b", 78));
 
-    assertThat(relay.takeNewer(new Digest(List.of(next)))).containsExactly(next);
+    assertThat(relay.acceptNewer(new Digest(List.of(next)))).containsExactly(next);
   }
 
   /** The time of day of its machine was set back meanwhile. */
   @Test
   void whoIsHeardDirectlyIsThereWhateverItsNumber() {
-    relay.heard("back", Heartbeats.numbered("zone-b", 77));
-    relay.heard("back", Heartbeats.numbered("zone-b", 5));
-    DigestEntry next = new DigestEntry("back", 0, Heartbeats.numbered("zone-b", 6));
+    relay.receive("back", Heartbeats.withSequenceNumber("zone-b", 77));
+    relay.receive("back", Heartbeats.withSequenceNumber("zone-b", 5));
+    DigestEntry next = new DigestEntry("back", 0, Heartbeats.withSequenceNumber("zone-b", 6));
 
-    assertThat(relay.takeNewer(new Digest(List.of(next)))).containsExactly(next);
+    assertThat(relay.acceptNewer(new Digest(List.of(next)))).containsExactly(next);
   }
 
   /** News that follows a heartbeat within a few milliseconds is not the same heartbeat. */
   @Test
   void theNextHeartbeatIsNewHoweverSoonItComes() {
-    relay.takeNewer(
-        new Digest(List.of(new DigestEntry("far", 100, Heartbeats.numbered("zone-b", 77)))));
-    DigestEntry next = new DigestEntry("far", 100, Heartbeats.numbered("zone-b", 78));
+    relay.acceptNewer(
+        new Digest(
+            List.of(new DigestEntry("far", 100, Heartbeats.withSequenceNumber("zone-b", 77)))));
+    DigestEntry next = new DigestEntry("far", 100, Heartbeats.withSequenceNumber("zone-b", 78));
 
-    assertThat(relay.takeNewer(new Digest(List.of(next)))).containsExactly(next);
+    assertThat(relay.acceptNewer(new Digest(List.of(next)))).containsExactly(next);
   }
 
   @Test
   void doesNotTakeItsOwnHeartbeatBack() {
     DigestEntry own = new DigestEntry("self", 0, OWN);
 
-    assertThat(relay.takeNewer(new Digest(List.of(own)))).isEmpty();
+    assertThat(relay.acceptNewer(new Digest(List.of(own)))).isEmpty();
   }
 
   @Test
   void tellsOtherZonesOfItsFlockAlone() {
-    relay.heard("near", Heartbeats.of("zone-a", 1).askingToRelay());
-    relay.takeNewer(new Digest(List.of(new DigestEntry("far", 0, Heartbeats.of("zone-b", 1)))));
+    relay.receive("near", Heartbeats.of("zone-a", 1).withRelayRequested());
+    relay.acceptNewer(new Digest(List.of(new DigestEntry("far", 0, Heartbeats.of("zone-b", 1)))));
 
-    assertThat(relay.of(Set.of("near"), OWN).entries())
+    assertThat(relay.digestOf(Set.of("near"), OWN).entries())
         .extracting(DigestEntry::box)
         .containsExactly("self", "near");
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/HeartbeatRoutesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/HeartbeatRoutesTests.java
@@ -15,25 +15,25 @@
 
   private static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c");
 
-  private final Map<String, PeerBoard> boards = new HashMap<>();
+  private final Map<String, PeerTable> boards = new HashMap<>();
   private final Map<String, HeartbeatRoutes> routes = new HashMap<>();
   private final Set<String> connected = new HashSet<>();
   private final Set<String> unreachable = new HashSet<>();
 
   @Test
   void fewBoxesTellAll() {
-    start(HeartbeatRoutes.MOST_THAT_TELL_ALL);
+    start(HeartbeatRoutes.MAX_FULL_MESH_BOXES);
 
-    assertThat(routes.values()).noneMatch(HeartbeatRoutes::many);
+    assertThat(routes.values()).noneMatch(HeartbeatRoutes::usesRelays);
   }
 
   @Test
   void boxesOfAZoneThatHearTheSameChooseTheSameTwoRelays() {
     start(30);
 
-    assertThat(routes.values()).allMatch(HeartbeatRoutes::many);
+    assertThat(routes.values()).allMatch(HeartbeatRoutes::usesRelays);
     Set<String> relays = new HashSet<>();
-    boxes("zone-a").forEach(box -> relays.addAll(routes.get(box).ownRelays()));
+    boxes("zone-a").forEach(box -> relays.addAll(routes.get(box).localRelays()));
     assertThat(relays).hasSize(2).allMatch(box -> routes.get(box).isRelay());
     assertThat(boxes("zone-a").stream().filter(box -> routes.get(box).isRelay()))
         .containsExactlyInAnyOrderElementsOf(relays);
@@ -43,7 +43,7 @@
   void relaysOfOtherZonesAreTwoOfEach() {
     start(30);
 
-    List<String> foreign = routes.get("box-0").foreignRelays();
+    List<String> foreign = routes.get("box-0").remoteRelays();
 
     assertThat(foreign).hasSize(4).noneMatch(box -> boxes("zone-a").contains(box));
     assertThat(foreign).allMatch(box -> routes.get(box).isRelay());
@@ -52,11 +52,11 @@
   @Test
   void aRelayWhoseConnectionEndedIsReplacedAtOnce() {
     start(30);
-    String lost = routes.get("box-0").ownRelays().get(0);
+    String lost = routes.get("box-0").localRelays().get(0);
 
     connected.remove(lost);
 
-    assertThat(routes.get("box-0").ownRelays()).doesNotContain(lost).isNotEmpty();
+    assertThat(routes.get("box-0").localRelays()).doesNotContain(lost).isNotEmpty();
   }
 
   @Test
@@ -65,20 +65,20 @@
     HeartbeatRoutes relay =
         routes.values().stream().filter(HeartbeatRoutes::isRelay).findFirst().orElseThrow();
 
-    assertThat(routes.get("box-0").ownCandidates())
+    assertThat(routes.get("box-0").localCandidates())
         .hasSizeBetween(2, 3)
-        .containsAll(routes.get("box-0").ownRelays());
-    assertThat(relay.foreignCandidates()).hasSize(6).containsAll(relay.foreignRelays());
+        .containsAll(routes.get("box-0").localRelays());
+    assertThat(relay.remoteCandidates()).hasSize(6).containsAll(relay.remoteRelays());
   }
 
   @Test
   void aBoxThatCannotBeReachedIsNoCandidate() {
     start(30);
-    String away = routes.get("box-0").ownCandidates().get(0);
+    String away = routes.get("box-0").localCandidates().get(0);
 
     unreachable.add(away);
 
-    assertThat(routes.get("box-0").ownCandidates()).doesNotContain(away).hasSizeBetween(2, 3);
+    assertThat(routes.get("box-0").localCandidates()).doesNotContain(away).hasSizeBetween(2, 3);
   }
 
   @Test
@@ -95,10 +95,10 @@
     }
     connected.addAll(all);
     for (String box : all) {
-      PeerBoard board = new PeerBoard(box, zoneOf(box), 1, () -> 0, EventLogs.silent());
+      PeerTable board = new PeerTable(box, zoneOf(box), 1, () -> 0, EventLogs.silent());
       all.stream()
           .filter(other -> !other.equals(box))
-          .forEach(other -> board.heard(other, zoneOf(other), false, 1, 0));
+          .forEach(other -> board.update(other, zoneOf(other), false, 1, 0));
       boards.put(box, board);
       routes.put(
           box,
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/Heartbeats.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/Heartbeats.java
@@ -14,7 +14,7 @@
     return of(zone, configuration, 0);
   }
 
-  static Heartbeat numbered(String zone, long number) {
+  static Heartbeat withSequenceNumber(String zone, long number) {
     return of(zone, 0, number);
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/BoxesInOneProcess.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
@@ -22,19 +22,19 @@
 import org.gradeledge.peer.PeerSecret;
 import org.gradeledge.peer.PeerTransport;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import reactor.netty.ChannelBindException;
 import reactor.netty.DisposableServer;
 import reactor.netty.resources.LoopResources;
 
 /** Meshes of boxes that hear each other over real connections, on one event loop. */
-final class BoxesInOneProcess implements AutoCloseable {
+final class InProcessBoxes implements AutoCloseable {
 
-  private static final Duration LIMIT = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   /** Tries to listen on a port that was free; several in a row being taken is another fault. */
-  private static final int MOST_BINDS = 5;
+  private static final int MAX_BIND_ATTEMPTS = 5;
 
   /** Another one than that of boxes that other tests run: a port may pass from one to another. */
   private final PeerSecret secret = new PeerSecret(UUID.randomUUID().toString());
@@ -83,9 +83,9 @@
   }
 
   /** Waits until there are so many boxes and each hears all of them, over relays. */
-  void awaitWholeViews(int boxes) throws Exception {
-    await(() -> meshes.stream().allMatch(BoxMesh::hearsDigests));
-    await(() -> meshes.stream().allMatch(mesh -> mesh.boxes() == boxes));
+  void awaitCompleteViews(int boxes) throws Exception {
+    await(() -> meshes.stream().allMatch(BoxMesh::receivesDigests));
+    await(() -> meshes.stream().allMatch(mesh -> mesh.aliveCount() == boxes));
   }
 
   void stopBox(int index) {
@@ -103,7 +103,7 @@
         startBox("127.0.0.1:" + freePort(), seeds);
         return;
       } catch (ChannelBindException e) {
-        if (tries == MOST_BINDS) {
+        if (tries == MAX_BIND_ATTEMPTS) {
           throw e;
         }
       }
@@ -120,7 +120,7 @@
             new BoxMetrics());
     UpstreamRegistry registry = new UpstreamRegistry(EventLogs.silent());
     BoxMesh mesh = newMesh(self, seeds, network, registry);
-    servers.add(mesh.start(new InetSocketAddress("127.0.0.1", port)).block(LIMIT));
+    servers.add(mesh.start(new InetSocketAddress("127.0.0.1", port)).block(TIMEOUT));
     networks.add(network);
     registries.add(registry);
     meshes.add(mesh);
@@ -140,12 +140,12 @@
               throw new IllegalArgumentException("none is read in this test");
             },
             EventLogs.silent());
-    BoxBeliefs beliefs =
-        new BoxBeliefs(
+    SharedBoxState beliefs =
+        new SharedBoxState(
             deployments,
             registry,
-            new LoadBoard(clock, EventLogs.silent()),
-            new PiecesToCome(),
+            new UpstreamLoads(clock, EventLogs.silent()),
+            new PendingPieces(),
             quarantine,
             limits);
     return new BoxMesh(
@@ -167,18 +167,18 @@
         Thread.onSpinWait();
       }
     } catch (InterruptedException e) {
-      throw new AssertionError("time is up; the views: " + onLoop(this::views), e);
+      throw new AssertionError("time is up; the views: " + onLoop(this::describeViews), e);
     }
   }
 
-  private String views() {
+  private String describeViews() {
     return IntStream.range(0, meshes.size())
         .mapToObj(
             box ->
                 addresses.get(box)
                     + " hears "
-                    + meshes.get(box).boxes()
-                    + (meshes.get(box).hearsDigests() ? " by digests" : " directly")
+                    + meshes.get(box).aliveCount()
+                    + (meshes.get(box).receivesDigests() ? " by digests" : " directly")
                     + ", connected with "
                     + networks.get(box).connectedIds())
         .collect(Collectors.joining("\n"));
@@ -197,6 +197,6 @@
   @Override
   public void close() {
     networks.forEach(PeerNetwork::close);
-    loops.disposeLater(Duration.ZERO, LIMIT).block(LIMIT);
+    loops.disposeLater(Duration.ZERO, TIMEOUT).block(TIMEOUT);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LeavingAmongBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LeavingUpstreamExchangeTests.java
@@ -13,7 +13,7 @@
 
 /** One box hears from an upstream that it leaves, and the list says nothing of it. */
 @Timeout(120)
-class LeavingAmongBoxesTests {
+class LeavingUpstreamExchangeTests {
 
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("id", 10, "service", "10.0.0.1", 1, "zone", 1, false, 0);
@@ -22,7 +22,7 @@
   private static final int FEW = 3;
   private static final int MANY = 18;
 
-  private final BoxesInOneProcess boxes = new BoxesInOneProcess();
+  private final InProcessBoxes boxes = new InProcessBoxes();
 
   @AfterEach
   void stop() {
@@ -62,14 +62,14 @@
     boxes.startBoxes(count);
     listAll(1, UPSTREAM);
     if (count == MANY) {
-      boxes.awaitWholeViews(count);
+      boxes.awaitCompleteViews(count);
     }
   }
 
   private void announce(int box) throws Exception {
     boxes.onLoop(
         () -> {
-          boxes.registries().get(box).announcesLeaving(UPSTREAM);
+          boxes.registries().get(box).recordLeavingAnnouncement(UPSTREAM);
           return true;
         });
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/ListDoubtsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/ListTrustTrackerTests.java
@@ -12,33 +12,33 @@
 import org.junit.jupiter.api.Test;
 
 /** A box that seldom reads the list, and what others say of it. */
-class ListDoubtsTests {
+class ListTrustTrackerTests {
 
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("id", "service", "127.0.0.1", 1, "zone", 1, false);
 
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final ListDoubts doubts = new ListDoubts(upstreams);
+  private final ListTrustTracker doubts = new ListTrustTracker(upstreams);
   private final AtomicInteger judged = new AtomicInteger();
 
   @BeforeEach
   void start() {
     upstreams.replaceAll(1, List.of(UPSTREAM));
-    doubts.onSettled(judged::incrementAndGet);
+    doubts.onConfirmed(judged::incrementAndGet);
   }
 
   @Test
   void whatIsMissingIsGoneWhereNobodyDoubts() {
-    doubts.heard("a", ListTrust.TRUSTED);
-    doubts.heard("b", ListTrust.UNKNOWN);
+    doubts.update("a", ListTrust.TRUSTED);
+    doubts.update("b", ListTrust.UNKNOWN);
 
     assertThat(usableOnceMissing()).isFalse();
   }
 
   @Test
   void whatIsMissingStaysInUseWhereThoseThatReadSteadilyDoubt() {
-    doubts.heard("a", ListTrust.DOUBTED);
-    doubts.heard("b", ListTrust.UNKNOWN);
+    doubts.update("a", ListTrust.DOUBTED);
+    doubts.update("b", ListTrust.UNKNOWN);
 
     assertThat(usableOnceMissing()).isTrue();
   }
@@ -46,47 +46,47 @@
   /** One that the platform turns away, beside one that it serves. */
   @Test
   void aDoubtCountsForNothingBesideOneThatReadsSteadily() {
-    doubts.heard("b", ListTrust.TRUSTED);
-    doubts.heard("a", ListTrust.DOUBTED);
+    doubts.update("b", ListTrust.TRUSTED);
+    doubts.update("a", ListTrust.DOUBTED);
 
     assertThat(usableOnceMissing()).isFalse();
   }
 
   @Test
   void aBoxThatReadsSteadilyItselfGoesByWhatItReads() {
-    upstreams.onTrust(() -> ListTrust.TRUSTED);
-    doubts.heard("a", ListTrust.DOUBTED);
+    upstreams.setTrustSupplier(() -> ListTrust.TRUSTED);
+    doubts.update("a", ListTrust.DOUBTED);
 
     assertThat(usableOnceMissing()).isFalse();
   }
 
   @Test
   void itIsJudgedOnceNobodyDoubtsAnyMore() {
-    doubts.heard("a", ListTrust.DOUBTED);
-    doubts.heard("b", ListTrust.DOUBTED);
-    doubts.heard("a", ListTrust.UNKNOWN);
+    doubts.update("a", ListTrust.DOUBTED);
+    doubts.update("b", ListTrust.DOUBTED);
+    doubts.update("a", ListTrust.UNKNOWN);
     assertThat(judged).hasValue(0);
 
-    doubts.heard("b", ListTrust.UNKNOWN);
+    doubts.update("b", ListTrust.UNKNOWN);
 
     assertThat(judged).hasValue(1);
   }
 
   @Test
   void itIsJudgedOnceOneTrustsTheListAgain() {
-    doubts.heard("a", ListTrust.DOUBTED);
-    doubts.heard("b", ListTrust.UNKNOWN);
+    doubts.update("a", ListTrust.DOUBTED);
+    doubts.update("b", ListTrust.UNKNOWN);
 
-    doubts.heard("b", ListTrust.TRUSTED);
+    doubts.update("b", ListTrust.TRUSTED);
 
     assertThat(judged).hasValue(1);
   }
 
   @Test
   void itIsJudgedWhereTheOneThatDoubtsIsLost() {
-    doubts.heard("a", ListTrust.DOUBTED);
+    doubts.update("a", ListTrust.DOUBTED);
 
-    doubts.lost("a");
+    doubts.removeBox("a");
 
     assertThat(judged).hasValue(1);
   }
@@ -94,28 +94,28 @@
   /** The list comes sooner than the heartbeat of the box that has noticed the outage. */
   @Test
   void aListThatIsDoubtedIsJudgedOnceAllHadTheTimeToSaySo() {
-    doubts.tookDoubtedList();
+    doubts.onUnconfirmedList();
     assertThat(usableOnceMissing()).isTrue();
     for (int beat = 0; beat < 3; beat++) {
-      doubts.beat();
+      doubts.onHeartbeatInterval();
       assertThat(judged).hasValue(0);
     }
 
-    doubts.beat();
+    doubts.onHeartbeatInterval();
 
     assertThat(judged).hasValue(1);
   }
 
   @Test
   void aListThatIsDoubtedIsNotJudgedWhileABoxDoubtsIt() {
-    doubts.tookDoubtedList();
-    doubts.heard("a", ListTrust.DOUBTED);
+    doubts.onUnconfirmedList();
+    doubts.update("a", ListTrust.DOUBTED);
     for (int beat = 0; beat < 10; beat++) {
-      doubts.beat();
+      doubts.onHeartbeatInterval();
     }
     assertThat(judged).hasValue(0);
 
-    doubts.heard("a", ListTrust.UNKNOWN);
+    doubts.update("a", ListTrust.UNKNOWN);
 
     assertThat(judged).hasValue(1);
   }
@@ -123,10 +123,10 @@
   /** A change is passed on at once; what is the same as before waits for its turn. */
   @Test
   void tellsWhetherABoxSaysSomethingElseThanBefore() {
-    assertThat(doubts.heard("a", ListTrust.UNKNOWN)).isFalse();
-    assertThat(doubts.heard("a", ListTrust.DOUBTED)).isTrue();
-    assertThat(doubts.heard("a", ListTrust.DOUBTED)).isFalse();
-    assertThat(doubts.heard("a", ListTrust.TRUSTED)).isTrue();
+    assertThat(doubts.update("a", ListTrust.UNKNOWN)).isFalse();
+    assertThat(doubts.update("a", ListTrust.DOUBTED)).isTrue();
+    assertThat(doubts.update("a", ListTrust.DOUBTED)).isFalse();
+    assertThat(doubts.update("a", ListTrust.TRUSTED)).isTrue();
   }
 
   private boolean usableOnceMissing() {
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LostBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LostBoxSelectorTests.java
@@ -10,13 +10,13 @@
 import org.gradeledge.event.EventLogs;
 import org.junit.jupiter.api.Test;
 
-class LostBoxesTests {
+class LostBoxSelectorTests {
 
   private static final int BEATS = 4_000;
 
-  private final PeerBoard peers = new PeerBoard("self", "zone-a", 1, () -> 0, EventLogs.silent());
+  private final PeerTable peers = new PeerTable("self", "zone-a", 1, () -> 0, EventLogs.silent());
   private final Set<String> known = new HashSet<>();
-  private final LostBoxes lost = new LostBoxes(peers, known, new Random(7));
+  private final LostBoxSelector lost = new LostBoxSelector(peers, known, new Random(7));
 
   @Test
   void nobodyIsTriedWhileAllAreHeard() {
@@ -50,7 +50,7 @@
   private void hear(int boxes) {
     for (int box = 0; box < boxes; box++) {
       known.add("box-" + box);
-      peers.heard("box-" + box, "zone-a", false, 1, 0);
+      peers.update("box-" + box, "zone-a", false, 1, 0);
     }
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/PeerBoardTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/PeerTableTests.java
@@ -9,43 +9,43 @@
 import org.gradeledge.event.EventLogs;
 import org.junit.jupiter.api.Test;
 
-class PeerBoardTests {
+class PeerTableTests {
 
   private static final long MILLI = 1_000_000;
 
   private long nowNanos;
-  private final PeerBoard board =
-      new PeerBoard("self", "zone", 1, () -> nowNanos, EventLogs.silent());
+  private final PeerTable board =
+      new PeerTable("self", "zone", 1, () -> nowNanos, EventLogs.silent());
 
   @Test
   void aBoxThatHasJustStartedDoesNotKnowYetWhoElseIsThere() {
-    assertThat(board.settled()).isFalse();
+    assertThat(board.isDiscoveryComplete()).isFalse();
 
     nowNanos += 500 * MILLI;
-    assertThat(board.settled()).isTrue();
+    assertThat(board.isDiscoveryComplete()).isTrue();
   }
 
   @Test
   void aBoxWaitsWhileItStillHearsOthersForTheFirstTimeButNotForEver() {
     nowNanos += 450 * MILLI;
-    board.heard("one", "zone", false, 1, 0);
+    board.update("one", "zone", false, 1, 0);
     nowNanos += 200 * MILLI;
-    assertThat(board.settled()).isFalse();
-    board.heard("two", "zone", false, 1, 0);
+    assertThat(board.isDiscoveryComplete()).isFalse();
+    board.update("two", "zone", false, 1, 0);
     nowNanos += 290 * MILLI;
-    assertThat(board.settled()).isFalse();
+    assertThat(board.isDiscoveryComplete()).isFalse();
 
-    board.heard("three", "zone", false, 1, 0);
+    board.update("three", "zone", false, 1, 0);
     nowNanos += 260 * MILLI;
 
-    assertThat(board.settled()).isTrue();
+    assertThat(board.isDiscoveryComplete()).isTrue();
   }
 
   @Test
   void aBoxThatIsSilentForTooLongIsLostAndToldOfOnce() {
     List<String> lost = new ArrayList<>();
     board.onLost(lost::add);
-    board.heard("one", "zone", false, 1, 400);
+    board.update("one", "zone", false, 1, 400);
     nowNanos += 700 * MILLI;
     board.expire(1_000);
     board.expire(1_000);
@@ -56,34 +56,34 @@
 
   @Test
   void oneThatIsLeavingDoesNoWorkForOthers() {
-    board.heard("one", "zone", true, 1, 0);
+    board.update("one", "zone", true, 1, 0);
 
-    assertThat(board.working()).containsExactly("self");
+    assertThat(board.available()).containsExactly("self");
     assertThat(board.alive()).containsExactly("one", "self");
   }
 
   @Test
   void whoWorksIsLookedAtAgainOnlyWhereABoxComesGoesOrLeaves() {
-    board.heard("one", "zone", false, 1, 0);
-    Set<String> before = board.working();
-    board.heard("one", "zone", false, 1, 0);
-    assertThat(board.working()).isSameAs(before);
+    board.update("one", "zone", false, 1, 0);
+    Set<String> before = board.available();
+    board.update("one", "zone", false, 1, 0);
+    assertThat(board.available()).isSameAs(before);
 
-    board.heard("one", "zone", true, 1, 0);
-    assertThat(board.working()).containsExactly("self");
+    board.update("one", "zone", true, 1, 0);
+    assertThat(board.available()).containsExactly("self");
 
     board.leave();
-    board.heard("two", "other-zone", false, 1, 0);
-    assertThat(board.working()).containsExactly("two");
+    board.update("two", "other-zone", false, 1, 0);
+    assertThat(board.available()).containsExactly("two");
     assertThat(board.zones()).containsExactly("other-zone", "zone");
   }
 
   @Test
   void aStrongerBoxComesBeforeAllWeakerOnesInEveryDuty() {
     for (int box = 0; box < 40; box++) {
-      board.heard("weak-" + box, "zone", false, 20, 0);
+      board.update("weak-" + box, "zone", false, 20, 0);
     }
-    board.heard("strong", "zone", false, 150, 0);
+    board.update("strong", "zone", false, 150, 0);
 
     for (int duty = 0; duty < 20; duty++) {
       assertThat(board.alive().stream().min(board.byRank("duty-" + duty))).contains("strong");
@@ -93,7 +93,7 @@
   @Test
   void boxesThatAreAlikeShareTheDuties() {
     for (int box = 0; box < 10; box++) {
-      board.heard("box-" + box, "zone", false, 36 + box, 0);
+      board.update("box-" + box, "zone", false, 36 + box, 0);
     }
     Set<String> chosen = new HashSet<>();
     for (int duty = 0; duty < 60; duty++) {
@@ -105,13 +105,13 @@
 
   @Test
   void aBoxThatTellsAnotherStrengthComesToAnotherPlace() {
-    board.heard("one", "zone", false, 20, 0);
-    board.heard("two", "zone", false, 40, 0);
-    Set<String> before = board.working();
+    board.update("one", "zone", false, 20, 0);
+    board.update("two", "zone", false, 40, 0);
+    Set<String> before = board.available();
 
-    board.heard("one", "zone", false, 150, 0);
+    board.update("one", "zone", false, 150, 0);
 
-    assertThat(board.working()).isNotSameAs(before);
+    assertThat(board.available()).isNotSameAs(before);
     assertThat(board.alive().stream().min(board.byRank("duty"))).contains("one");
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/ManyBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/RelayedMeshTests.java
@@ -9,14 +9,14 @@
 
 /** So many boxes that heartbeats are relayed, over real connections in one process. */
 @Timeout(120)
-class ManyBoxesTests {
+class RelayedMeshTests {
 
   private static final int BOXES = 18;
 
   /** Ends of connections where heartbeats are relayed; all with all would be about twice that. */
   private static final int MOST_ENDS = BOXES * BOXES / 2;
 
-  private final BoxesInOneProcess boxes = new BoxesInOneProcess();
+  private final InProcessBoxes boxes = new InProcessBoxes();
 
   @AfterEach
   void stop() {
@@ -26,49 +26,51 @@
   @Test
   void boxesThatKnowOneSeedAloneHearAllOthersAndGoOnHearingThem() throws Exception {
     boxes.startBoxes(BOXES);
-    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.boxes() == BOXES));
-    boxes.awaitWholeViews(BOXES);
+    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES));
+    boxes.awaitCompleteViews(BOXES);
 
     assertThat(
             boxes.onLoop(
-                () -> boxes.meshes().stream().filter(mesh -> mesh.hasDuty("duty", 6)).count()))
+                () -> boxes.meshes().stream().filter(mesh -> mesh.isAssigned("duty", 6)).count()))
         .isEqualTo(6);
   }
 
   @Test
   void aBoxThatComesLaterHearsAllOthers() throws Exception {
     boxes.startBoxes(BOXES);
-    boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::hearsDigests));
+    boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::receivesDigests));
 
     boxes.startBox();
 
-    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.boxes() == BOXES + 1));
+    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES + 1));
   }
 
   @Test
   void connectionsAreThoseThatHeartbeatsNeed() throws Exception {
     boxes.startBoxes(BOXES);
-    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.boxes() == BOXES));
+    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES));
 
     boxes.await(
         () ->
             boxes.networks().stream().mapToInt(each -> each.connectedIds().size()).sum()
                 < MOST_ENDS);
 
-    assertThat(boxes.onLoop(() -> boxes.meshes().stream().allMatch(mesh -> mesh.boxes() == BOXES)))
+    assertThat(
+            boxes.onLoop(
+                () -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES)))
         .isTrue();
   }
 
   @Test
   void aBoxWhoseSeedsAreAllGoneIsMetByThoseThatKnewIt() throws Exception {
     boxes.startBoxes(BOXES);
-    boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::hearsDigests));
+    boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::receivesDigests));
     String gone = boxes.address(BOXES - 1);
     boxes.stopBox(BOXES - 1);
-    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.boxes() == BOXES - 1));
+    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES - 1));
 
     boxes.startBox(gone, List.of());
 
-    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.boxes() == BOXES));
+    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == BOXES));
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/SuspectExchangeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/SuspectExchangeTests.java
@@ -19,7 +19,7 @@
   private static final RequestFingerprint GUILTY = new RequestFingerprint(1, 2, 3);
   private static final RequestFingerprint INNOCENT = new RequestFingerprint(4, 5, 6);
 
-  private final BoxesInOneProcess boxes = new BoxesInOneProcess();
+  private final InProcessBoxes boxes = new InProcessBoxes();
 
   @AfterEach
   void stop() {
@@ -35,8 +35,10 @@
     end(1, GUILTY, "b");
     end(count - 1, GUILTY, "c");
 
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(GUILTY)));
-    assertThat(boxes.onLoop(() -> boxes.quarantines().stream().anyMatch(b -> b.bars(INNOCENT))))
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.isQuarantined(GUILTY)));
+    assertThat(
+            boxes.onLoop(
+                () -> boxes.quarantines().stream().anyMatch(b -> b.isQuarantined(INNOCENT))))
         .isFalse();
   }
 
@@ -47,11 +49,11 @@
     for (String start : List.of("a", "b", "c")) {
       end(0, GUILTY, start);
     }
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(GUILTY)));
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.isQuarantined(GUILTY)));
 
     boxes.startBox();
 
-    boxes.await(() -> newest().bars(GUILTY));
+    boxes.await(() -> newest().isQuarantined(GUILTY));
   }
 
   @ParameterizedTest
@@ -61,20 +63,20 @@
     for (String start : List.of("a", "b", "c")) {
       end(0, GUILTY, start);
     }
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(GUILTY)));
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.isQuarantined(GUILTY)));
 
     boxes.onLoop(
         () -> {
-          boxes.quarantines().get(1).lift(GUILTY);
+          boxes.quarantines().get(1).withdrawCrashes(GUILTY);
           return true;
         });
 
-    boxes.await(() -> boxes.quarantines().stream().noneMatch(box -> box.bars(GUILTY)));
+    boxes.await(() -> boxes.quarantines().stream().noneMatch(box -> box.isQuarantined(GUILTY)));
   }
 
   private void start(int count) throws Exception {
     boxes.startBoxes(count);
-    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.boxes() == count));
+    boxes.await(() -> boxes.meshes().stream().allMatch(mesh -> mesh.aliveCount() == count));
   }
 
   private Quarantine newest() {
@@ -84,7 +86,7 @@
   private void end(int box, RequestFingerprint fingerprint, String start) throws Exception {
     boxes.onLoop(
         () -> {
-          boxes.quarantines().get(box).endedUnder(fingerprint, start);
+          boxes.quarantines().get(box).recordCrash(fingerprint, start);
           return true;
         });
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/NewsAmongManyBoxesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListPropagationTests.java
@@ -17,7 +17,7 @@
 
 /** What one box has read of the list of upstreams reaches many others. */
 @Timeout(120)
-class NewsAmongManyBoxesTests {
+class UpstreamListPropagationTests {
 
   private static final int BOXES = 18;
   private static final long REVISION = 7;
@@ -26,7 +26,7 @@
   private static final UpstreamRecord STARTED_AFTERWARDS =
       new UpstreamRecord("afterwards", "service", "10.0.0.2", 1, "zone-1", 1, false);
 
-  private final BoxesInOneProcess boxes = new BoxesInOneProcess();
+  private final InProcessBoxes boxes = new InProcessBoxes();
 
   @AfterEach
   void stop() {
@@ -40,7 +40,7 @@
   @Test
   void newsOfUpstreamsReachesAllThoughOnlyRelaysReadIt() throws Exception {
     boxes.startBoxes(BOXES);
-    boxes.awaitWholeViews(BOXES);
+    boxes.awaitCompleteViews(BOXES);
     AtomicInteger reads = new AtomicInteger();
     boxes.onLoop(() -> readNewsOnAsking(reads));
 
@@ -62,7 +62,7 @@
   @ValueSource(ints = {18, 61, 86})
   void anEntryThatMayOnlyHaveLapsedStaysInUseAtBoxesThatAreToldOfIt(int count) throws Exception {
     boxes.startBoxes(count);
-    boxes.awaitWholeViews(count);
+    boxes.awaitCompleteViews(count);
     boxes.onLoop(() -> learn(0));
     boxes.await(() -> boxes.registries().stream().allMatch(each -> each.revision() == REVISION));
 
@@ -80,7 +80,7 @@
   void whatOneBoxReadsAfterADrillReachesAllAndDropsNothingThatTheCopyLacks(int count)
       throws Exception {
     boxes.startBoxes(count);
-    boxes.awaitWholeViews(count);
+    boxes.awaitCompleteViews(count);
     boxes.onLoop(() -> learn(0));
     boxes.await(() -> boxes.registries().stream().allMatch(each -> each.revision() == REVISION));
 
@@ -98,24 +98,24 @@
     UpstreamRegistry registry = boxes.registries().get(box);
     registry.distrustRemovals();
     registry.replaceAll(TableRevision.of(1, 2), List.of(STARTED_AFTERWARDS));
-    boxes.meshes().get(box).tellNow();
+    boxes.meshes().get(box).announceNow();
     return true;
   }
 
   private boolean lapseAt(int box) {
     boxes.registries().get(box).distrustRemovals();
     boxes.registries().get(box).update(REVISION + 1, List.of(), List.of(UPSTREAM.id()));
-    boxes.meshes().get(box).tellNow();
+    boxes.meshes().get(box).announceNow();
     return true;
   }
 
   @Test
   void anEvacuationThatOneBoxReadsReachesAll() throws Exception {
     boxes.startBoxes(BOXES);
-    boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::hearsDigests));
+    boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::receivesDigests));
     ZoneEvacuations ordered = new ZoneEvacuations(REVISION, Set.of("zone-0"));
 
-    boxes.onLoop(() -> boxes.registries().get(BOXES - 1).evacuate(ordered));
+    boxes.onLoop(() -> boxes.registries().get(BOXES - 1).applyEvacuations(ordered));
 
     boxes.await(
         () -> boxes.registries().stream().allMatch(each -> each.evacuations().equals(ordered)));
@@ -127,7 +127,7 @@
       boxes
           .meshes()
           .get(box)
-          .onUpstreamNews(
+          .onNewUpstreamList(
               () -> {
                 reads.incrementAndGet();
                 learn(reader);
@@ -138,7 +138,7 @@
 
   private boolean learn(int box) {
     boxes.registries().get(box).replaceAll(REVISION, List.of(UPSTREAM));
-    boxes.meshes().get(box).tellNow();
+    boxes.meshes().get(box).announceNow();
     return true;
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamNewsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListUpdatesTests.java
@@ -21,7 +21,7 @@
 import reactor.netty.resources.LoopResources;
 
 /** Who reads the list of upstreams when others tell of news, in virtual time. */
-class UpstreamNewsTests {
+class UpstreamListUpdatesTests {
 
   private static final String SELF = "127.0.0.1:1";
   private static final String ZONE = "zone";
@@ -46,9 +46,9 @@
 
   @Test
   void aBoxThatIsNoRelayReadsOnlyOnceARelayHadItsTime() {
-    UpstreamNews news = newsAt(WEAK);
+    UpstreamListUpdates news = newsAt(WEAK);
 
-    news.heardOf("127.0.0.1:2", REVISION);
+    news.onRevision("127.0.0.1:2", REVISION);
     advance(RELAY_MILLIS - 1);
     assertThat(reads).hasValue(0);
 
@@ -58,10 +58,10 @@
 
   @Test
   void aBoxThatLearnsTheNewsMeanwhileNeverReads() {
-    UpstreamNews news = newsAt(WEAK);
+    UpstreamListUpdates news = newsAt(WEAK);
 
     for (int box = 2; box < BOXES; box++) {
-      news.heardOf("127.0.0.1:" + box, REVISION);
+      news.onRevision("127.0.0.1:" + box, REVISION);
     }
     learn();
     advance(RELAY_MILLIS);
@@ -71,7 +71,7 @@
 
   @Test
   void aRelayReadsAtOnce() {
-    newsAt(STRONG).heardOf("127.0.0.1:2", REVISION);
+    newsAt(STRONG).onRevision("127.0.0.1:2", REVISION);
 
     assertThat(reads).hasValue(1);
   }
@@ -80,18 +80,18 @@
   void whatIsNoNewsIsNotRead() {
     learn();
 
-    newsAt(STRONG).heardOf("127.0.0.1:2", REVISION);
+    newsAt(STRONG).onRevision("127.0.0.1:2", REVISION);
     advance(RELAY_MILLIS);
 
     assertThat(reads).hasValue(0);
   }
 
   /** All other boxes are of middle strength. */
-  private UpstreamNews newsAt(int strength) {
+  private UpstreamListUpdates newsAt(int strength) {
     MonotonicClock clock = () -> 0;
-    PeerBoard peers = new PeerBoard(SELF, ZONE, strength, clock, EventLogs.silent());
+    PeerTable peers = new PeerTable(SELF, ZONE, strength, clock, EventLogs.silent());
     for (int box = 2; box <= BOXES; box++) {
-      peers.heard("127.0.0.1:" + box, ZONE, false, STRONG / 2, 0);
+      peers.update("127.0.0.1:" + box, ZONE, false, STRONG / 2, 0);
     }
     PeerNetwork network =
         new PeerNetwork(
@@ -108,13 +108,14 @@
             EventLogs.silent());
     DocumentExchange documents =
         new DocumentExchange(
-            new MeshLinks(network, clock),
+            new MeshConnections(network, clock),
             channel.eventLoop(),
             deployments,
             upstreams,
-            new ListDoubts(upstreams));
-    UpstreamNews news = new UpstreamNews(routes, upstreams, documents, channel.eventLoop());
-    news.onRead(reads::incrementAndGet);
+            new ListTrustTracker(upstreams));
+    UpstreamListUpdates news =
+        new UpstreamListUpdates(routes, upstreams, documents, channel.eventLoop());
+    news.setReadAction(reads::incrementAndGet);
     return news;
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
@@ -8,7 +8,7 @@
 import org.gradeledge.deployment.RouteDefinition;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.limit.BackoffStatement;
+import org.gradeledge.limit.BackoffAnnouncement;
 import org.gradeledge.limit.UpstreamBackoffs;
 import org.junit.jupiter.api.Test;
 
@@ -26,7 +26,7 @@
 
     box.send("r1", NO_PIECES);
 
-    assertThat(box.upstreamCaller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
   }
 
   @Test
@@ -37,7 +37,7 @@
 
     box.send("r1", NO_PIECES);
 
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     assertThat(box.answers).hasSize(1);
     String[] answer = box.answers.get(0).split(" ");
     assertThat(answer[0]).isEqualTo("UPSTREAMS_LIMITED");
@@ -49,11 +49,11 @@
     SimulatedRelay box = box(SimulatedRelay.PLAIN, 1, 2);
     box.send("r1", NO_PIECES);
     requestBackoff(1, 60_000);
-    box.upstreamCaller.next().fail(CallFailure.HELD_OFF);
+    box.upstreamCaller.nextCall().fail(CallFailure.HELD_OFF);
     box.runPendingTasks();
     requestBackoff(2, 1_400);
 
-    box.upstreamCaller.next().fail(CallFailure.HELD_OFF);
+    box.upstreamCaller.nextCall().fail(CallFailure.HELD_OFF);
     box.runPendingTasks();
 
     assertThat(box.answers).hasSize(1);
@@ -69,11 +69,11 @@
 
     box.send("r1", NO_PIECES);
     box.advance(99);
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     assertThat(box.answers).isEmpty();
     box.advance(25);
 
-    assertThat(box.upstreamCaller.next().target()).isEqualTo(upstream(1));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(1));
   }
 
   @Test
@@ -111,10 +111,10 @@
     box.send("r1", NO_PIECES);
     requestBackoff(1, 3_000);
 
-    box.upstreamCaller.next().fail(CallFailure.HELD_OFF);
+    box.upstreamCaller.nextCall().fail(CallFailure.HELD_OFF);
     box.runPendingTasks();
 
-    assertThat(box.upstreamCaller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
     assertThat(box.answers).isEmpty();
   }
 
@@ -144,7 +144,7 @@
   }
 
   private void requestBackoff(int number, long millis) {
-    backoffs.answered(upstream(number), BackoffStatement.requested(Duration.ofMillis(millis)));
+    backoffs.onAnswer(upstream(number), BackoffAnnouncement.requested(Duration.ofMillis(millis)));
   }
 
   private static UpstreamRecord upstream(int number) {
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/FakeStageWorkClient.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/FakeStageWorkClient.java
@@ -33,15 +33,15 @@
     int pieces = groups.stream().filter(g -> g.stage() == stage).findFirst().orElseThrow().pieces();
     List<String> handles =
         IntStream.range(0, pieces).mapToObj(piece -> stage + "-" + piece).toList();
-    listeners.get(stage).ended(new StageGroupResult(StageOutcome.MADE, handles, "box", 0, 0));
+    listeners.get(stage).onEnd(new StageGroupResult(StageOutcome.MADE, handles, "box", 0, 0));
   }
 
   void fetchInputs(int stage) {
-    listeners.get(stage).inputsTaken();
+    listeners.get(stage).onInputsFetched();
   }
 
   void fail(int stage, StageOutcome outcome) {
-    listeners.get(stage).ended(new StageGroupResult(outcome, List.of(), "box", 0, 0));
+    listeners.get(stage).onEnd(new StageGroupResult(outcome, List.of(), "box", 0, 0));
   }
 
   @Override
@@ -79,7 +79,7 @@
   }
 
   @Override
-  public void free(String service, List<String> handles) {
+  public void release(String service, List<String> handles) {
     releasedHandles.addAll(handles);
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
@@ -10,10 +10,10 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLogs;
 import org.gradeledge.limit.BoxRank;
-import org.gradeledge.limit.LimitStatement;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.LimitAnnouncement;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.limit.UpstreamLimits;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
@@ -31,7 +31,7 @@
 
     box.send("r1", NO_PIECES);
 
-    assertThat(box.upstreamCaller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
   }
 
   @Test
@@ -40,11 +40,11 @@
     announceLimit(upstream(1), 0.2);
     box.send("r1", NO_PIECES);
 
-    box.upstreamCaller.next().fail(CallFailure.BROKEN);
+    box.upstreamCaller.nextCall().fail(CallFailure.BROKEN);
     box.runPendingTasks();
 
     assertThat(box.answers).containsExactly("BROKEN ");
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -55,7 +55,7 @@
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).hasSize(1).first().asString().startsWith("UPSTREAMS_LIMITED ");
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -64,10 +64,10 @@
     announceLimit(upstream(1), 20);
 
     box.send("r1", NO_PIECES);
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     box.advance(100);
 
-    assertThat(box.upstreamCaller.next().target()).isEqualTo(upstream(1));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(1));
     assertThat(box.answers).isEmpty();
   }
 
@@ -94,10 +94,10 @@
     box.suspendMachine(60);
 
     box.send("second", NO_PIECES);
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     box.advance(25);
 
-    box.upstreamCaller.next().answer(200, "x");
+    box.upstreamCaller.nextCall().respond(200, "x");
     box.runPendingTasks();
     assertThat(box.answers).hasSize(1);
   }
@@ -135,20 +135,20 @@
     box.disconnectCaller();
     box.advance(500);
 
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
   }
 
   private SimulatedRelay box(RouteDefinition route, UpstreamRecord... upstreams) {
     return new SimulatedRelay(clock -> sendingRule(clock, upstreams), route, upstreams);
   }
 
-  private SendingRule sendingRule(MonotonicClock clock, UpstreamRecord... upstreams) {
+  private SendLimiter sendingRule(MonotonicClock clock, UpstreamRecord... upstreams) {
     limits = new UpstreamLimits(clock, EventLogs.silent(), () -> List.of(upstreams));
-    return new LimitedSending(
+    return new UpstreamRateLimiter(
         clock, limits, start -> Optional.of(new BoxRank(0, 1)), service -> false);
   }
 
   private void announceLimit(UpstreamRecord upstream, double perSecond) {
-    limits.answered(upstream, 0, LimitStatement.named(perSecond));
+    limits.onAnswer(upstream, 0, LimitAnnouncement.named(perSecond));
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.gradeledge.connection.CallFailure;
 import org.gradeledge.connection.FakeUpstreamCaller;
-import org.gradeledge.connection.UpstreamProof;
+import org.gradeledge.connection.LivenessResult;
 import org.junit.jupiter.api.Test;
 
 /** Handling of a request whose upstreams crash while serving it. */
@@ -27,7 +27,7 @@
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).containsExactly("QUARANTINED 540000");
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -51,15 +51,15 @@
 
     assertThat(staged.answers).containsExactly("QUARANTINED 3600000");
     assertThat(staged.stageWorkClient.cancelledServices).contains("service");
-    assertThat(staged.upstreamCaller.isQuiet()).isTrue();
+    assertThat(staged.upstreamCaller.hasNoCalls()).isTrue();
   }
 
   @Test
   void retriesAtOnceAfterFirstLostConnection() throws Exception {
     box.send("r1", NO_PIECES);
-    loseConnection(box.upstreamCaller.next());
+    loseConnection(box.upstreamCaller.nextCall());
 
-    assertThat(box.upstreamCaller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
     assertThat(box.answers).isEmpty();
   }
 
@@ -67,43 +67,43 @@
   void waitsForLivenessCheckWhenRequestIsSuspect() throws Exception {
     recordCrashes(box, "a", "b");
     box.send("r1", NO_PIECES);
-    loseConnection(box.upstreamCaller.next());
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    loseConnection(box.upstreamCaller.nextCall());
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
 
-    box.upstreamCaller.answerProbes();
+    box.upstreamCaller.completeProbes();
     box.runPendingTasks();
 
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     assertThat(box.answers).containsExactly("BROKEN ");
-    assertThat(box.quarantine.bars(box.fingerprint())).isTrue();
+    assertThat(box.quarantine.isQuarantined(box.fingerprint())).isTrue();
   }
 
   @Test
   void retriesSuspectRequestWhenUpstreamIsAlive() throws Exception {
     recordCrashes(box, "a", "b");
-    box.upstreamCaller.setProof(upstream(1), UpstreamProof.THERE);
+    box.upstreamCaller.setProbeResult(upstream(1), LivenessResult.THERE);
     box.send("r1", NO_PIECES);
-    loseConnection(box.upstreamCaller.next());
+    loseConnection(box.upstreamCaller.nextCall());
 
-    box.upstreamCaller.answerProbes();
+    box.upstreamCaller.completeProbes();
     box.runPendingTasks();
 
-    FakeUpstreamCaller.Call second = box.upstreamCaller.next();
+    FakeUpstreamCaller.Call second = box.upstreamCaller.nextCall();
     assertThat(second.target()).isEqualTo(upstream(2));
-    second.answer(200, "ok");
+    second.respond(200, "ok");
     assertThat(box.answers).containsExactly("200");
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
   }
 
   /** Guards against counting a network partition as crashes. */
   @Test
   void doesNotCountSilentUpstreamAsCrashed() throws Exception {
-    box.upstreamCaller.setProof(upstream(1), UpstreamProof.SILENT);
+    box.upstreamCaller.setProbeResult(upstream(1), LivenessResult.SILENT);
     box.send("r1", NO_PIECES);
-    loseConnection(box.upstreamCaller.next());
-    box.upstreamCaller.answerProbes();
+    loseConnection(box.upstreamCaller.nextCall());
+    box.upstreamCaller.completeProbes();
 
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
   }
 
   /** Guards against counting connections that a planned stop closes as crashes. */
@@ -111,12 +111,12 @@
   void doesNotCountPlannedStopAsCrash() throws Exception {
     box.send("r1", NO_PIECES);
     box.upstreams.update(2, List.of(), List.of("u1"));
-    loseConnection(box.upstreamCaller.next());
-    box.upstreamCaller.answerProbes();
+    loseConnection(box.upstreamCaller.nextCall());
+    box.upstreamCaller.completeProbes();
 
-    assertThat(box.quarantine.endsUnder(box.fingerprint())).isZero();
+    assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
     assertThat(box.upstreamCaller.probed()).isEmpty();
-    assertThat(box.upstreamCaller.next().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
   }
 
   @Test
@@ -126,10 +126,10 @@
     box.trials.granted = true;
 
     box.send("r1", NO_PIECES);
-    box.upstreamCaller.next().answer(200, "ok");
+    box.upstreamCaller.nextCall().respond(200, "ok");
 
     assertThat(box.answers).containsExactly("200");
-    assertThat(box.quarantine.bars(box.fingerprint())).isFalse();
+    assertThat(box.quarantine.isQuarantined(box.fingerprint())).isFalse();
   }
 
   @Test
@@ -138,11 +138,11 @@
     box.trials.untilNext = Optional.of(Duration.ZERO);
     box.trials.granted = true;
     box.send("r1", NO_PIECES);
-    loseConnection(box.upstreamCaller.next());
-    box.upstreamCaller.answerProbes();
+    loseConnection(box.upstreamCaller.nextCall());
+    box.upstreamCaller.completeProbes();
     box.runPendingTasks();
 
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     assertThat(box.answers).containsExactly("BROKEN ");
   }
 
@@ -154,7 +154,7 @@
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).containsExactly("QUARANTINED 0");
-    assertThat(box.upstreamCaller.isQuiet()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
   }
 
   private void loseConnection(FakeUpstreamCaller.Call call) {
@@ -164,7 +164,7 @@
 
   private static void recordCrashes(SimulatedRelay relay, String... incarnations) {
     for (String incarnation : incarnations) {
-      relay.quarantine.endedUnder(relay.fingerprint(), incarnation);
+      relay.quarantine.recordCrash(relay.fingerprint(), incarnation);
     }
     relay.runPendingTasks();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
@@ -15,8 +15,8 @@
 import java.util.function.Function;
 import org.gradeledge.connection.ConnectionReuse;
 import org.gradeledge.connection.FakeUpstreamCaller;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.OutgoingRequest;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
@@ -25,13 +25,13 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.quarantine.Quarantine;
+import org.gradeledge.quarantine.QuarantineTrials;
 import org.gradeledge.quarantine.RequestFingerprint;
 import org.gradeledge.quarantine.RequestIdentity;
-import org.gradeledge.quarantine.Trials;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerRequest;
@@ -70,39 +70,39 @@
   private RelayHandler.ActiveRequest activeRequest = () -> {};
 
   /** Trials that the test grants. */
-  static final class ControlledTrials implements Trials {
+  static final class ControlledTrials implements QuarantineTrials {
 
     Optional<Duration> untilNext = Optional.empty();
     boolean granted;
 
     @Override
-    public Optional<Duration> untilNext(RequestFingerprint fingerprint) {
+    public Optional<Duration> timeUntilNext(RequestFingerprint fingerprint) {
       return untilNext;
     }
 
     @Override
-    public Mono<Boolean> take(RequestFingerprint fingerprint) {
+    public Mono<Boolean> claim(RequestFingerprint fingerprint) {
       return Mono.just(granted);
     }
   }
 
   SimulatedRelay(RouteDefinition route, UpstreamRecord... registeredUpstreams) {
-    this(clock -> SendingRule.NONE, route, registeredUpstreams);
+    this(clock -> SendLimiter.UNLIMITED, route, registeredUpstreams);
   }
 
   /** Creates a relay whose sending rule uses the virtual time. */
   SimulatedRelay(
-      Function<MonotonicClock, SendingRule> sendingRule,
+      Function<MonotonicClock, SendLimiter> sendingRule,
       RouteDefinition route,
       UpstreamRecord... registeredUpstreams) {
-    SendingRule sending = sendingRule.apply(clock);
+    SendLimiter sending = sendingRule.apply(clock);
     channel.freezeTime();
     DeploymentRegistry deployments =
         new DeploymentRegistry(
             document -> Either.right(Deployments.of(1, route)), EventLogs.silent());
     deployments.offer(new byte[1], "test");
     upstreams.replaceAll(1, List.of(registeredUpstreams));
-    LoadBoard board = new LoadBoard(clock, EventLogs.silent());
+    UpstreamLoads board = new UpstreamLoads(clock, EventLogs.silent());
     RelayServices services =
         new RelayServices(
             "zone",
@@ -115,7 +115,7 @@
             sending,
             new RetryBudget(clock, 1, 100, Duration.ofSeconds(10), () -> 1),
             upstreamCaller,
-            new UpstreamEnds(upstreamCaller, upstreams::hasLeft),
+            new LivenessChecker(upstreamCaller, upstreams::hasLeft),
             quarantine,
             trials,
             new PassThroughProtocol(),
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/StoppingBoxTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/StoppingBoxTests.java
@@ -30,7 +30,7 @@
     box.handler().refuseUnsent();
     box.runPendingTasks();
     assertThat(box.answers).isEmpty();
-    box.upstreamCaller.next().answer(200, "x");
+    box.upstreamCaller.nextCall().respond(200, "x");
     box.runPendingTasks();
 
     assertThat(box.answers).containsExactly("200");
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
@@ -22,24 +22,24 @@
   @Test
   void failsOverdueRequestsAfterResume() throws Exception {
     box.send("r1", NO_PIECES);
-    FakeUpstreamCaller.Call call = box.upstreamCaller.next();
+    FakeUpstreamCaller.Call call = box.upstreamCaller.nextCall();
     box.suspendMachine(TIMEOUT_MILLIS);
 
     box.handler().expireOverdue();
 
     assertThat(box.answers).containsExactly("LATE ");
-    assertThat(call.cancelled()).isTrue();
+    assertThat(call.isCancelled()).isTrue();
   }
 
   @Test
   void continuesRequestsWithTimeLeft() throws Exception {
     box.send("r1", NO_PIECES);
-    FakeUpstreamCaller.Call call = box.upstreamCaller.next();
+    FakeUpstreamCaller.Call call = box.upstreamCaller.nextCall();
     box.suspendMachine(TIMEOUT_MILLIS - 1);
 
     box.handler().expireOverdue();
     assertThat(box.answers).isEmpty();
-    call.answer(200, "ok");
+    call.respond(200, "ok");
 
     assertThat(box.answers).containsExactly("200");
   }
@@ -50,14 +50,14 @@
   @Test
   void startsTimeoutOfNewRequestAfterResume() throws Exception {
     box.send("r1", NO_PIECES);
-    box.upstreamCaller.next();
+    box.upstreamCaller.nextCall();
     box.suspendMachine(10 * TIMEOUT_MILLIS);
 
     box.send("r2", NO_PIECES);
     box.handler().expireOverdue();
 
     assertThat(box.answers).containsExactly("LATE ");
-    box.upstreamCaller.next().answer(200, "ok");
+    box.upstreamCaller.nextCall().respond(200, "ok");
     assertThat(box.answers).containsExactly("LATE ", "200");
   }
 }
