--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
@@ -55,8 +55,8 @@
 
   /** Shows what upstreams say of themselves. */
   void show(RelayMetrics metrics, UpstreamRateLimiter limited) {
-    metrics.watchLimits(limits::limitedCount, limited::skipped);
-    metrics.watchSignals(
+    metrics.registerLimits(limits::limitedCount, limited::skipped);
+    metrics.registerSignals(
         () -> upstreams.announcedLeaving().size(), backoffs::activeCount, backoffs::skipped);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
@@ -6,17 +6,20 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.jspecify.annotations.Nullable;
 
-/** What attempts share: their load on the board, and answers that say "not run". */
+/**
+ * Base class of attempts: records load and failures of the upstream and detects answers that report
+ * that the request was not run.
+ */
 abstract class AbstractAttempt implements Attempt {
 
-  private static final int FIRST_FAILURE = 500;
+  private static final int FIRST_SERVER_ERROR = 500;
 
   private final RelayServices services;
   private final UpstreamRecord upstream;
   private final long tokens;
   private final long startNanos;
   private @Nullable CancellableCall call;
-  private boolean over;
+  private boolean finished;
   private boolean notRun;
 
   AbstractAttempt(RelayServices services, UpstreamRecord upstream, long tokens) {
@@ -24,20 +27,20 @@
     this.upstream = upstream;
     this.tokens = tokens;
     this.startNanos = services.clock().nanos();
-    services.board().recordStart(upstream, tokens);
+    services.loads().recordStart(upstream, tokens);
   }
 
-  /** The upstream did not run the request. */
-  abstract void onNotRun(int status, HttpHeaders headers, AnswerFacts facts);
+  /** Called when the upstream reports that it did not run the request. */
+  abstract void onNotRun(int status, HttpHeaders headers, AnswerSignals signals);
 
-  /** The head of an answer that ran. */
-  abstract void onRunHead(int status, HttpHeaders headers);
+  /** Called with the head of an answer to a request that was run. */
+  abstract void onAnswerHead(int status, HttpHeaders headers);
 
-  /** There is no whole answer, and none will come. */
-  abstract void onBroken(CallFailure failure);
+  /** Called when the call has failed before the answer was complete. */
+  abstract void onAnswerIncomplete(CallFailure failure);
 
-  /** The answer is whole. */
-  abstract void onWhole();
+  /** Called when the answer is complete. */
+  abstract void onAnswerComplete();
 
   @Override
   public final UpstreamRecord upstream() {
@@ -45,10 +48,10 @@
   }
 
   @Override
-  public final void started(CancellableCall started) {
-    call = started;
-    if (over) {
-      started.cancel();
+  public final void setCall(CancellableCall upstreamCall) {
+    call = upstreamCall;
+    if (finished) {
+      upstreamCall.cancel();
     }
   }
 
@@ -60,65 +63,65 @@
   }
 
   @Override
-  public final void giveUpSilent() {
+  public final void abandonAsSilent() {
     cancel();
-    services.caller().discardConnections(upstream);
-    services.board().recordFailure(upstream, true, "silent");
+    services.upstreamCaller().discardConnections(upstream);
+    services.loads().recordFailure(upstream, true, "silent");
   }
 
   @Override
   public final void onHead(int status, HttpHeaders headers) {
-    services.board().recordActivity(upstream);
+    services.loads().recordActivity(upstream);
     services.quarantine().recordAlive(upstream.incarnationId());
-    AnswerFacts facts = services.protocol().readAnswer(status, headers);
-    notRun = facts.notRun();
+    AnswerSignals signals = services.protocol().readAnswer(status, headers);
+    notRun = signals.notRun();
     if (!notRun) {
-      onRunHead(status, headers);
+      onAnswerHead(status, headers);
       return;
     }
     cancel();
-    services.metrics().attempt("not_run");
-    onNotRun(status, headers, facts);
+    services.metrics().attemptEnded("not_run");
+    onNotRun(status, headers, signals);
   }
 
   @Override
   public final void onComplete() {
     if (finish()) {
-      services.metrics().attempt("answered");
-      onWhole();
+      services.metrics().attemptEnded("answered");
+      onAnswerComplete();
     }
   }
 
   @Override
   public final void onFailure(CallFailure failure) {
     if (finish()) {
-      services.metrics().attempt(failure.isRequestSent() ? "broken" : "not_sent");
-      noteFailure(failure);
-      onBroken(failure);
+      services.metrics().attemptEnded(failure.isRequestSent() ? "broken" : "not_sent");
+      recordFailure(failure);
+      onAnswerIncomplete(failure);
     }
   }
 
-  private void noteFailure(CallFailure failure) {
+  private void recordFailure(CallFailure failure) {
     if (failure.isUpstreamFault()) {
       boolean certain = failure == CallFailure.NOT_CONNECTED;
-      services.board().recordFailure(upstream, certain, failure.name());
+      services.loads().recordFailure(upstream, certain, failure.name());
     }
   }
 
-  /** Notes on the board how the answer's status speaks of the upstream. */
-  final void noteStatus(int status) {
-    if (status >= FIRST_FAILURE) {
-      services.board().recordFailure(upstream, false, "status " + status);
+  /** Records a success or a failure of the upstream from the status of its answer. */
+  final void recordStatus(int status) {
+    if (status >= FIRST_SERVER_ERROR) {
+      services.loads().recordFailure(upstream, false, "status " + status);
     } else {
-      services.board().recordSuccess(upstream, (services.clock().nanos() - startNanos) / 1e6);
+      services.loads().recordSuccess(upstream, (services.clock().nanos() - startNanos) / 1e6);
     }
   }
 
-  final boolean isOver() {
-    return over;
+  final boolean isFinished() {
+    return finished;
   }
 
-  final long runningMillis() {
+  final long elapsedMillis() {
     return (services.clock().nanos() - startNanos) / 1_000_000;
   }
 
@@ -127,11 +130,11 @@
   }
 
   private boolean finish() {
-    if (over) {
+    if (finished) {
       return false;
     }
-    over = true;
-    services.board().recordEnd(upstream, tokens);
+    finished = true;
+    services.loads().recordEnd(upstream, tokens);
     return true;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/DispatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/DispatchQueue.java
@@ -11,24 +11,24 @@
 import java.util.stream.Stream;
 
 /**
- * Requests that have not been sent to an upstream yet: those that wait for one to take more, as all
- * of their service name limits, and those whose stage work is under way. The more urgent come
- * first, among equals the earlier. Confined to the event loop.
+ * Queue of requests that have not been sent to an upstream yet: requests that wait until an
+ * upstream of their service accepts them, and requests whose stage work is in flight. Ordered by
+ * priority, then by arrival. Confined to the event loop.
  */
 final class DispatchQueue {
 
-  /** A small part of the time that a limited upstream takes between two requests of a box. */
-  private static final long LOOK_MILLIS = 20;
+  /** Short compared with the interval at which a limited upstream accepts requests. */
+  private static final long POLL_INTERVAL_MILLIS = 20;
 
-  /** One request in the queue. */
-  static final class Place {
+  /** A request in the queue. */
+  static final class QueuedRequest {
 
     private final String service;
     private final int priority;
     private final Runnable dispatch;
     private boolean waiting;
 
-    Place(String service, int priority, Runnable dispatch) {
+    QueuedRequest(String service, int priority, Runnable dispatch) {
       this.service = service;
       this.priority = priority;
       this.dispatch = dispatch;
@@ -36,83 +36,88 @@
   }
 
   private final EventLoop loop;
-  private final Map<String, Set<Place>> byService = new HashMap<>();
+  private final Map<String, Set<QueuedRequest>> requestsByService = new HashMap<>();
   private boolean scheduled;
 
   DispatchQueue(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** Adds a request that will want an upstream later. */
-  void expect(Place place) {
-    byService.computeIfAbsent(place.service, service -> new LinkedHashSet<>()).add(place);
+  /** Adds a request that is not ready to be sent yet. */
+  void add(QueuedRequest request) {
+    requestsByService
+        .computeIfAbsent(request.service, service -> new LinkedHashSet<>())
+        .add(request);
   }
 
-  /** Lets a request wait; it is dispatched when it may be its turn, as often as it waits again. */
-  void await(Place place) {
-    expect(place);
-    place.waiting = true;
-    schedule();
+  /**
+   * Adds a request that waits for an upstream. It is dispatched when it is next in line and must be
+   * added again if it still has to wait.
+   */
+  void addWaiting(QueuedRequest request) {
+    add(request);
+    request.waiting = true;
+    schedulePoll();
   }
 
-  /** Takes a request out that was sent or has ended. */
-  void remove(Place place) {
-    byService.computeIfPresent(
-        place.service,
-        (service, places) -> {
-          places.remove(place);
-          return places.isEmpty() ? null : places;
+  /** Removes a request that was sent or has ended. */
+  void remove(QueuedRequest request) {
+    requestsByService.computeIfPresent(
+        request.service,
+        (service, requests) -> {
+          requests.remove(request);
+          return requests.isEmpty() ? null : requests;
         });
   }
 
-  /** Returns how many other requests for the same service are before one. */
-  long ahead(Place place) {
-    return before(place).count();
+  /** Returns how many requests for the same service are ahead of this one. */
+  long countAhead(QueuedRequest request) {
+    return requestsAhead(request).count();
   }
 
-  /** Returns how many others before one wait for an upstream already. */
-  long waitingAhead(Place place) {
-    return before(place).filter(each -> each.waiting).count();
+  /** Returns how many of the requests ahead of this one are ready to be sent. */
+  long countWaitingAhead(QueuedRequest request) {
+    return requestsAhead(request).filter(each -> each.waiting).count();
   }
 
-  private Stream<Place> before(Place place) {
-    Set<Place> places = byService.getOrDefault(place.service, Set.of());
+  private Stream<QueuedRequest> requestsAhead(QueuedRequest request) {
+    Set<QueuedRequest> requests = requestsByService.getOrDefault(request.service, Set.of());
     return Stream.concat(
-        places.stream().filter(each -> each.priority < place.priority),
-        places.stream()
-            .takeWhile(each -> each != place)
-            .filter(each -> each.priority == place.priority));
+        requests.stream().filter(each -> each.priority < request.priority),
+        requests.stream()
+            .takeWhile(each -> each != request)
+            .filter(each -> each.priority == request.priority));
   }
 
-  private void schedule() {
+  private void schedulePoll() {
     if (!scheduled) {
       scheduled = true;
-      loop.schedule(this::look, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void look() {
+  private void poll() {
     scheduled = false;
-    Set.copyOf(byService.keySet()).forEach(this::dispatch);
+    Set.copyOf(requestsByService.keySet()).forEach(this::dispatch);
   }
 
-  /** Dispatches as long as the request whose turn it is does not have to wait again. */
+  /** Dispatches waiting requests in order until one has to wait again. */
   private void dispatch(String service) {
-    Optional<Place> next = next(service);
-    while (next.isPresent()) {
-      Place place = next.get();
-      place.waiting = false;
-      place.dispatch.run();
-      if (place.waiting) {
+    Optional<QueuedRequest> waitingRequest = nextWaiting(service);
+    while (waitingRequest.isPresent()) {
+      QueuedRequest request = waitingRequest.get();
+      request.waiting = false;
+      request.dispatch.run();
+      if (request.waiting) {
         return;
       }
-      next = next(service);
+      waitingRequest = nextWaiting(service);
     }
   }
 
-  private Optional<Place> next(String service) {
-    return byService.getOrDefault(service, Set.of()).stream()
-        .filter(place -> place.waiting)
-        .min(Comparator.comparingInt(place -> place.priority));
+  private Optional<QueuedRequest> nextWaiting(String service) {
+    return requestsByService.getOrDefault(service, Set.of()).stream()
+        .filter(request -> request.waiting)
+        .min(Comparator.comparingInt(request -> request.priority));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeParts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeContext.java
@@ -7,37 +7,38 @@
 import org.gradeledge.discovery.UpstreamRecord;
 
 /**
- * What one request needs on its way, put together for it.
+ * Collaborators and state of one request.
  *
- * @param services what all requests share
+ * @param services services shared by all requests
  * @param admitted the request
- * @param clock its times
- * @param outcome its answer
- * @param candidates the upstreams it may go to
- * @param plan its stage work
- * @param inputs results of that
+ * @param clock clock of the request
+ * @param outcome sends the answer
+ * @param candidates upstreams that the request may be sent to
+ * @param stagePlan stage work of the request
+ * @param inputs stage results that the request uses
  * @param queue requests that have not been sent yet
  */
-record ExchangeParts(
+record ExchangeContext(
     RelayServices services,
     AdmittedRequest admitted,
     RequestClock clock,
     ExchangeOutcome outcome,
     UpstreamCandidates candidates,
-    StagePlan plan,
+    StagePlan stagePlan,
     RequestInputs inputs,
     DispatchQueue queue) {
 
-  static ExchangeParts of(
+  static ExchangeContext create(
       RelayServices services,
       AdmittedRequest admitted,
       FirstEventTimes firstEvents,
-      InputRelease inputRelease,
+      InputReleasePolicy inputRelease,
       DispatchQueue queue,
       CallerResponse response) {
     String service = admitted.service();
     RequestClock clock =
-        new RequestClock(services.clock(), admitted.limitMillis(), admitted.route().targetMillis());
+        new RequestClock(
+            services.clock(), admitted.timeoutMillis(), admitted.route().targetMillis());
     StageTimeline timeline = new StageTimeline(clock);
     UpstreamCandidates candidates = new UpstreamCandidates(services, service, admitted.request());
     StagePlan plan =
@@ -45,13 +46,13 @@
             admitted.request(),
             admitted.deployment(),
             admitted.route(),
-            services.stages(),
+            services.stageWorkClient(),
             clock,
             admitted.priority(),
             candidates.likelyZone(),
-            firstEvents.usualMillis(admitted.route().name()),
+            firstEvents.meanMillis(admitted.route().name()),
             timeline);
-    return new ExchangeParts(
+    return new ExchangeContext(
         services,
         admitted,
         clock,
@@ -62,30 +63,33 @@
         queue);
   }
 
-  /** Counts the request for the retry budgets of all services that it needs. */
+  /** Counts the request for the retry budgets of all services that it uses. */
   void countRequest() {
-    services.budget().recordRequest(admitted.service());
-    admitted.route().stages().forEach(stage -> services.budget().recordRequest(stage.service()));
+    services.retryBudget().recordRequest(admitted.service());
+    admitted
+        .route()
+        .stages()
+        .forEach(stage -> services.retryBudget().recordRequest(stage.service()));
   }
 
-  /** Returns whether the retry budget allows to send the request again, and counts that. */
-  boolean mayRepeat() {
-    return services.budget().trySpend(admitted.service());
+  /** Takes one retry from the budget; returns whether it allowed one. */
+  boolean trySpendRetry() {
+    return services.retryBudget().trySpend(admitted.service());
   }
 
-  /** Returns the request as it goes to an upstream, after what was passed on of its answer. */
-  OutgoingRequest outgoing(UpstreamRecord upstream, Optional<String> passedOn) {
-    AttemptFacts facts =
-        new AttemptFacts(
-            clock.leftMillis(),
+  /** Encodes the request for an upstream; a resumed stream starts after the given event. */
+  OutgoingRequest outgoingRequest(UpstreamRecord upstream, Optional<String> lastEventId) {
+    ForwardingContext forwarding =
+        new ForwardingContext(
+            clock.remainingMillis(),
             admitted.account().map(ClientAccount::name),
             admitted.priority(),
             inputs.handles(),
-            passedOn);
+            lastEventId);
     ConnectionReuse reuse =
         admitted.route().repeatability().repeatable()
             ? ConnectionReuse.ANY
             : ConnectionReuse.RECENT;
-    return services.protocol().encode(admitted.request(), upstream, facts, reuse);
+    return services.protocol().encodeRequest(admitted.request(), upstream, forwarding, reuse);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeTimers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeTimers.java
@@ -5,48 +5,54 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** What ends a request that takes too long, and an attempt that is silent. Confined to the loop. */
+/**
+ * Timers of one request: its timeout and the watchdog of its current attempt. Confined to the event
+ * loop.
+ */
 final class ExchangeTimers {
 
   private final EventLoop loop;
   private final RequestClock clock;
-  private Runnable onTimeUp = () -> {};
-  private @Nullable Future<?> timeUp;
-  private @Nullable AttemptWatch watch;
+  private Runnable onTimeout = () -> {};
+  private @Nullable Future<?> timeout;
+  private @Nullable AttemptWatchdog watchdog;
 
   ExchangeTimers(EventLoop loop, RequestClock clock) {
     this.loop = loop;
     this.clock = clock;
   }
 
-  /** Runs an action once the time of the request is up. */
+  /** Starts the timeout. */
   void start(Runnable action) {
-    onTimeUp = action;
-    timeUp = loop.schedule(action, clock.leftMillis(), TimeUnit.MILLISECONDS);
+    onTimeout = action;
+    timeout = loop.schedule(action, clock.remainingMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Does what is due by the true time, as timers do not count suspended time. */
-  void wokeUp() {
-    if (clock.leftMillis() == 0) {
-      onTimeUp.run();
+  /**
+   * Runs the timeout action if the time has elapsed; timers do not count time during which the
+   * machine was suspended.
+   */
+  void expireOverdue() {
+    if (clock.remainingMillis() == 0) {
+      onTimeout.run();
     }
   }
 
-  void watch(AttemptWatch started) {
-    watch = started;
+  void setWatchdog(AttemptWatchdog newWatchdog) {
+    watchdog = newWatchdog;
   }
 
-  void stopWatch() {
-    if (watch != null) {
-      watch.stop();
-      watch = null;
+  void stopWatchdog() {
+    if (watchdog != null) {
+      watchdog.stop();
+      watchdog = null;
     }
   }
 
   void stopAll() {
-    stopWatch();
-    if (timeUp != null) {
-      timeUp.cancel(false);
+    stopWatchdog();
+    if (timeout != null) {
+      timeout.cancel(false);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ReactorCallerResponse.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ReactorCallerResponse.java
@@ -13,10 +13,10 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Hands the answer of an exchange to Reactor Netty. Confined to the event loop. */
+/** Publishes the answer of a request to Reactor Netty. Confined to the event loop. */
 final class ReactorCallerResponse implements CallerResponse {
 
-  private static final List<CharSequence> OF_ONE_CONNECTION =
+  private static final List<CharSequence> HOP_BY_HOP_HEADERS =
       List.of(
           HttpHeaderNames.CONNECTION,
           "keep-alive",
@@ -25,12 +25,12 @@
           HttpHeaderNames.TE,
           HttpHeaderNames.UPGRADE,
           HttpHeaderNames.CONTENT_LENGTH);
-  private static final long MILLIS_IN_SECOND = 1_000;
+  private static final long MILLIS_PER_SECOND = 1_000;
 
   private final Sinks.One<RelayAnswer> answer = Sinks.one();
-  private final Sinks.Many<ByteBuf> parts = Sinks.many().unicast().onBackpressureBuffer();
+  private final Sinks.Many<ByteBuf> eventSink = Sinks.many().unicast().onBackpressureBuffer();
 
-  /** Returns the answer, once it has begun. */
+  /** Returns the answer; it is emitted when its head is available. */
   Mono<RelayAnswer> answer() {
     return answer.asMono();
   }
@@ -39,56 +39,60 @@
   public void refuse(Refusal refusal, long retryAfterMillis) {
     HttpHeaders headers = new DefaultHttpHeaders();
     if (refusal.notRun()) {
-      headers.set(HttpHeaderNames.RETRY_AFTER, seconds(Math.max(0, retryAfterMillis)));
+      headers.set(HttpHeaderNames.RETRY_AFTER, formatSeconds(Math.max(0, retryAfterMillis)));
     }
-    ByteBuf words = Unpooled.copiedBuffer(refusal.explanation(), StandardCharsets.UTF_8);
-    headers.set(HttpHeaderNames.CONTENT_LENGTH, words.readableBytes());
-    if (words.isReadable()) {
+    ByteBuf explanation = Unpooled.copiedBuffer(refusal.explanation(), StandardCharsets.UTF_8);
+    headers.set(HttpHeaderNames.CONTENT_LENGTH, explanation.readableBytes());
+    if (explanation.isReadable()) {
       headers.set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
     }
-    Flux<ByteBuf> body = words.isReadable() ? Flux.just(words) : Flux.empty();
+    Flux<ByteBuf> body = explanation.isReadable() ? Flux.just(explanation) : Flux.empty();
     answer.tryEmitValue(new RelayAnswer(refusal.status(), headers, body, false));
   }
 
-  /** Returns seconds with all three decimals, put together by hand: a formatter is slow to load. */
-  static String seconds(long millis) {
-    String decimals = String.valueOf(MILLIS_IN_SECOND + millis % MILLIS_IN_SECOND).substring(1);
-    return millis / MILLIS_IN_SECOND + "." + decimals;
+  /**
+   * Formats milliseconds as seconds with three decimals, without a formatter, which is slow to
+   * load.
+   */
+  static String formatSeconds(long millis) {
+    String decimals = String.valueOf(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND).substring(1);
+    return millis / MILLIS_PER_SECOND + "." + decimals;
   }
 
   @Override
   public void answer(int status, HttpHeaders headers, ByteBuf body) {
-    HttpHeaders passedOn = endToEnd(headers);
-    passedOn.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+    HttpHeaders forwarded = endToEndHeaders(headers);
+    forwarded.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     Flux<ByteBuf> content = body.isReadable() ? Flux.just(body) : Flux.empty();
-    answer.tryEmitValue(new RelayAnswer(status, passedOn, content, false));
+    answer.tryEmitValue(new RelayAnswer(status, forwarded, content, false));
   }
 
   @Override
   public void beginStream(int status, HttpHeaders headers) {
-    answer.tryEmitValue(new RelayAnswer(status, endToEnd(headers), parts.asFlux(), true));
+    answer.tryEmitValue(
+        new RelayAnswer(status, endToEndHeaders(headers), eventSink.asFlux(), true));
   }
 
   @Override
-  public void part(ByteBuf events) {
-    if (parts.tryEmitNext(events).isFailure()) {
+  public void sendEvents(ByteBuf events) {
+    if (eventSink.tryEmitNext(events).isFailure()) {
       events.release();
     }
   }
 
   @Override
   public void endStream() {
-    parts.tryEmitComplete();
+    eventSink.tryEmitComplete();
   }
 
   @Override
   public void abort() {
-    parts.tryEmitError(new IOException("the upstream broke the stream off"));
+    eventSink.tryEmitError(new IOException("upstream closed the stream before its end"));
   }
 
-  private static HttpHeaders endToEnd(HttpHeaders headers) {
-    HttpHeaders passedOn = new DefaultHttpHeaders().set(headers);
-    OF_ONE_CONNECTION.forEach(passedOn::remove);
-    return passedOn;
+  private static HttpHeaders endToEndHeaders(HttpHeaders headers) {
+    HttpHeaders forwarded = new DefaultHttpHeaders().set(headers);
+    HOP_BY_HOP_HEADERS.forEach(forwarded::remove);
+    return forwarded;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
@@ -16,42 +16,42 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * What all requests of a box share.
+ * Services shared by all requests of a box.
  *
  * @param zone availability zone of the box
- * @param loop where all of it happens
+ * @param eventLoop event loop that processes all requests
  * @param clock monotonic clock
- * @param deployments configuration in force
- * @param upstreams upstreams that are known
- * @param board their load and health
- * @param chooser chooses among them
- * @param sending tells which of them takes one more request of this box now
- * @param budget what may be sent again
- * @param caller sends requests to them
- * @param ends tells whether one that broke a call off has ended
- * @param quarantine holds back requests that end upstreams
- * @param trials tells when one that is held back is tried once more
- * @param protocol how requests look on the wire
- * @param stages has stage work done
- * @param metrics counts
- * @param events log
+ * @param deployments current configuration
+ * @param upstreams registered upstreams
+ * @param loads load and health of upstreams
+ * @param chooser chooses an upstream for a request
+ * @param sendingRule decides whether an upstream accepts one more request of this box
+ * @param retryBudget limits retries
+ * @param upstreamCaller sends requests to upstreams
+ * @param crashDetector checks whether an upstream has crashed after a lost connection
+ * @param quarantine requests that crash upstreams
+ * @param trials grants trials of quarantined requests
+ * @param protocol wire format of requests and answers
+ * @param stageWorkClient submits stage work
+ * @param metrics metrics of relayed requests
+ * @param events event log
  * @since 0.2
  */
 public record RelayServices(
     String zone,
-    EventLoop loop,
+    EventLoop eventLoop,
     MonotonicClock clock,
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    UpstreamLoads board,
+    UpstreamLoads loads,
     UpstreamChooser chooser,
-    SendLimiter sending,
-    RetryBudget budget,
-    UpstreamCaller caller,
-    LivenessChecker ends,
+    SendLimiter sendingRule,
+    RetryBudget retryBudget,
+    UpstreamCaller upstreamCaller,
+    LivenessChecker crashDetector,
     Quarantine quarantine,
     QuarantineTrials trials,
     RelayProtocol protocol,
-    StageWorkClient stages,
+    StageWorkClient stageWorkClient,
     RelayMetrics metrics,
     EventLog events) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestInputs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestInputs.java
@@ -4,51 +4,53 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The results of its stages that a request takes to its upstream, and when they are given up.
- * Confined to the event loop.
+ * The stage results that one request uses as inputs, and their release. Confined to the event loop.
  */
 final class RequestInputs {
 
   private final String service;
-  private final StagePlan plan;
-  private final InputRelease release;
+  private final StagePlan stagePlan;
+  private final InputReleasePolicy releasePolicy;
   private List<String> handles = List.of();
-  private boolean remade;
+  private boolean recomputed;
 
-  RequestInputs(String service, StagePlan plan, InputRelease release) {
+  RequestInputs(String service, StagePlan plan, InputReleasePolicy release) {
     this.service = service;
-    this.plan = plan;
-    this.release = release;
+    this.stagePlan = plan;
+    this.releasePolicy = release;
   }
 
-  /** Notes where the results lie. */
-  void made(List<String> results) {
-    handles = results;
+  /** Sets the handles of the results. */
+  void setHandles(List<String> newHandles) {
+    handles = newHandles;
   }
 
   List<String> handles() {
     return handles;
   }
 
-  /** Notes that an upstream has the request, and gives the inputs up once it has fetched them. */
-  void sent(BooleanSupplier stillUnderWay) {
+  /** Schedules the release of the inputs after the request was sent. */
+  void scheduleRelease(BooleanSupplier stillInFlight) {
     if (handles.isEmpty()) {
       return;
     }
-    release.afterFetching(
+    releasePolicy.scheduleRelease(
         service,
         () -> {
-          if (stillUnderWay.getAsBoolean()) {
-            plan.freeAll();
+          if (stillInFlight.getAsBoolean()) {
+            stagePlan.releaseAll();
           }
         });
   }
 
-  /** Notes that an upstream did not find them; returns whether they may be made again, once. */
-  boolean wereGone() {
-    release.inputsWereGone(service);
-    boolean again = !plan.isEmpty() && !remade;
-    remade = true;
-    return again;
+  /**
+   * Records that an upstream has not found the inputs; returns whether they may be computed again,
+   * which is allowed once.
+   */
+  boolean recordMissing() {
+    releasePolicy.suspendEarlyRelease(service);
+    boolean mayRecompute = !stagePlan.isEmpty() && !recomputed;
+    recomputed = true;
+    return mayRecompute;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
@@ -19,22 +19,22 @@
 import org.gradeledge.deployment.StageWork;
 
 /**
- * The stage work of one request: each stage starts once those that it comes after are done, and the
- * results that no other stage takes are handed on. Confined to the event loop.
+ * Runs the stages of one request: starts each stage after its predecessors and returns the results
+ * that no other stage uses. Confined to the event loop.
  */
 final class StagePlan {
 
-  private static final int MOST_REPEATS = 2;
-  private static final double MOST_OF_TIME_WAITED = 0.4;
+  private static final int MAX_RECOMPUTATIONS = 2;
+  private static final double MAX_WAIT_SHARE = 0.4;
 
-  /** Estimates are rough, and a late answer is worth more than none. */
-  private static final double TOLERANCE = 1.15;
+  /** Tolerance for inaccurate estimates when a request is rejected as too late. */
+  private static final double LATENESS_TOLERANCE = 1.15;
 
-  /** A stage that can wait must take so much less than what is waited for. */
-  private static final double SLACK = 1.2;
+  /** Factor by which the work that a deferred stage waits for must be longer than the stage. */
+  private static final double DEFERRAL_MARGIN = 1.2;
 
   private final RelayRequest request;
-  private final StageEstimate estimate;
+  private final StageEstimator estimator;
   private final List<StageWork> stages;
   private final StageWorkClient client;
   private final RequestClock clock;
@@ -47,8 +47,8 @@
   private final Set<Integer> announced = new HashSet<>();
   private Consumer<List<String>> onDone = handles -> {};
   private BiConsumer<Integer, StageGroupResult> onFailure = (stage, result) -> {};
-  private int repeats;
-  private boolean over;
+  private int recomputations;
+  private boolean finished;
 
   StagePlan(
       RelayRequest request,
@@ -63,142 +63,148 @@
     this.request = request;
     this.stages = route.stages();
     this.client = client;
-    this.results = new StageResults(request.pieces(), stages, client);
+    this.results = new StageResults(request.pieceCounts(), stages, client);
     this.clock = clock;
     this.priority = priority;
     this.zone = zone;
     this.firstEventMillis = firstEventMillis;
     this.timeline = timeline;
-    this.estimate = new StageEstimate(request.pieces(), stages, deployment, client, priority);
+    this.estimator =
+        new StageEstimator(request.pieceCounts(), stages, deployment, client, priority);
   }
 
   /**
-   * Starts the work; exactly one of the two is called, unless the plan is cancelled. It fails at
-   * once where the request would come late behind what waits for its services.
+   * Starts the stages. Calls one of the listeners, unless the plan is cancelled; fails at once if
+   * the backlogs make the answer late.
    */
-  void start(Consumer<List<String>> done, BiConsumer<Integer, StageGroupResult> failed) {
-    onDone = done;
-    onFailure = failed;
-    double expected = estimate.expectedMillis() + firstEventMillis;
-    timeline.expected(expected);
-    if (expected > clock.targetLeftMillis() * TOLERANCE) {
-      over = true;
-      long comeBack = estimate.longestBacklogMillis();
-      failed.accept(0, new StageGroupResult(StageOutcome.LATE, List.of(), "", comeBack, 0));
+  void start(
+      Consumer<List<String>> doneListener, BiConsumer<Integer, StageGroupResult> failureListener) {
+    onDone = doneListener;
+    onFailure = failureListener;
+    double expectedMillis = estimator.expectedMillis() + firstEventMillis;
+    timeline.setExpectedMillis(expectedMillis);
+    if (expectedMillis > clock.targetRemainingMillis() * LATENESS_TOLERANCE) {
+      finished = true;
+      long retryAfterMillis = estimator.longestBacklogMillis();
+      failureListener.accept(
+          0, new StageGroupResult(StageOutcome.LATE, List.of(), "", retryAfterMillis, 0));
       return;
     }
     announceAll();
-    startReady();
+    startReadyStages();
   }
 
   private void announceAll() {
     for (int stage = 0; stage < stages.size(); stage++) {
-      if (results.wanted(stage)) {
+      if (results.hasPieces(stage)) {
         announced.add(stage);
-        client.announce(stages.get(stage).service(), priority, results.pieces(stage));
+        client.announce(stages.get(stage).service(), priority, results.pieceCount(stage));
       }
     }
   }
 
   private void withdraw(int stage) {
     if (announced.remove(stage)) {
-      client.withdraw(stages.get(stage).service(), priority, results.pieces(stage));
+      client.withdraw(stages.get(stage).service(), priority, results.pieceCount(stage));
     }
   }
 
-  /** Does all of the work again, as a result was gone before it was fetched. */
+  /** Runs all stages again after a result was lost before it was fetched. */
   void restart() {
-    freeAll();
-    over = false;
-    startReady();
+    releaseAll();
+    finished = false;
+    startReadyStages();
   }
 
-  /** Drops what waits and gives up what was made. */
+  /** Cancels all stages and releases their results. */
   void cancel() {
-    over = true;
+    finished = true;
     Set.copyOf(announced).forEach(this::withdraw);
     running.forEach(stage -> client.cancel(stages.get(stage).service(), request.id()));
-    freeAll();
+    releaseAll();
   }
 
-  /** Gives up all results, once they have been fetched or are not needed any more. */
-  void freeAll() {
-    results.freeAll();
+  void releaseAll() {
+    results.releaseAll();
   }
 
-  /** Returns whether there is any stage work. */
+  /** Returns whether there is no stage work. */
   boolean isEmpty() {
-    return stages.isEmpty() || request.pieces().stream().allMatch(count -> count == 0);
+    return stages.isEmpty() || request.pieceCounts().stream().allMatch(count -> count == 0);
   }
 
-  private void startReady() {
-    List<Integer> startable = startable();
-    startable.stream().filter(results::isTaken).forEach(this::startStage);
-    startable.stream()
-        .filter(stage -> !results.isTaken(stage) && !running.contains(stage))
-        .filter(stage -> !canWait(stage))
+  private void startReadyStages() {
+    List<Integer> readyStages = startableStages();
+    readyStages.stream().filter(results::hasConsumers).forEach(this::startStage);
+    readyStages.stream()
+        .filter(stage -> !results.hasConsumers(stage) && !running.contains(stage))
+        .filter(stage -> !canDefer(stage))
         .forEach(this::startStage);
-    if (!over && running.isEmpty()) {
-      over = true;
-      onDone.accept(results.handedOn());
+    if (!finished && running.isEmpty()) {
+      finished = true;
+      onDone.accept(results.finalHandles());
     }
   }
 
-  private List<Integer> startable() {
+  private List<Integer> startableStages() {
     return IntStream.range(0, stages.size())
-        .filter(results::wanted)
-        .filter(stage -> !results.has(stage) && !running.contains(stage))
-        .filter(results::ready)
+        .filter(results::hasPieces)
+        .filter(stage -> !results.hasResults(stage) && !running.contains(stage))
+        .filter(results::isReady)
         .boxed()
         .toList();
   }
 
   /**
-   * Returns whether a stage is better started once what runs now is done: the stages after that
-   * take longer than it does, and its results would only take room until then.
+   * Returns whether a stage should start later: if the stages that depend on the running ones take
+   * longer than this one, its results would occupy memory until then.
    */
-  private boolean canWait(int stage) {
-    double rest = running.stream().mapToDouble(estimate::tailMillis).max().orElse(0);
-    return estimate.ownMillis(stage) * SLACK < rest;
+  private boolean canDefer(int stage) {
+    double downstreamMillis =
+        running.stream().mapToDouble(estimator::downstreamMillis).max().orElse(0);
+    return estimator.stageMillis(stage) * DEFERRAL_MARGIN < downstreamMillis;
   }
 
   private long inputBytes(int stage) {
     return stages.get(stage).after().stream()
-        .mapToLong(before -> results.pieces(before) * stages.get(before).resultBytes())
+        .mapToLong(
+            predecessor -> results.pieceCount(predecessor) * stages.get(predecessor).resultBytes())
         .sum();
   }
 
   private void startStage(int stage) {
-    if (over) {
+    if (finished) {
       return;
     }
     StageWork work = stages.get(stage);
     running.add(stage);
-    timeline.started(stage);
+    timeline.stageStarted(stage);
     withdraw(stage);
     List<String> inputs = new ArrayList<>();
-    work.after().forEach(before -> inputs.addAll(results.of(before)));
-    long due = clock.targetLeftMillis() - (long) (estimate.tailMillis(stage) + firstEventMillis);
+    work.after().forEach(predecessor -> inputs.addAll(results.handlesOf(predecessor)));
+    long dueMillis =
+        clock.targetRemainingMillis()
+            - (long) (estimator.downstreamMillis(stage) + firstEventMillis);
     StageGroup group =
         new StageGroup(
             work.service(),
             request.id(),
             stage,
-            results.pieces(stage),
+            results.pieceCount(stage),
             work.after().isEmpty() ? request.pieceKey() : Optional.empty(),
             inputs,
             inputBytes(stage),
             work.resultBytes(),
-            results.isTaken(stage) ? "" : zone,
+            results.hasConsumers(stage) ? "" : zone,
             priority,
-            due,
-            clock.leftMillis(),
-            clock.leftOfPartMillis(MOST_OF_TIME_WAITED),
+            dueMillis,
+            clock.remainingMillis(),
+            clock.remainingMillisOfShare(MAX_WAIT_SHARE),
             results.isEmpty());
     client.submit(group, new StageListener(stage));
   }
 
-  /** Hears how one stage goes. */
+  /** Receives the result of one stage. */
   private final class StageListener implements StageWorkListener {
 
     private final int stage;
@@ -209,38 +215,38 @@
 
     @Override
     public void onEnd(StageGroupResult result) {
-      StagePlan.this.ended(stage, result);
+      StagePlan.this.stageEnded(stage, result);
     }
 
     @Override
     public void onInputsFetched() {
-      if (!over && running.contains(stage)) {
-        results.inputsTaken(stage);
+      if (!finished && running.contains(stage)) {
+        results.recordInputsFetched(stage);
       }
     }
   }
 
-  private void ended(int stage, StageGroupResult result) {
+  private void stageEnded(int stage, StageGroupResult result) {
     running.remove(stage);
-    timeline.ended(stage, result);
-    if (over) {
+    timeline.stageEnded(stage, result);
+    if (finished) {
       client.release(stages.get(stage).service(), result.handles());
       return;
     }
     if (result.outcome() == StageOutcome.MADE) {
       results.put(stage, result.handles());
-      startReady();
-    } else if (result.outcome() == StageOutcome.GONE && repeats < MOST_REPEATS) {
-      repeats++;
-      results.forgetInputs(stage);
-      startReady();
+      startReadyStages();
+    } else if (result.outcome() == StageOutcome.GONE && recomputations < MAX_RECOMPUTATIONS) {
+      recomputations++;
+      results.discardInputs(stage);
+      startReadyStages();
     } else {
       cancel();
       onFailure.accept(stage, result);
     }
   }
 
-  /** Returns where most of what is handed on lies, by bytes. */
+  /** Returns the bytes of the final results by availability zone. */
   Map<String, Long> bytesByZone() {
     return results.bytesByZone();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
@@ -13,120 +13,135 @@
 import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.selection.Demand;
 
-/** The upstreams that one request may still be sent to; each is tried once. */
+/** The upstreams that one request may be sent to; each is tried once. */
 final class UpstreamCandidates {
 
-  /** Enough to see what is wrong with a service; a line stays short. */
-  private static final int MOST_TOLD = 8;
+  /** Keeps log lines short. */
+  private static final int MAX_LOGGED_IDS = 8;
 
   private final RelayServices services;
   private final String service;
   private final RelayRequest request;
-  private String zone;
-  private long zoneBytes;
+  private String preferredZone;
+  private long preferredZoneBytes;
   private final Set<String> tried = new HashSet<>();
-  private final Set<String> passedOver = new LinkedHashSet<>();
+  private final Set<String> skipped = new LinkedHashSet<>();
 
   UpstreamCandidates(RelayServices services, String service, RelayRequest request) {
     this.services = services;
     this.service = service;
     this.request = request;
-    this.zone = services.zone();
+    this.preferredZone = services.zone();
   }
 
-  /** Returns the zone of the upstream that would be tried now. */
+  /** Returns the availability zone of the upstream that would be chosen now. */
   String likelyZone() {
     return services
         .chooser()
         .choose(services.upstreams().usable(service), demand())
         .map(UpstreamRecord::zone)
-        .orElse(zone);
+        .orElse(preferredZone);
   }
 
-  /** Notes where what the request needs lies, in bytes by zone. */
-  void setInputs(Map<String, Long> bytesByZone) {
+  /** Prefers the availability zone that stores most of the request's inputs. */
+  void setInputBytes(Map<String, Long> bytesByZone) {
     bytesByZone.entrySet().stream()
         .max(Map.Entry.comparingByValue())
         .ifPresent(
-            most -> {
-              zone = most.getKey();
-              zoneBytes = most.getValue();
+            largest -> {
+              preferredZone = largest.getKey();
+              preferredZoneBytes = largest.getValue();
             });
   }
 
-  /** Returns the upstream to be tried next, empty where all have been. */
-  Optional<UpstreamRecord> next() {
-    List<UpstreamRecord> left = notTried().filter(this::isAdmitted).toList();
-    Optional<UpstreamRecord> chosen = services.chooser().choose(left, demand());
+  /** Chooses the next upstream; empty if none is left that accepts the request. */
+  Optional<UpstreamRecord> chooseNext() {
+    List<UpstreamRecord> untried = untried().filter(this::admitsRequest).toList();
+    Optional<UpstreamRecord> chosen = services.chooser().choose(untried, demand());
     chosen.ifPresent(upstream -> tried.add(upstream.incarnationId()));
-    chosen.ifPresent(services.sending()::recordSent);
+    chosen.ifPresent(services.sendingRule()::recordSent);
     return chosen;
   }
 
-  private boolean isAdmitted(UpstreamRecord upstream) {
-    boolean admitted = services.sending().admits(upstream);
+  private boolean admitsRequest(UpstreamRecord upstream) {
+    boolean admitted = services.sendingRule().admits(upstream);
     if (!admitted) {
-      passedOver.add(upstream.id());
+      skipped.add(upstream.id());
     }
     return admitted;
   }
 
-  /** Returns the ids of upstreams that were passed over so far, as they took no request then. */
-  String passedOver() {
-    return passedOver.isEmpty()
+  /** Returns the ids of upstreams that were skipped because they did not accept the request. */
+  String skippedIds() {
+    return skipped.isEmpty()
         ? ""
-        : passedOver.stream().limit(MOST_TOLD).collect(Collectors.joining(","));
+        : skipped.stream().limit(MAX_LOGGED_IDS).collect(Collectors.joining(","));
   }
 
-  private Stream<UpstreamRecord> notTried() {
+  private Stream<UpstreamRecord> untried() {
     return services.upstreams().usable(service).stream()
         .filter(each -> !tried.contains(each.incarnationId()));
   }
 
   /**
-   * Returns after about how many milliseconds one takes the request that so many others come
-   * before, zero if one does now; infinite if this box may send to none of them, empty if there is
-   * none left.
+   * Returns the estimated time until an upstream accepts the request, 0 if one does now; infinite
+   * if this box may send to none of them, empty if none is left.
+   *
+   * @param ahead number of requests that are sent before this one
    */
   OptionalDouble millisUntilNext(long ahead) {
-    SendLimiter sending = services.sending();
-    List<UpstreamRecord> left = notTried().toList();
-    double rate = left.stream().mapToDouble(sending::requestsPerSecond).sum();
-    if (Double.isInfinite(rate)) {
+    SendLimiter sending = services.sendingRule();
+    List<UpstreamRecord> untried = untried().toList();
+    double totalRate = untried.stream().mapToDouble(sending::requestsPerSecond).sum();
+    if (Double.isInfinite(totalRate)) {
       return OptionalDouble.of(0);
     }
-    return left.stream()
-        .mapToDouble(each -> sending.millisUntilAdmitted(each, ahead * part(each, rate, left)))
+    return untried.stream()
+        .mapToDouble(
+            each -> sending.millisUntilAdmitted(each, ahead * shareOf(each, totalRate, untried)))
         .min();
   }
 
-  /** Returns after how many milliseconds one takes a request, those that were tried included. */
+  /**
+   * Returns the time until any upstream of the service accepts a request, including those that were
+   * tried.
+   */
   OptionalDouble millisUntilAny() {
     return services.upstreams().usable(service).stream()
-        .mapToDouble(each -> services.sending().millisUntilAdmitted(each, 0))
+        .mapToDouble(each -> services.sendingRule().millisUntilAdmitted(each, 0))
         .min();
   }
 
-  /** Where none takes any now, those that are before share the upstreams evenly later. */
-  private double part(UpstreamRecord upstream, double rate, List<UpstreamRecord> all) {
-    return rate > 0 ? services.sending().requestsPerSecond(upstream) / rate : 1.0 / all.size();
+  /**
+   * Returns the share of the requests ahead that an upstream accepts; equal shares if none accepts
+   * any now.
+   */
+  private double shareOf(
+      UpstreamRecord upstream, double totalRate, List<UpstreamRecord> candidates) {
+    return totalRate > 0
+        ? services.sendingRule().requestsPerSecond(upstream) / totalRate
+        : 1.0 / candidates.size();
   }
 
-  /** Returns why there is no candidate. */
-  Refusal whyNone() {
+  /** Returns the reason why there is no candidate. */
+  Refusal refusal() {
     if (services.upstreams().usable(service).isEmpty()) {
       return Refusal.NO_UPSTREAM;
     }
-    return notTried().findAny().isPresent() ? Refusal.UPSTREAMS_LIMITED : Refusal.UPSTREAMS_FULL;
+    return untried().findAny().isPresent() ? Refusal.UPSTREAMS_LIMITED : Refusal.UPSTREAMS_FULL;
   }
 
-  /** Allows all upstreams again. */
-  void reset() {
+  /** Allows all upstreams to be tried again. */
+  void clearTried() {
     tried.clear();
   }
 
   private Demand demand() {
     return new Demand(
-        request.sharedPart(), request.sharedTokens(), request.tokens(), zone, zoneBytes);
+        request.sharedPartId(),
+        request.sharedTokens(),
+        request.maxTokens(),
+        preferredZone,
+        preferredZoneBytes);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
@@ -8,13 +8,13 @@
 import org.gradeledge.connection.ResponseBuffer;
 import org.gradeledge.discovery.UpstreamRecord;
 
-/** An attempt whose answer is passed on once it is whole. */
+/** An attempt whose answer is buffered and forwarded once it is complete. */
 final class WholeAnswerAttempt extends AbstractAttempt {
 
-  private static final int MOST_BYTES = 16 * 1024 * 1024;
+  private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
 
   private final AttemptListener listener;
-  private final ResponseBuffer body = new ResponseBuffer(MOST_BYTES);
+  private final ResponseBuffer body = new ResponseBuffer(MAX_BODY_BYTES);
   private int status;
   private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
 
@@ -24,14 +24,14 @@
   }
 
   @Override
-  void onNotRun(int answered, HttpHeaders answeredHeaders, AnswerFacts facts) {
-    listener.notRun(this, answered, answeredHeaders, facts);
+  void onNotRun(int answerStatus, HttpHeaders answerHeaders, AnswerSignals signals) {
+    listener.notRun(this, answerStatus, answerHeaders, signals);
   }
 
   @Override
-  void onRunHead(int answered, HttpHeaders answeredHeaders) {
-    status = answered;
-    headers = answeredHeaders;
+  void onAnswerHead(int answerStatus, HttpHeaders answerHeaders) {
+    status = answerStatus;
+    headers = answerHeaders;
   }
 
   @Override
@@ -42,13 +42,13 @@
   }
 
   @Override
-  void onBroken(CallFailure failure) {
+  void onAnswerIncomplete(CallFailure failure) {
     listener.failed(this, failure);
   }
 
   @Override
-  void onWhole() {
-    noteStatus(status);
+  void onAnswerComplete() {
+    recordStatus(status);
     listener.answered(this, status, headers, Unpooled.wrappedBuffer(body.toByteArray()));
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/RelayInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
@@ -36,16 +36,18 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** The relay of one box between a caller and upstreams that a test plays, in virtual time. */
-final class RelayInVirtualTime implements CallerResponse {
+/**
+ * Relay of one box in virtual time, with the caller and the upstreams under control of the test.
+ */
+final class SimulatedRelay implements CallerResponse {
 
   static final String HOST = "host";
   static final String PATH = "/path/x";
 
-  /** A route of requests that may be repeated. */
+  /** Route whose requests may be repeated. */
   static final RouteDefinition PLAIN = Deployments.route(HOST, "/path/", Repeatability.REPEATABLE);
 
-  /** The same with a stage before. */
+  /** Route with one stage whose requests may be repeated. */
   static final RouteDefinition STAGED =
       Deployments.route(
           HOST,
@@ -58,17 +60,17 @@
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowMillis = 1_000_000;
   private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(nowMillis);
-  final FakeUpstreamCaller caller = new FakeUpstreamCaller();
-  final FakeStageWorkClient stages = new FakeStageWorkClient();
+  final FakeUpstreamCaller upstreamCaller = new FakeUpstreamCaller();
+  final FakeStageWorkClient stageWorkClient = new FakeStageWorkClient();
   final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
   final Quarantine quarantine = new Quarantine(clock);
-  final HandMadeTrials trials = new HandMadeTrials();
+  final ControlledTrials trials = new ControlledTrials();
   final List<String> answers = new ArrayList<>();
   private final RelayHandler handler;
-  private RelayHandler.Running running = () -> {};
+  private RelayHandler.ActiveRequest activeRequest = () -> {};
 
-  /** Trials as a test grants them. */
-  static final class HandMadeTrials implements QuarantineTrials {
+  /** Trials that the test grants. */
+  static final class ControlledTrials implements QuarantineTrials {
 
     Optional<Duration> untilNext = Optional.empty();
     boolean granted;
@@ -84,20 +86,22 @@
     }
   }
 
-  RelayInVirtualTime(RouteDefinition route, UpstreamRecord... known) {
-    this(clock -> SendLimiter.UNLIMITED, route, known);
+  SimulatedRelay(RouteDefinition route, UpstreamRecord... registeredUpstreams) {
+    this(clock -> SendLimiter.UNLIMITED, route, registeredUpstreams);
   }
 
-  /** Creates it with a rule on what may be sent, which goes by the virtual time. */
-  RelayInVirtualTime(
-      Function<MonotonicClock, SendLimiter> rule, RouteDefinition route, UpstreamRecord... known) {
-    SendLimiter sending = rule.apply(clock);
+  /** Creates a relay whose sending rule uses the virtual time. */
+  SimulatedRelay(
+      Function<MonotonicClock, SendLimiter> sendingRule,
+      RouteDefinition route,
+      UpstreamRecord... registeredUpstreams) {
+    SendLimiter sending = sendingRule.apply(clock);
     channel.freezeTime();
     DeploymentRegistry deployments =
         new DeploymentRegistry(
             document -> Either.right(Deployments.of(1, route)), EventLogs.silent());
     deployments.offer(new byte[1], "test");
-    upstreams.replaceAll(1, List.of(known));
+    upstreams.replaceAll(1, List.of(registeredUpstreams));
     UpstreamLoads board = new UpstreamLoads(clock, EventLogs.silent());
     RelayServices services =
         new RelayServices(
@@ -110,12 +114,12 @@
             (candidates, demand) -> candidates.stream().findFirst(),
             sending,
             new RetryBudget(clock, 1, 100, Duration.ofSeconds(10), () -> 1),
-            caller,
-            new LivenessChecker(caller, upstreams::hasLeft),
+            upstreamCaller,
+            new LivenessChecker(upstreamCaller, upstreams::hasLeft),
             quarantine,
             trials,
-            new PlainProtocol(),
-            stages,
+            new PassThroughProtocol(),
+            stageWorkClient,
             new RelayMetrics(),
             EventLogs.silent());
     this.handler = new RelayHandler(services);
@@ -125,14 +129,14 @@
     return new UpstreamRecord("u" + number, "service", "10.0.0.1", number, "zone", 8, false);
   }
 
-  /** Returns what names the request that {@link #send} sends. */
+  /** Returns the fingerprint of the request that {@link #send} sends. */
   RequestFingerprint fingerprint() {
     return new RequestIdentity("account", "POST", HOST, PATH, BODY).fingerprint();
   }
 
-  /** A caller sends the same request as always. */
+  /** Sends a request; all requests have the same fingerprint. */
   void send(String id, List<Integer> pieces) {
-    running =
+    activeRequest =
         handler.handle(
             new RelayRequest(
                 id,
@@ -150,32 +154,32 @@
                 pieces,
                 Optional.of("piece-key")),
             this);
-    run();
+    runPendingTasks();
   }
 
-  /** The caller of the request that was sent last closes its connection. */
-  void callerGone() {
-    running.callerGone();
-    run();
+  /** Closes the connection of the caller of the last request. */
+  void disconnectCaller() {
+    activeRequest.callerDisconnected();
+    runPendingTasks();
   }
 
   RelayHandler handler() {
     return handler;
   }
 
-  /** Lets time pass and does what is due. */
-  void pass(long millis) {
+  /** Advances the time and runs the tasks that are due. */
+  void advance(long millis) {
     nowMillis += millis;
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
-    run();
+    runPendingTasks();
   }
 
-  /** Time goes by that no timer counts. */
-  void suspend(long millis) {
+  /** Advances the clock without running timers. */
+  void suspendMachine(long millis) {
     nowMillis += millis;
   }
 
-  void run() {
+  void runPendingTasks() {
     channel.runPendingTasks();
   }
 
@@ -196,7 +200,7 @@
   }
 
   @Override
-  public void part(ByteBuf events) {
+  public void sendEvents(ByteBuf events) {
     events.release();
   }
 
@@ -210,17 +214,20 @@
     answers.add("abort");
   }
 
-  /** Requests go as they are; no answer says that the request was not run. */
-  private static final class PlainProtocol implements RelayProtocol {
+  /** Sends requests unchanged; no answer reports that the request was not run. */
+  private static final class PassThroughProtocol implements RelayProtocol {
 
     @Override
     public Either<String, RelayRequest> read(HttpServerRequest request, byte[] body) {
-      return Either.left("nothing is read in this test");
+      return Either.left("not supported");
     }
 
     @Override
-    public OutgoingRequest encode(
-        RelayRequest request, UpstreamRecord target, AttemptFacts facts, ConnectionReuse reuse) {
+    public OutgoingRequest encodeRequest(
+        RelayRequest request,
+        UpstreamRecord target,
+        ForwardingContext forwarding,
+        ConnectionReuse reuse) {
       return new OutgoingRequest(
           request.method(),
           request.uri(),
@@ -231,8 +238,8 @@
     }
 
     @Override
-    public AnswerFacts readAnswer(int status, HttpHeaders headers) {
-      return new AnswerFacts(false, false);
+    public AnswerSignals readAnswer(int status, HttpHeaders headers) {
+      return new AnswerSignals(false, false);
     }
   }
 }
