--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
@@ -225,7 +225,7 @@
             "the remaining stages take about "
                 + ticket.remaining().toMillis()
                 + " ms and "
-                + ticket.deadline().left().toMillis()
+                + ticket.deadline().remaining().toMillis()
                 + " ms are left")
         .retryAfter(wait)
         .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageTicket.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageTicket.java
@@ -16,12 +16,12 @@
 
   /** Returns whether the deadline can still be met if the call starts now. */
   public boolean reachable() {
-    return deadline.left().compareTo(remaining) > 0;
+    return deadline.remaining().compareTo(remaining) > 0;
   }
 
   /** Returns how long the call can wait and still be answered in time. */
   public Duration slack() {
-    Duration slack = deadline.left().minus(remaining);
+    Duration slack = deadline.remaining().minus(remaining);
     return slack.isNegative() ? Duration.ZERO : slack;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -88,7 +88,8 @@
     this.sequence = new HeartbeatSequence(clock, System.currentTimeMillis());
     this.connections = new MeshConnections(network, clock);
     this.routes =
-        new HeartbeatRoutes(self, zone, peers, network::connectedIds, connections::isUnreachable);
+        new HeartbeatRoutes(
+            self, zone, peers, network::connectedPeerIds, connections::isUnreachable);
     this.listTrust = new ListTrustTracker(state.upstreams());
     this.documents =
         new DocumentExchange(connections, loop, state.deployments(), state.upstreams(), listTrust);
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
@@ -45,7 +45,9 @@
   public SuspectNews read(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(FIELDS);
     SuspectNews records =
-        new SuspectNews(reader.list(SuspectsFormat::readReport), reader.list(MessageReader::text));
+        new SuspectNews(
+            reader.readList(SuspectsFormat::readReport),
+            reader.readList(MessageReader::readString));
     reader.skip(extraFields);
     return records;
   }
@@ -54,16 +56,16 @@
     int extraFields = reader.beginRecord(REPORT_FIELDS);
     SuspectReport report =
         new SuspectReport(
-            new RequestFingerprint(reader.number(), reader.number(), reader.integer()),
-            reader.list(SuspectsFormat::readEnd),
-            reader.flag());
+            new RequestFingerprint(reader.readLong(), reader.readLong(), reader.readInt()),
+            reader.readList(SuspectsFormat::readEnd),
+            reader.readBoolean());
     reader.skip(extraFields);
     return report;
   }
 
   private static EndReport readEnd(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(END_FIELDS);
-    EndReport end = new EndReport(reader.text(), reader.number(), reader.flag());
+    EndReport end = new EndReport(reader.readString(), reader.readLong(), reader.readBoolean());
     reader.skip(extraFields);
     return end;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
@@ -81,7 +81,7 @@
    * operator has had the time to write it anew. What is written meanwhile holds at once.
    */
   @Override
-  public void onOlderCopy() {
+  public void onBackupRestored() {
     int number = ++copies;
     settling = true;
     putInForce(upstreams.evacuations().zones());
--- a/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
@@ -5,7 +5,7 @@
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.follow.FollowPace;
+import org.gradeledge.follow.PollingIntervals;
 import org.gradeledge.follow.TableFollower;
 import org.gradeledge.follow.TableListener;
 import org.gradeledge.mesh.BoxMesh;
@@ -89,7 +89,7 @@
             loop,
             clock,
             events,
-            new FollowPace(
+            new PollingIntervals(
                 this::configurationWait, () -> CONFIGURATION_PAUSE, () -> BACKOFF_OF_OTHERS));
     UpstreamTableListener listener =
         new UpstreamTableListener(
@@ -108,7 +108,7 @@
             loop,
             clock,
             events,
-            new FollowPace(() -> Duration.ZERO, this::upstreamPause, this::upstreamBackoff));
+            new PollingIntervals(() -> Duration.ZERO, this::upstreamPause, this::upstreamBackoff));
     this.verdicts =
         new TableFollower(
             "verdicts",
@@ -117,9 +117,9 @@
             loop,
             clock,
             events,
-            new FollowPace(this::verdictWait, this::verdictPause, () -> VERDICT_BACKOFF));
-    listener.onLook(upstreams::lookNow);
-    mesh.onNewUpstreamList(upstreams::lookNow);
+            new PollingIntervals(this::verdictWait, this::verdictPause, () -> VERDICT_BACKOFF));
+    listener.onLook(upstreams::pollNow);
+    mesh.onNewUpstreamList(upstreams::pollNow);
     mesh.onListConfirmed(listener::settled);
   }
 
@@ -131,9 +131,9 @@
 
   /** Reads all tables anew after the machine was suspended. */
   void wokeUp() {
-    configurations.wokeUp();
-    upstreams.wokeUp();
-    verdicts.wokeUp();
+    configurations.onMachineResume();
+    upstreams.onMachineResume();
+    verdicts.onMachineResume();
   }
 
   private Duration verdictWait() {
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -78,7 +78,7 @@
     this.loops = loops;
     this.events = events;
     this.loop = loops.onClient(false).next();
-    SuspensionAwareClock clock = SuspensionAwareClock.ofMachine();
+    SuspensionAwareClock clock = SuspensionAwareClock.systemClock();
     this.deployments = new DeploymentRegistry(adapters.configurations(), events);
     this.upstreams = new UpstreamRegistry(events);
     LoadBoard board = new LoadBoard(clock, events);
@@ -141,7 +141,7 @@
   private void clocksParted(ClockJump jump, PooledUpstreamCaller caller) {
     events
         .change(jump.isSuspension() ? "suspended" : "time-of-day-set")
-        .with("ms", jump.timeOfDay().toMillis())
+        .with("ms", jump.wallClockShift().toMillis())
         .write();
     if (jump.isSuspension()) {
       metrics.suspended();
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
@@ -92,7 +92,7 @@
   }
 
   @Override
-  public void onAway() {
+  public void onUnavailable() {
     outages++;
     judging = false;
     upstreams.distrustRemovals();
@@ -101,14 +101,14 @@
 
   /** Whoever lives has written its entry again by the time that an outage's lapsed ones are. */
   @Override
-  public void onOlderCopy() {
-    onAway();
+  public void onBackupRestored() {
+    onUnavailable();
     upstreams.distrustReturns();
-    onBack();
+    onAvailableAgain();
   }
 
   @Override
-  public void onBack() {
+  public void onAvailableAgain() {
     int ended = outages;
     loop.schedule(() -> judge(ended), graceMillis, TimeUnit.MILLISECONDS);
   }
@@ -139,7 +139,7 @@
   }
 
   @Override
-  public void onAnswered() {
+  public void onAnswerApplied() {
     reading.answered();
     if (judging) {
       judging = false;
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictKeeper.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/VerdictKeeper.java
@@ -79,7 +79,7 @@
 
   /** What the copy lacks nobody has lifted, and what it has again may have been lifted since. */
   @Override
-  public void onOlderCopy() {
+  public void onBackupRestored() {
     olderCopy = true;
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -137,7 +137,7 @@
   }
 
   private static Flux<AnswerEvent> failAtDeadline(RequestContext context) {
-    return Mono.delay(context.deadline().left())
+    return Mono.delay(context.deadline().remaining())
         .<AnswerEvent>flatMap(tick -> Mono.error(new TimeoutException()))
         .flux();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -98,7 +98,7 @@
     }
 
     private Flux<UpstreamEvent> dispatch() {
-      if (context.deadline().passed()) {
+      if (context.deadline().hasPassed()) {
         return Flux.error(refusal(RefusalReason.DEADLINE_PASSED, Verdict.NOT_RUN, null));
       }
       return router
@@ -149,7 +149,7 @@
           attempts,
           upstream.definition(),
           input,
-          context.deadline().left(),
+          context.deadline().remaining(),
           stage.repeatable() ? "" : context.request().idempotencyKey().orElse(""),
           lastOffset < 0 ? OptionalLong.empty() : OptionalLong.of(lastOffset));
     }
@@ -159,7 +159,7 @@
       boolean again =
           harmless
               && attempts < MOST_ATTEMPTS
-              && !context.deadline().passed()
+              && !context.deadline().hasPassed()
               && budget.takeExtra();
       return again ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
     }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
@@ -180,7 +180,7 @@
                     + meshes.get(box).aliveCount()
                     + (meshes.get(box).receivesDigests() ? " by digests" : " directly")
                     + " boxes, connected with "
-                    + networks.get(box).connectedIds())
+                    + networks.get(box).connectedPeerIds())
         .collect(Collectors.joining("\n"));
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/node/BoxInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/BoxInVirtualTime.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.follow.FollowPace;
+import org.gradeledge.follow.PollingIntervals;
 import org.gradeledge.follow.TableFollower;
 
 /** What a box knows of the list of upstreams, in virtual time, paced as among few boxes. */
@@ -36,11 +36,11 @@
             channel.eventLoop(),
             () -> TimeUnit.MILLISECONDS.toNanos(now),
             EventLogs.silent(),
-            new FollowPace(
+            new PollingIntervals(
                 () -> Duration.ZERO,
                 () -> leavingBound.dividedBy(2),
                 () -> PlatformFollowers.BACKOFF));
-    listener.onLook(follower::lookNow);
+    listener.onLook(follower::pollNow);
   }
 
   void follow() {
--- a/gradeledge-core/src/test/java/org/gradeledge/node/ListInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/ListInVirtualTime.java
@@ -101,7 +101,7 @@
   }
 
   private TableChanges changesAfter(long after) {
-    if (TableRevision.era(after) != era) {
+    if (TableRevision.epoch(after) != era) {
       throw new HistoryLostException("another era");
     }
     long afterRevision = TableRevision.version(after);
--- a/gradeledge-core/src/test/java/org/gradeledge/node/OlderCopyOfVerdictsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/OlderCopyOfVerdictsTests.java
@@ -224,7 +224,7 @@
 
   private void drill(List<TableRow> copy) {
     table.comeBackAs(copy);
-    keeper.onOlderCopy();
+    keeper.onBackupRestored();
     read();
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
@@ -107,7 +107,7 @@
   }
 
   private void comeBack(TableRow... rows) {
-    listener.onOlderCopy();
+    listener.onBackupRestored();
     listener.onContent(new TableContent(COPY, List.of(rows)));
   }
 
