--- a/gradeledge-core/src/main/java/org/gradeledge/peer/BytesFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/BytesFormat.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.msgpack.core.MessagePacker;
 
-/** Bytes as they are. */
+/** Format of messages that consist of raw bytes. */
 final class BytesFormat implements MessageFormat<byte[]> {
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/HmacSha256.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/HmacSha256.java
@@ -6,9 +6,8 @@
 import java.util.Arrays;
 
 /**
- * HMAC-SHA256 (RFC 2104) on the platform's SHA-256. The platform's own HMAC is not used: it loads
- * the framework for ciphers with its policies first, which is a fourteenth of the time that the
- * start of a box takes on its threads (by samples). Thread-safe.
+ * HMAC-SHA256 (RFC 2104) on top of the JDK's SHA-256. The JDK's {@code Mac} is not used because it
+ * loads the cipher framework and its policies, which slows the start of a box. Thread-safe.
  */
 final class HmacSha256 {
 
@@ -36,7 +35,7 @@
     return padded;
   }
 
-  /** Returns the hash of parts that follow each other. */
+  /** Returns the HMAC of the concatenated parts. */
   byte[] compute(byte[]... parts) {
     MessageDigest digest = newDigest();
     digest.update(innerPad);
@@ -52,7 +51,7 @@
     try {
       return MessageDigest.getInstance(ALGORITHM);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+      throw new IllegalStateException("JDK must provide " + ALGORITHM, e);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/MessageFields.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/MessageFields.java
@@ -6,8 +6,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The fields of a message that is written as a map. What is missing or of another type gives an
- * {@link IllegalArgumentException} that names the field.
+ * The fields of a message that is written as a map. Access to a field that is missing or of another
+ * type fails with an {@link IllegalArgumentException} that names the field.
  *
  * @since 0.3
  */
@@ -19,63 +19,61 @@
     this.values = values;
   }
 
-  /** Returns a text. */
+  /** Returns a required string. */
   public String getString(String name) {
     return getRequired(name, String.class);
   }
 
-  /** Returns a text that may be missing. */
+  /** Returns a string, or empty if the field is missing. */
   public Optional<String> getOptionalString(String name) {
     return values.containsKey(name) ? Optional.of(getString(name)) : Optional.empty();
   }
 
-  /** Returns a number. */
+  /** Returns a required integer of up to 64 bits. */
   public long getLong(String name) {
     return getRequired(name, Long.class);
   }
 
-  /** Returns a number, or another one where the field is missing, as in messages of older boxes. */
-  public long getLongOrDefault(String name, long missing) {
-    return values.containsKey(name) ? getLong(name) : missing;
+  /** Returns an integer of up to 64 bits, or a default if the field is missing. */
+  public long getLongOrDefault(String name, long defaultValue) {
+    return values.containsKey(name) ? getLong(name) : defaultValue;
   }
 
-  /** Returns a number of 32 bits. */
+  /** Returns a required integer of up to 32 bits. */
   public int getInt(String name) {
     long number = getLong(name);
     if (number != (int) number) {
-      throw new IllegalArgumentException("field " + name + " must be a number of 32 bits");
+      throw new IllegalArgumentException("field " + name + " must be a 32-bit integer");
     }
     return (int) number;
   }
 
-  /** Returns true or false. */
+  /** Returns a required boolean. */
   public boolean getBoolean(String name) {
     return getRequired(name, Boolean.class);
   }
 
-  /**
-   * Returns true or false, the latter where the field is missing, as in messages of older boxes.
-   */
+  /** Returns a boolean, or false if the field is missing. */
   public boolean getBooleanOrFalse(String name) {
     return values.containsKey(name) && getBoolean(name);
   }
 
-  /** Returns bytes. */
+  /** Returns a required byte array. */
   public byte[] getBytes(String name) {
     return getRequired(name, byte[].class);
   }
 
-  /** Returns a list of texts. */
+  /** Returns a required list of strings. */
   public List<String> getStrings(String name) {
     return getList(name, String.class);
   }
 
-  /** Returns a list of texts, empty where the field is missing, as in messages of older boxes. */
+  /** Returns a list of strings, empty if the field is missing. */
   public List<String> getStringsOrEmpty(String name) {
     return values.containsKey(name) ? getStrings(name) : List.of();
   }
 
-  /** Returns a list of records that are written as maps. */
+  /** Returns a required list of records that are written as maps. */
   public List<MessageFields> getRecords(String name) {
     return getList(name, MessageFields.class);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/MessageFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/MessageFormat.java
@@ -4,9 +4,8 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * How one type of message is written and read, one statement for each field. What a box runs for
- * its first messages has not been compiled yet, so that the amount of code counts: binding by
- * reflection took a fifth of the event loop's time in a young box's first forty requests.
+ * Writes and reads one type of message without reflection, which is slow in a box that has just
+ * started and whose code is not compiled yet.
  *
  * @param <T> the type of the message
  * @since 0.3
@@ -20,7 +19,7 @@
    * Reads one value.
    *
    * @throws IOException if bytes are missing
-   * @throws RuntimeException if the value is none that {@link #write} makes
+   * @throws RuntimeException if the value was not written by {@link #write}
    */
   T read(MessageReader reader) throws IOException;
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/MessageReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/MessageReader.java
@@ -13,8 +13,8 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Reads values in MessagePack one after the other. A length that is larger than what is left is
- * refused before anything is allocated for it. Not thread-safe.
+ * Reads consecutive MessagePack values. A declared length that exceeds the remaining bytes is
+ * rejected before memory is allocated for it. Not thread-safe.
  *
  * @since 0.3
  */
@@ -28,7 +28,7 @@
     T read(MessageReader reader) throws IOException;
   }
 
-  /** Deeper than any message is; bounds the depth of calls. */
+  /** Bounds the recursion; no message is nested as deeply. */
   private static final int MAX_DEPTH = 16;
 
   private final MessageUnpacker unpacker;
@@ -40,72 +40,72 @@
     this.length = bytes.length;
   }
 
-  /** Returns a text. */
+  /** Reads a string. */
   public String readString() throws IOException {
     byte[] bytes = unpacker.readPayload(checkSize(unpacker.unpackRawStringHeader()));
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
-  /** Returns a number. */
+  /** Reads an integer of up to 64 bits. */
   public long readLong() throws IOException {
     return unpacker.unpackLong();
   }
 
-  /** Returns a number of 32 bits. */
+  /** Reads an integer of up to 32 bits. */
   public int readInt() throws IOException {
     return unpacker.unpackInt();
   }
 
-  /** Returns true or false. */
+  /** Reads a boolean. */
   public boolean readBoolean() throws IOException {
     return unpacker.unpackBoolean();
   }
 
-  /** Returns bytes. */
+  /** Reads a byte array. */
   public byte[] readBytes() throws IOException {
     return unpacker.readPayload(checkSize(unpacker.unpackBinaryHeader()));
   }
 
-  /** Returns a list, each element read alike. */
-  public <T> List<T> readList(ElementReader<T> element) throws IOException {
+  /** Reads a list. */
+  public <T> List<T> readList(ElementReader<T> elementReader) throws IOException {
     int size = unpacker.unpackArrayHeader();
     List<T> list = new ArrayList<>(checkSize(size));
     for (int index = 0; index < size; index++) {
-      list.add(element.read(this));
+      list.add(elementReader.read(this));
     }
     return list;
   }
 
-  /** Returns a map by texts, each value read alike. */
-  public <T> Map<String, T> readMap(ElementReader<T> value) throws IOException {
+  /** Reads a map with strings as keys. */
+  public <T> Map<String, T> readMap(ElementReader<T> valueReader) throws IOException {
     int size = unpacker.unpackMapHeader();
     Map<String, T> map = new HashMap<>(checkSize(size));
     for (int index = 0; index < size; index++) {
-      map.put(readString(), value.read(this));
+      map.put(readString(), valueReader.read(this));
     }
     return map;
   }
 
   /**
-   * Begins a record that is written as an array.
+   * Reads the header of a record that is written as an array.
    *
-   * @param fields how many fields are known
-   * @return how many more there are, which {@link #skip} passes over after the known ones
+   * @param fields the number of fields that the caller reads
+   * @return the number of extra fields, which the caller must {@link #skip} after these
    */
   public int beginRecord(int fields) throws IOException {
     int size = unpacker.unpackArrayHeader();
     if (size < fields) {
-      throw new IOException("a record must have " + fields + " fields, not " + size);
+      throw new IOException("record must have at least " + fields + " fields, but has " + size);
     }
     return size - fields;
   }
 
-  /** Passes over so many values. */
-  public void skip(int values) throws IOException {
-    unpacker.skipValue(values);
+  /** Skips a number of values. */
+  public void skip(int count) throws IOException {
+    unpacker.skipValue(count);
   }
 
-  /** Returns a record that is written as a map; its fields may come in any order. */
+  /** Reads a record that is written as a map; its fields may be in any order. */
   public MessageFields readFields() throws IOException {
     int size = checkSize(unpacker.unpackMapHeader());
     Map<String, Object> fields = new HashMap<>();
@@ -119,13 +119,13 @@
     return new MessageFields(fields);
   }
 
-  /** Returns the only field that matters of a record that is written as a map. */
-  public <T> T readField(String name, ElementReader<T> value) throws IOException {
+  /** Reads a record that is written as a map and returns one of its fields. */
+  public <T> T readField(String name, ElementReader<T> valueReader) throws IOException {
     int size = unpacker.unpackMapHeader();
     Optional<T> found = Optional.empty();
     for (int index = 0; index < size; index++) {
       if (name.equals(readString())) {
-        found = Optional.of(value.read(this));
+        found = Optional.of(valueReader.read(this));
       } else {
         skip(1);
       }
@@ -133,7 +133,7 @@
     return found.orElseThrow(() -> new IllegalArgumentException("field " + name + " is missing"));
   }
 
-  /** Returns a value as Java has it; null for what no message holds, which is passed over. */
+  /** Reads a value of any type; skips types that no message uses, and returns null for these. */
   private @Nullable Object readValue() throws IOException {
     ValueType type = unpacker.getNextFormat().getValueType();
     switch (type) {
@@ -155,14 +155,14 @@
     }
   }
 
-  private <T> T readNested(ElementReader<T> value) throws IOException {
+  private <T> T readNested(ElementReader<T> valueReader) throws IOException {
     if (depth == MAX_DEPTH) {
-      throw new IOException("a message must not be nested deeper than " + MAX_DEPTH);
+      throw new IOException("message must not be nested deeper than " + MAX_DEPTH);
     }
     depth++;
-    T read = value.read(this);
+    T value = valueReader.read(this);
     depth--;
-    return read;
+    return value;
   }
 
   private List<@Nullable Object> readValueList() throws IOException {
@@ -176,13 +176,13 @@
 
   void checkFullyRead() throws IOException {
     if (unpacker.hasNext()) {
-      throw new IOException("a frame must hold one message");
+      throw new IOException("frame must contain exactly one message");
     }
   }
 
   private int checkSize(int size) throws IOException {
     if (size > length - unpacker.getTotalReadBytes()) {
-      throw new IOException("a length of " + size + " is more than what is left");
+      throw new IOException("length " + size + " exceeds the remaining bytes");
     }
     return size;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerAddress.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerAddress.java
@@ -5,28 +5,28 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where another box listens for its peers.
+ * Address at which another box listens for connections of its peers.
  *
- * @param boxId its name
- * @param incarnation counts up each time a box of that name joins
- * @param host IP number
+ * @param boxId name of the box
+ * @param incarnation number that increases each time a box of that name joins
+ * @param host IP address
  * @param port TCP port
  * @since 0.1
  */
 public record PeerAddress(String boxId, long incarnation, String host, int port) {
 
-  /** Checks the address. */
+  /** Requires the name and the host. */
   public PeerAddress {
-    Objects.requireNonNull(boxId, "boxId must be given");
-    Objects.requireNonNull(host, "host must be given");
+    Objects.requireNonNull(boxId, "boxId must not be null");
+    Objects.requireNonNull(host, "host must not be null");
   }
 
-  /** Returns where to connect. */
+  /** Returns the socket address to connect to. */
   public InetSocketAddress socketAddress() {
     return new InetSocketAddress(host, port);
   }
 
-  /** Written out, as the one that a record makes costs each young process some 30 milliseconds. */
+  /** Explicit, because bootstrapping the generated method of a record slows the start of a box. */
   @Override
   public boolean equals(@Nullable Object other) {
     return other instanceof PeerAddress that
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerCodec.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerCodec.java
@@ -7,12 +7,12 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * Writes and reads messages in MessagePack; bad bytes give a {@link PeerException}. Types without a
- * format of their own are bound by reflection. Thread-safe.
+ * Encodes and decodes messages in MessagePack. Invalid bytes fail with a {@link PeerException}.
+ * Types without a registered format are bound by reflection. Thread-safe.
  */
 final class PeerCodec {
 
-  /** Most messages are smaller, in bytes; larger ones take more buffers. */
+  /** Larger messages take more than one buffer. */
   private static final int BUFFER_BYTES = 1_024;
 
   private static final MessagePack.PackerConfig PACKER_CONFIG =
@@ -26,7 +26,6 @@
     register(byte[].class, new BytesFormat());
   }
 
-  /** Sets how messages of a type are written and read. */
   <T> void register(Class<T> type, MessageFormat<T> format) {
     formats.put(type, format);
   }
@@ -37,7 +36,7 @@
     try {
       return format == null ? ReflectiveCodec.write(message) : write(format, message);
     } catch (IOException e) {
-      throw new IllegalArgumentException("message must be writable as MessagePack", e);
+      throw new IllegalArgumentException("message cannot be written as MessagePack", e);
     }
   }
 
@@ -54,7 +53,7 @@
     try {
       return format == null ? ReflectiveCodec.read(bytes, type) : read(format, bytes);
     } catch (IOException | RuntimeException e) {
-      throw new PeerException("a frame must hold a valid " + type.getSimpleName(), e);
+      throw new PeerException("frame must contain a valid " + type.getSimpleName(), e);
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerConnection.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerConnection.java
@@ -21,8 +21,8 @@
 import reactor.netty.NettyOutbound;
 
 /**
- * One connection to a peer, from greeting to close. {@link #run} is its one task; sending is
- * thread-safe.
+ * A connection to a peer: handshake, sending of messages and requests, and dispatch of received
+ * frames to the handlers. Sending is thread-safe.
  */
 final class PeerConnection {
 
@@ -32,7 +32,7 @@
   private static final int MAX_CONCURRENT_MESSAGES = 4096;
   private static final int SEND_QUEUE_CAPACITY = 1024;
 
-  /** Questions count from 1, so the answer to a probe is nobody else's. */
+  /** Distinct from the ids of requests, which start at 1. */
   private static final long PROBE_CORRELATION_ID = -1;
 
   private static final byte[] EMPTY_BODY = {};
@@ -61,7 +61,7 @@
             context.scheduler(), MonotonicClock.system(), this::sendProbe, this::closeUnresponsive);
   }
 
-  /** Greets, then handles frames until either side closes. */
+  /** Performs the handshake, then handles frames until either side closes. */
   Publisher<Void> run(NettyInbound inbound, NettyOutbound outbound) {
     enqueue(new PeerFrame(HELLO, 0, false, context.codec().encode(ownHello)));
     Mono<Void> sending =
@@ -73,11 +73,12 @@
             .index()
             .concatMap(frame -> receive(frame.getT1(), frame.getT2()))
             .then();
-    Mono<Void> greetingLimit =
+    Mono<Void> handshakeTimeout =
         Mono.delay(HANDSHAKE_TIMEOUT, context.scheduler())
-            .flatMap(tick -> open ? Mono.<Void>never() : Mono.error(failure("greeting too slow")));
-    return Mono.firstWithSignal(sending, receiving, greetingLimit)
-        .doOnError(e -> Logger.debug(e, "peer connection ended"))
+            .flatMap(
+                tick -> open ? Mono.<Void>never() : Mono.error(failure("handshake timed out")));
+    return Mono.firstWithSignal(sending, receiving, handshakeTimeout)
+        .doOnError(e -> Logger.debug(e, "Peer connection ended"))
         .onErrorComplete()
         .doFinally(signal -> close());
   }
@@ -86,14 +87,14 @@
     return open;
   }
 
-  /** Returns what completes once the connection has been closed. */
+  /** Returns a {@link Mono} that completes once the connection is closed. */
   Mono<Void> onClosed() {
     return closed.asMono();
   }
 
   boolean isDialedByLowerId() {
-    String other = identity().boxId();
-    return dialed == (ownHello.boxId().compareTo(other) < 0);
+    String peerId = identity().boxId();
+    return dialed == (ownHello.boxId().compareTo(peerId) < 0);
   }
 
   PeerIdentity identity() {
@@ -108,7 +109,7 @@
     probe.recordSent();
   }
 
-  Mono<byte[]> request(String type, byte[] body, Duration limit) {
+  Mono<byte[]> request(String type, byte[] body, Duration timeout) {
     return Mono.defer(
         () -> {
           long correlation = lastCorrelationId.incrementAndGet();
@@ -118,7 +119,7 @@
           probe.recordSent();
           return answer
               .asMono()
-              .timeout(limit, context.scheduler())
+              .timeout(timeout, context.scheduler())
               .doFinally(signal -> pendingResponses.remove(correlation));
         });
   }
@@ -157,14 +158,15 @@
 
   private void closeUnresponsive() {
     context.metrics().stateChange("peer-silent");
-    Logger.info("peer silent, connection closed: box={}", identity().boxId());
+    Logger.info("Connection closed, peer did not respond: box={}", identity().boxId());
     close();
   }
 
   private Mono<Void> receiveHello(PeerFrame frame) {
     PeerHello hello = context.codec().decode(expect(HELLO, frame).body(), PeerHello.class);
     if (hello.protocolVersion() != PeerHello.PROTOCOL_VERSION) {
-      return Mono.error(failure("protocol version " + hello.protocolVersion() + " is not spoken"));
+      return Mono.error(
+          failure("protocol version " + hello.protocolVersion() + " is not supported"));
     }
     peerHello = hello;
     byte[] proof = context.secret().proof(hello.nonce(), ownHello, dialed);
@@ -177,22 +179,22 @@
     PeerHello hello = Optional.ofNullable(peerHello).orElseThrow();
     if (!context.secret().isValidProof(proof, ownHello.nonce(), hello, !dialed)) {
       context.metrics().stateChange("peer-refused");
-      return Mono.error(failure("the secret is not the same"));
+      return Mono.error(failure("peer has a different secret"));
     }
     open = true;
     if (!context.connectionOpened(this)) {
-      return Mono.error(failure("another connection to the same peer is kept"));
+      return Mono.error(failure("connection to the same peer exists already"));
     }
     return Mono.empty();
   }
 
   /**
-   * Starts to handle a message without waiting for its end: an answer may take long, and what comes
-   * after it, such as a heartbeat, must not wait for that.
+   * Starts to handle a message without waiting for the answer, so that a slow handler does not
+   * delay later messages such as heartbeats.
    */
   private Mono<Void> startHandling(PeerFrame frame) {
     if (messagesInFlight.size() >= MAX_CONCURRENT_MESSAGES) {
-      return Mono.error(failure("too many messages at a time"));
+      return Mono.error(failure("too many messages in flight"));
     }
     Disposable.Swap running = Disposables.swap();
     messagesInFlight.add(running);
@@ -205,7 +207,7 @@
         .handlers()
         .handle(identity(), frame)
         .doOnNext(body -> enqueue(new PeerFrame(frame.type(), frame.correlation(), true, body)))
-        .doOnError(e -> Logger.debug(e, "peer message {} failed", frame.type()))
+        .doOnError(e -> Logger.debug(e, "Handling of peer message {} failed", frame.type()))
         .onErrorComplete()
         .then();
   }
@@ -234,18 +236,18 @@
   }
 
   private void count(String type, String direction, int bytes) {
-    String known = context.handlers().isRegistered(type) ? type : "other";
-    context.metrics().peerMessage(known, direction, bytes + PeerTransport.LENGTH_FIELD_BYTES);
+    String knownType = context.handlers().isRegistered(type) ? type : "other";
+    context.metrics().peerMessage(knownType, direction, bytes + PeerTransport.LENGTH_FIELD_BYTES);
   }
 
   private static PeerFrame expect(String type, PeerFrame frame) {
     if (!type.equals(frame.type())) {
-      throw failure("expected " + type + " but got another frame");
+      throw failure("expected frame " + type + ", but received another type");
     }
     return frame;
   }
 
-  private static PeerException failure(String why) {
-    return new PeerException(why, null);
+  private static PeerException failure(String message) {
+    return new PeerException(message, null);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerContext.java
@@ -3,7 +3,7 @@
 import org.gradeledge.metrics.BoxMetrics;
 import reactor.core.scheduler.Scheduler;
 
-/** What a connection needs of the network that it belongs to. */
+/** Access of a {@link PeerConnection} to the network that it belongs to. */
 interface PeerContext {
 
   PeerCodec codec();
@@ -14,15 +14,15 @@
 
   BoxMetrics metrics();
 
-  /** Returns where time-outs run. */
+  /** Returns the scheduler of timeouts. */
   Scheduler scheduler();
 
-  /** Returns a new greeting of this box. */
+  /** Returns a new handshake message of this box. */
   PeerHello newHello();
 
-  /** Called once the other side is proved; returns whether the connection is to be kept. */
+  /** Called once the peer is authenticated; returns whether to keep the connection. */
   boolean connectionOpened(PeerConnection connection);
 
-  /** Called once an opened connection is closed. */
+  /** Called once an open connection is closed. */
   void connectionClosed(PeerConnection connection);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerDialer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerDialer.java
@@ -11,19 +11,17 @@
 import reactor.util.retry.Retry;
 
 /**
- * Keeps up the connection to one peer: dials while there is none, and rests while there is one,
- * whichever side has dialed it. It looks again only once a connection has ended, so a box at rest
- * spends nothing on peers that it is connected with. Thread-safe.
+ * Maintains the connection to one peer: dials with backoff while there is none, and waits while
+ * there is one, whichever side dialed it. Connected peers are not polled. Thread-safe.
  */
 final class PeerDialer implements Disposable {
 
-  /** A peer that has just started answers within a few tens of milliseconds. */
   private static final Duration MIN_BACKOFF = Duration.ofMillis(50);
 
-  /** Bounds both the dials to a peer that is away and the time until one that is back is met. */
+  /** Bounds the time until a peer that is available again is connected. */
   private static final Duration MAX_BACKOFF = Duration.ofMillis(400);
 
-  /** Spreads the dials of many boxes to one that comes back. */
+  /** Spreads the dials of many boxes to a peer that is available again. */
   private static final double JITTER = 0.5;
 
   private final Supplier<Optional<PeerConnection>> openConnection;
@@ -34,21 +32,21 @@
   private final Disposable task;
 
   /**
-   * Starts to keep up a connection.
+   * Starts to maintain the connection.
    *
-   * @param open the connection to the peer that is open now
-   * @param dial dials the peer; completes once the connection has ended
-   * @param onDialEnd called whenever a dial has come to nothing or its connection has ended
+   * @param openConnection returns the open connection to the peer, if any
+   * @param dial dials the peer; completes once the connection is closed
+   * @param dialEndListener called whenever a dial has failed or its connection is closed
    */
   PeerDialer(
       PeerAddress peer,
-      Supplier<Optional<PeerConnection>> open,
+      Supplier<Optional<PeerConnection>> openConnection,
       Supplier<Mono<Void>> dial,
       Scheduler scheduler,
-      Runnable onDialEnd) {
-    this.openConnection = open;
+      Runnable dialEndListener) {
+    this.openConnection = openConnection;
     this.dial = dial;
-    this.dialEndListener = onDialEnd;
+    this.dialEndListener = dialEndListener;
     this.task =
         Mono.defer(this::awaitConnectionEnd)
             .then(Mono.error(() -> PeerException.notConnected(peer.boxId())))
@@ -58,15 +56,15 @@
                     .jitter(JITTER)
                     .scheduler(scheduler))
             .subscribe(
-                ignored -> {}, e -> Logger.error(e, "dialing of peer {} ended", peer.boxId()));
+                ignored -> {}, e -> Logger.error(e, "Dialing of peer {} ended", peer.boxId()));
   }
 
-  /** Returns whether a dial is under way whose outcome is not known yet. */
+  /** Returns whether a dial is in flight. */
   boolean isDialing() {
     return dialing.get();
   }
 
-  /** Returns whether the last dial came to nothing and no connection was opened since. */
+  /** Returns whether the last dial failed and no connection was opened since. */
   boolean hasFailed() {
     return failed && openConnection.get().isEmpty();
   }
@@ -87,7 +85,7 @@
     dialEndListener.run();
   }
 
-  /** Notes that a connection to the peer is open. */
+  /** Called once a connection to the peer is open, whichever side dialed it. */
   void connectionOpened() {
     dialing.set(false);
     failed = false;
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerDialers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerDialers.java
@@ -12,7 +12,7 @@
 import reactor.core.publisher.Sinks;
 import reactor.core.scheduler.Scheduler;
 
-/** The peers that a box keeps up connections with, and who waits for one to open. Thread-safe. */
+/** Maintains the connections to a set of peers by one {@link PeerDialer} each. Thread-safe. */
 final class PeerDialers {
 
   private final Function<PeerAddress, Optional<PeerConnection>> openConnection;
@@ -23,32 +23,32 @@
   private volatile boolean stopped;
 
   /**
-   * Creates it without peers.
+   * Creates an instance without peers.
    *
-   * @param open the connection to a peer that is open now
-   * @param dial dials a peer; completes once the connection has ended
-   * @param scheduler where pauses between dials and time-outs run
+   * @param openConnection returns the open connection to a peer, if any
+   * @param dial dials a peer; completes once the connection is closed
+   * @param scheduler scheduler of backoff and timeouts
    */
   PeerDialers(
-      Function<PeerAddress, Optional<PeerConnection>> open,
+      Function<PeerAddress, Optional<PeerConnection>> openConnection,
       Function<PeerAddress, Mono<Void>> dial,
       Scheduler scheduler) {
-    this.openConnection = open;
+    this.openConnection = openConnection;
     this.dial = dial;
     this.scheduler = scheduler;
   }
 
-  /** Keeps up connections with some peers; returns those that none is kept up with any more. */
+  /** Sets the peers to maintain connections with; returns those that were removed. */
   synchronized List<PeerAddress> maintainConnections(Collection<PeerAddress> peers) {
-    Set<PeerAddress> wanted = stopped ? Set.of() : Set.copyOf(peers);
-    List<PeerAddress> unwanted =
-        dialersByPeer.keySet().stream().filter(address -> !wanted.contains(address)).toList();
-    unwanted.forEach(address -> dialersByPeer.remove(address).dispose());
-    wanted.forEach(this::getOrCreateDialer);
-    return unwanted;
+    Set<PeerAddress> newPeers = stopped ? Set.of() : Set.copyOf(peers);
+    List<PeerAddress> removedPeers =
+        dialersByPeer.keySet().stream().filter(address -> !newPeers.contains(address)).toList();
+    removedPeers.forEach(address -> dialersByPeer.remove(address).dispose());
+    newPeers.forEach(this::getOrCreateDialer);
+    return removedPeers;
   }
 
-  /** Keeps up no connection and dials nobody from now on. */
+  /** Stops dialing for good. */
   synchronized void stop() {
     stopped = true;
     dialersByPeer.values().forEach(PeerDialer::dispose);
@@ -56,31 +56,32 @@
   }
 
   /** Completes once a peer is connected; see {@link PeerNetwork#connect}. */
-  Mono<Void> connect(PeerAddress peer, Duration limit) {
+  Mono<Void> connect(PeerAddress peer, Duration timeout) {
     return Mono.defer(
-        () -> openConnection.apply(peer).isPresent() ? Mono.empty() : awaitConnection(peer, limit));
+        () ->
+            openConnection.apply(peer).isPresent() ? Mono.empty() : awaitConnection(peer, timeout));
   }
 
-  private Mono<Void> awaitConnection(PeerAddress peer, Duration limit) {
+  private Mono<Void> awaitConnection(PeerAddress peer, Duration timeout) {
     if (stopped) {
       return Mono.error(PeerException.notConnected(peer.boxId()));
     }
-    Sinks.Empty<Void> opening =
+    Sinks.Empty<Void> connected =
         pendingConnections.computeIfAbsent(peer.boxId(), id -> Sinks.empty());
     if (!getOrCreateDialer(peer).isDialing()) {
       failIfNotConnected(peer);
     }
-    return opening
+    return connected
         .asMono()
-        .timeout(limit, Mono.error(() -> PeerException.notConnected(peer.boxId())), scheduler);
+        .timeout(timeout, Mono.error(() -> PeerException.notConnected(peer.boxId())), scheduler);
   }
 
-  /** Returns whether the last dial of a peer came to nothing; it is dialed again meanwhile. */
+  /** Returns whether the last dial of a peer failed; dialing continues nonetheless. */
   boolean isUnreachable(PeerAddress peer) {
     return Optional.ofNullable(dialersByPeer.get(peer)).filter(PeerDialer::hasFailed).isPresent();
   }
 
-  /** Notes that a connection to a peer is open, whichever side has dialed it. */
+  /** Called once a connection to a peer is open, whichever side dialed it. */
   synchronized void connectionOpened(String boxId) {
     dialersByPeer.forEach((peer, dialer) -> markOpened(peer, dialer, boxId));
     Optional.ofNullable(pendingConnections.remove(boxId)).ifPresent(Sinks.Empty::tryEmitEmpty);
@@ -111,7 +112,7 @@
   private void failIfNotConnected(PeerAddress peer) {
     if (openConnection.apply(peer).isEmpty()) {
       Optional.ofNullable(pendingConnections.remove(peer.boxId()))
-          .ifPresent(opening -> opening.tryEmitError(PeerException.notConnected(peer.boxId())));
+          .ifPresent(connected -> connected.tryEmitError(PeerException.notConnected(peer.boxId())));
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerFrame.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerFrame.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * One frame on the wire.
+ * Envelope of a message on a connection between boxes.
  *
  * @param type name of the message type
- * @param correlation number that an answer repeats; 0 where none is awaited
- * @param answer whether this is an answer
+ * @param correlation id of the request, repeated in its answer; 0 if no answer is expected
+ * @param answer whether the frame is an answer
  * @param body the message in MessagePack
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerFrameFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerFrameFormat.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.msgpack.core.MessagePacker;
 
-/** Frames, as arrays. */
+/** Format of frames, which are written as arrays. */
 final class PeerFrameFormat implements MessageFormat<PeerFrame> {
 
   private static final int FIELDS = 4;
@@ -20,11 +20,11 @@
 
   @Override
   public PeerFrame read(MessageReader reader) throws IOException {
-    int more = reader.beginRecord(FIELDS);
+    int extraFields = reader.beginRecord(FIELDS);
     PeerFrame frame =
         new PeerFrame(
             reader.readString(), reader.readLong(), reader.readBoolean(), reader.readBytes());
-    reader.skip(more);
+    reader.skip(extraFields);
     return frame;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHandler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHandler.java
@@ -3,7 +3,7 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What a box does with one kind of message from a peer.
+ * Handles messages of one type from peers.
  *
  * @param <T> the type of the message
  * @since 0.1
@@ -14,8 +14,8 @@
   /**
    * Handles a message; must not block.
    *
-   * @param from who sent it, as the greeting proved
-   * @return the answer, sent where the sender awaits one; empty for none
+   * @param from the authenticated sender
+   * @return the answer, or empty; used only if the sender expects one
    */
   Mono<?> handle(PeerIdentity from, T message);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHandlers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHandlers.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import reactor.core.publisher.Mono;
 
-/** The handlers of a box by message type. Thread-safe. */
+/** Registry of message handlers by message type. Thread-safe. */
 final class PeerHandlers {
 
   private record Registration<T>(PeerMessageType<T> type, PeerHandler<T> handler) {
@@ -30,7 +30,7 @@
     return registrationsByType.containsKey(type);
   }
 
-  /** Returns the answer in MessagePack; unknown messages are passed over, for newer peers' sake. */
+  /** Returns the encoded answer; ignores unknown types, which peers of newer versions may send. */
   Mono<byte[]> handle(PeerIdentity from, PeerFrame frame) {
     return Optional.<Registration<?>>ofNullable(registrationsByType.get(frame.type()))
         .<Mono<byte[]>>map(
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHelloFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHelloFormat.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.msgpack.core.MessagePacker;
 
-/** Greetings, as maps. */
+/** Format of {@link PeerHello}, which is written as a map. */
 final class PeerHelloFormat implements MessageFormat<PeerHello> {
 
   private static final int FIELDS = 4;
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerIdentity.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerIdentity.java
@@ -1,10 +1,10 @@
 package org.gradeledge.peer;
 
 /**
- * Who is at the other end of a connection.
+ * Identity of the box at the other end of a connection.
  *
- * @param boxId its name
- * @param incarnation its incarnation
+ * @param boxId name of the box
+ * @param incarnation incarnation of the box
  * @since 0.1
  */
 public record PeerIdentity(String boxId, long incarnation) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerNetwork.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerNetwork.java
@@ -15,11 +15,11 @@
 import reactor.netty.DisposableServer;
 
 /**
- * All connections of a box to its peers: one connection a pair at most. With whom it is connected
- * is its owner's choice: a set of peers that are always kept up, others on demand.
+ * The connections of a box to its peers, at most one per peer. Connections to a configured set of
+ * peers are maintained permanently, others are opened on demand.
  *
- * <p>Either side may dial; where both have, the connection dialed by the box with the smaller name
- * is kept. Thread-safe.
+ * <p>Either side may dial. If both do, the connection that the box with the lower name dialed is
+ * kept. Thread-safe.
  *
  * @since 0.1
  */
@@ -36,7 +36,7 @@
   private boolean closed;
   private volatile long incarnation;
 
-  /** Creates the network of a box; it neither listens nor dials yet. */
+  /** Creates the network of a box, which neither listens nor dials yet. */
   public PeerNetwork(String boxId, PeerSecret secret, PeerTransport transport, BoxMetrics metrics) {
     this.boxId = boxId;
     this.secret = secret;
@@ -50,60 +50,59 @@
     handlers.register(PeerProbe.MESSAGE_TYPE, (from, probe) -> Mono.just(probe));
   }
 
-  /** Handles messages of a type from now on. */
+  /** Registers the handler of a message type. */
   public <T> void register(PeerMessageType<T> type, PeerHandler<T> handler) {
     handlers.register(type, handler);
   }
 
-  /** Starts to listen. */
+  /** Starts to accept connections of peers. */
   public Mono<? extends DisposableServer> listen(InetSocketAddress address) {
     return transport.listen(address, this);
   }
 
-  /** Sets how messages of a type are written and read, in place of binding by reflection. */
+  /** Registers the format of a type, which is otherwise bound by reflection. */
   public <T> void register(Class<T> type, MessageFormat<T> format) {
     codec.register(type, format);
   }
 
-  /** Sets the incarnation that greetings name; connections made under an older one are closed. */
+  /** Sets the incarnation of this box and closes all connections that used the previous one. */
   public void setIncarnation(long value) {
     incarnation = value;
     connections.values().forEach(PeerConnection::close);
   }
 
-  /** Sets which peers to be connected with; connections with all others are closed. */
+  /** Sets the peers to maintain connections with, and closes the connections to removed ones. */
   public void setPeers(Collection<PeerAddress> peers) {
     dialers.maintainConnections(peers).forEach(this::close);
   }
 
   /**
-   * Sets which peers to keep up connections with. Unlike {@link #setPeers}, a connection that the
-   * other side has dialed stays open, as the other side may still want it.
+   * Sets the peers to maintain connections with. Unlike {@link #setPeers}, existing connections to
+   * other peers stay open, as the other side may still use them.
    */
   public void maintainConnections(Collection<PeerAddress> peers) {
     dialers.maintainConnections(peers);
   }
 
   /**
-   * Returns what completes once a peer is connected, and dials it if nobody has. It fails with
-   * {@link PeerException} at once where the last dial came to nothing, and where the connection is
-   * not there within the limit.
+   * Connects to a peer, unless it is connected. Fails with {@link PeerException} if the peer cannot
+   * be dialed or the connection is not open within the timeout.
    */
-  public Mono<Void> connect(PeerAddress peer, Duration limit) {
-    return dialers.connect(peer, limit);
+  public Mono<Void> connect(PeerAddress peer, Duration timeout) {
+    return dialers.connect(peer, timeout);
   }
 
-  /** Returns whether the last dial of a peer came to nothing; it is dialed again meanwhile. */
+  /** Returns whether the last dial of a peer failed; dialing continues nonetheless. */
   public boolean isUnreachable(PeerAddress peer) {
     return dialers.isUnreachable(peer);
   }
 
-  /** Returns the peers whose connections are up. */
+  /** Returns the connected peers. */
   public Set<PeerIdentity> connectedPeers() {
     return connections.values().stream().map(PeerConnection::identity).collect(Collectors.toSet());
   }
 
-  /** Sends a message if the peer is connected, else does nothing. */
+  /** Sends a message to a peer; does nothing if the peer is not connected. */
   public <T> void send(String peerId, PeerMessageType<T> type, T message) {
     PeerConnection connection = connections.get(peerId);
     if (connection != null) {
@@ -111,7 +110,7 @@
     }
   }
 
-  /** Sends a message to those of some peers that are connected. */
+  /** Sends a message to those of the peers that are connected. */
   public <T> void sendToEach(Collection<String> peerIds, PeerMessageType<T> type, T message) {
     if (peerIds.isEmpty()) {
       return;
@@ -122,7 +121,7 @@
         .forEach(connection -> connection.send(type.name(), body));
   }
 
-  /** Returns the names of the peers whose connections are up. */
+  /** Returns the names of the connected peers. */
   public Set<String> connectedPeerIds() {
     return Set.copyOf(connections.keySet());
   }
@@ -134,17 +133,17 @@
   }
 
   /**
-   * Sends a message and returns the peer's answer; fails with {@link PeerException} where the peer
-   * is not connected or does not answer within the limit.
+   * Sends a message and returns the peer's answer. Fails with {@link PeerException} if the peer is
+   * not connected or does not answer within the timeout.
    */
   public <T, A> Mono<A> request(
-      String peerId, PeerMessageType<T> type, T message, Class<A> answerType, Duration limit) {
+      String peerId, PeerMessageType<T> type, T message, Class<A> answerType, Duration timeout) {
     return Mono.defer(
             () -> {
               PeerConnection connection = connections.get(peerId);
               return connection == null
                   ? Mono.<byte[]>error(PeerException.notConnected(peerId))
-                  : connection.request(type.name(), codec.encode(message), limit);
+                  : connection.request(type.name(), codec.encode(message), timeout);
             })
         .map(body -> codec.decode(body, answerType))
         .onErrorMap(
@@ -152,7 +151,7 @@
             e -> new PeerException(peerId + " did not answer " + type.name(), e));
   }
 
-  /** Closes the connection to a peer that is not heard on it any more; it is dialed again. */
+  /** Closes the connection to a peer, which is dialed again if it is to be maintained. */
   public void disconnect(String peerId) {
     PeerConnection connection = connections.get(peerId);
     if (connection != null) {
@@ -160,7 +159,7 @@
     }
   }
 
-  /** Closes all connections and dials no more. */
+  /** Closes all connections and stops dialing. */
   public void close() {
     synchronized (this) {
       closed = true;
@@ -185,7 +184,7 @@
   @Override
   public synchronized boolean connectionOpened(PeerConnection connection) {
     if (closed) {
-      // Its greeting was under way when the network was closed; nothing would end it later.
+      // The handshake was in flight when the network was closed.
       return false;
     }
     PeerIdentity identity = connection.identity();
@@ -199,7 +198,7 @@
       existing.close();
     }
     metrics.stateChange("peer-connected");
-    Logger.info("peer connected: box={} incarnation={}", identity.boxId(), identity.incarnation());
+    Logger.info("Peer connected: box={} incarnation={}", identity.boxId(), identity.incarnation());
     return true;
   }
 
@@ -215,7 +214,7 @@
   public void connectionClosed(PeerConnection connection) {
     if (connections.remove(connection.identity().boxId(), connection)) {
       metrics.stateChange("peer-lost");
-      Logger.info("peer lost: box={}", connection.identity().boxId());
+      Logger.info("Peer disconnected: box={}", connection.identity().boxId());
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerProbe.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerProbe.java
@@ -8,22 +8,20 @@
 import reactor.core.scheduler.Scheduler;
 
 /**
- * Finds out that a connection has gone silent without a reset, as happens where something between
- * two boxes forgets it: what is sent on it is lost without a word. Whenever something is sent on a
- * connection that nothing came on for a while, a probe follows, and the connection counts as silent
- * if nothing at all comes within a limit. A connection that carries nothing is not looked at.
+ * Detects half-open connections, on which sent data is lost without a reset. If data is sent on a
+ * connection that received nothing for a while, a probe is sent too, and the connection is reported
+ * as dead if nothing is received within a timeout. Idle connections are not probed.
  *
  * <p>Thread-safe.
  */
 final class PeerProbe implements Disposable {
 
-  /** The probe; the peer answers with the same. */
+  /** The probe message, which the peer sends back as its answer. */
   static final PeerMessageType<byte[]> MESSAGE_TYPE = new PeerMessageType<>("probe", byte[].class);
 
-  /** Longer than the time between two digests of a relay, so that relays are not probed. */
+  /** Longer than the interval of relayed digests, so that these connections are not probed. */
   private static final Duration IDLE_THRESHOLD = Duration.ofMillis(1_500);
 
-  /** Well above what a busy box takes to answer, well below the time after which it is lost. */
   private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_500);
 
   private final Scheduler scheduler;
@@ -35,25 +33,25 @@
   private boolean probing;
 
   /**
-   * Creates the probe of a connection that was opened just now.
+   * Creates the probe of a new connection.
    *
-   * @param send sends a probe
-   * @param onSilent called once no sign of life came within the limit
+   * @param sendProbe sends a probe
+   * @param onTimeout called if nothing is received within the timeout
    */
-  PeerProbe(Scheduler scheduler, MonotonicClock clock, Runnable send, Runnable onSilent) {
+  PeerProbe(Scheduler scheduler, MonotonicClock clock, Runnable sendProbe, Runnable onTimeout) {
     this.scheduler = scheduler;
     this.clock = clock;
-    this.sendProbe = send;
-    this.onTimeout = onSilent;
+    this.sendProbe = sendProbe;
+    this.onTimeout = onTimeout;
     this.lastReceivedNanos = clock.nanos();
   }
 
-  /** Notes that something came. */
+  /** Records that data was received. */
   synchronized void recordReceived() {
     lastReceivedNanos = clock.nanos();
   }
 
-  /** Notes that something was sent; probes if nothing came for a while. */
+  /** Records that data was sent; sends a probe if nothing was received for a while. */
   void recordSent() {
     if (tryStartProbe()) {
       long sentNanos = clock.nanos();
@@ -78,6 +76,7 @@
     }
   }
 
+  /** Returns whether data was received since the probe was sent. */
   private synchronized boolean finishProbe(long sentNanos) {
     probing = false;
     return lastReceivedNanos - sentNanos >= 0;
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerSecret.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerSecret.java
@@ -6,8 +6,8 @@
 import java.security.SecureRandom;
 
 /**
- * The secret that all boxes of a deployment share, proved by HMAC-SHA256 (RFC 2104) over the other
- * side's nonce and never sent. Thread-safe.
+ * The shared secret of all boxes of a deployment. A box proves that it has the secret by an
+ * HMAC-SHA256 (RFC 2104) over the peer's nonce; the secret itself is never sent. Thread-safe.
  *
  * @since 0.1
  */
@@ -29,7 +29,7 @@
     return nonce;
   }
 
-  /** Returns the proof that a side owes: over the nonce it was sent, its name and its direction. */
+  /** Returns the HMAC over the nonce, the identity of the prover and whether it dialed. */
   byte[] proof(byte[] nonce, PeerHello prover, boolean dialer) {
     return hmac.compute(
         nonce,
@@ -38,8 +38,8 @@
         prover.boxId().getBytes(StandardCharsets.UTF_8));
   }
 
-  boolean isValidProof(byte[] given, byte[] nonce, PeerHello prover, boolean dialer) {
-    return MessageDigest.isEqual(given, proof(nonce, prover, dialer));
+  boolean isValidProof(byte[] proof, byte[] nonce, PeerHello prover, boolean dialer) {
+    return MessageDigest.isEqual(proof, proof(nonce, prover, dialer));
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerTransport.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerTransport.java
@@ -17,7 +17,8 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * TCP between boxes: length-prefixed frames of capped size, under TLS where contexts are given.
+ * TCP transport between boxes with length-prefixed frames of limited size, and with TLS if contexts
+ * are given.
  *
  * @since 0.1
  */
@@ -32,12 +33,12 @@
   private final Optional<LoopResources> loops;
   private final Scheduler scheduler;
 
-  /** Creates the transport; plain TCP where the contexts are absent. */
+  /** Creates a transport on shared event loops; it uses plain TCP if the contexts are absent. */
   public PeerTransport(Optional<SslContext> serverTls, Optional<SslContext> clientTls) {
     this(serverTls, clientTls, Optional.empty());
   }
 
-  /** Creates the transport on the event loops given; on shared ones where they are absent. */
+  /** Creates a transport on the given event loops, or on shared ones if they are absent. */
   public PeerTransport(
       Optional<SslContext> serverTls,
       Optional<SslContext> clientTls,
@@ -52,8 +53,8 @@
   }
 
   /**
-   * Returns where time-outs of connections run: on the event loop that is given, so that no second
-   * thread is woken for them.
+   * Returns the scheduler of timeouts: an event loop, if given, so that timeouts wake no other
+   * thread.
    */
   Scheduler scheduler() {
     return scheduler;
@@ -66,15 +67,18 @@
             .doOnConnection(PeerTransport::addFraming)
             .handle(
                 (in, out) -> {
-                  Connection[] held = new Connection[1];
-                  in.withConnection(connection -> held[0] = connection);
-                  return new PeerConnection(context, false, held[0]).run(in, out);
+                  Connection[] holder = new Connection[1];
+                  in.withConnection(connection -> holder[0] = connection);
+                  return new PeerConnection(context, false, holder[0]).run(in, out);
                 });
-    TcpServer placed = loops.map(each -> server.runOn(each, false)).orElse(server);
-    return serverTls.map(tls -> placed.secure(spec -> spec.sslContext(tls))).orElse(placed).bind();
+    TcpServer configured = loops.map(each -> server.runOn(each, false)).orElse(server);
+    return serverTls
+        .map(tls -> configured.secure(spec -> spec.sslContext(tls)))
+        .orElse(configured)
+        .bind();
   }
 
-  /** Dials, and completes once the connection is closed again. */
+  /** Dials an address; completes once the connection is closed. */
   Mono<Void> dial(InetSocketAddress address, PeerContext context) {
     TcpClient client =
         TcpClient.newConnection()
@@ -82,10 +86,10 @@
             .resolver(DefaultAddressResolverGroup.INSTANCE)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
             .doOnConnected(PeerTransport::addFraming);
-    TcpClient placed = loops.map(each -> client.runOn(each, false)).orElse(client);
+    TcpClient configured = loops.map(each -> client.runOn(each, false)).orElse(client);
     return clientTls
-        .map(tls -> placed.secure(spec -> spec.sslContext(tls)))
-        .orElse(placed)
+        .map(tls -> configured.secure(spec -> spec.sslContext(tls)))
+        .orElse(configured)
         .connect()
         .flatMap(
             connection ->
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/ReflectiveCodec.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/ReflectiveCodec.java
@@ -10,8 +10,8 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Binds types of messages that have no format of their own to fields by reflection. It is loaded
- * when the first of them is written or read, as a young box pays for what it loads.
+ * Writes and reads messages without a registered {@link MessageFormat} in MessagePack, binding
+ * their fields by reflection. A separate class, so that its libraries are loaded on first use only.
  */
 final class ReflectiveCodec {
 
@@ -32,20 +32,20 @@
     checkStructure(bytes);
     T message = MAPPER.readValue(bytes, type);
     if (message == null) {
-      throw new IOException("a frame must hold a message of " + type.getSimpleName());
+      throw new IOException("frame must contain a message of type " + type.getSimpleName());
     }
     return message;
   }
 
   /**
-   * A value may claim a length of gigabytes in five bytes, and the mapper would allocate it before
-   * it found the rest missing; skipping finds it without allocating.
+   * Rejects truncated and trailing bytes before binding: the mapper would allocate a declared
+   * length before it finds that the bytes are missing.
    */
   private static void checkStructure(byte[] bytes) throws IOException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       unpacker.skipValue();
       if (unpacker.hasNext()) {
-        throw new IOException("a frame must hold one message");
+        throw new IOException("frame must contain exactly one message");
       }
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Connections between boxes: framing, greeting, one task a peer; knows nothing of pipelines. */
+/** Connections between boxes: framing, authentication, messages and requests. */
 @NullMarked
 package org.gradeledge.peer;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerCodecFuzzTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerCodecFuzzTests.java
@@ -11,19 +11,19 @@
 class PeerCodecFuzzTests {
 
   private final PeerCodec codec = new PeerCodec();
-  private final byte[] good = codec.encode(new PeerFrame("prepare", 7, true, new byte[40]));
+  private final byte[] validFrame = codec.encode(new PeerFrame("prepare", 7, true, new byte[40]));
 
   @Property(tries = 100_000, shrinking = ShrinkingMode.OFF)
-  void anyBytesAreAFrameOrRefused(@ForAll @Size(max = 100) byte[] bytes) {
+  void decodesOrRejectsArbitraryBytes(@ForAll @Size(max = 100) byte[] bytes) {
     decode(bytes);
   }
 
   @Property(tries = 50_000, shrinking = ShrinkingMode.OFF)
-  void aDamagedFrameIsAFrameOrRefused(
-      @ForAll @IntRange(max = 10_000) int place, @ForAll byte value) {
-    byte[] damaged = good.clone();
-    damaged[place % damaged.length] = value;
-    decode(damaged);
+  void decodesOrRejectsACorruptedFrame(
+      @ForAll @IntRange(max = 10_000) int position, @ForAll byte value) {
+    byte[] corrupted = validFrame.clone();
+    corrupted[position % corrupted.length] = value;
+    decode(corrupted);
   }
 
   private void decode(byte[] bytes) {
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerDialerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerDialerTests.java
@@ -17,7 +17,7 @@
 
   private final VirtualTimeScheduler time = VirtualTimeScheduler.create();
   private final AtomicInteger dials = new AtomicInteger();
-  private final AtomicInteger looks = new AtomicInteger();
+  private final AtomicInteger connectionChecks = new AtomicInteger();
   private Sinks.Empty<Void> connection = Sinks.empty();
   private PeerDialer dialer;
 
@@ -27,23 +27,23 @@
   }
 
   @Test
-  void looksAtAConnectedPeerOnlyOnceTheConnectionHasEnded() {
+  void doesNotPollAConnectedPeer() {
     start();
     dialer.connectionOpened();
     time.advanceTimeBy(Duration.ofMinutes(10));
-    assertThat(looks).hasValue(1);
+    assertThat(connectionChecks).hasValue(1);
     assertThat(dials).hasValue(1);
 
-    Sinks.Empty<Void> ended = connection;
+    Sinks.Empty<Void> previousConnection = connection;
     connection = Sinks.empty();
-    ended.tryEmitEmpty();
+    previousConnection.tryEmitEmpty();
     time.advanceTimeBy(Duration.ofSeconds(1));
 
     assertThat(dials).hasValue(2);
   }
 
   @Test
-  void dialsAPeerThatIsAwayAgainAndAgain() {
+  void keepsDialingAnUnavailablePeer() {
     connection.tryEmitEmpty();
     start();
     time.advanceTimeBy(Duration.ofSeconds(10));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aDialWhoseOutcomeIsNotKnownYetHasNotFailed() {
+  void reportsNoFailureWhileADialIsInFlight() {
     start();
 
     assertThat(dialer.isDialing()).isTrue();
@@ -62,11 +62,11 @@
   }
 
   private void start() {
-    dialer = new PeerDialer(PEER, this::open, this::dial, time, () -> {});
+    dialer = new PeerDialer(PEER, this::findOpenConnection, this::dial, time, () -> {});
   }
 
-  private Optional<PeerConnection> open() {
-    looks.incrementAndGet();
+  private Optional<PeerConnection> findOpenConnection() {
+    connectionChecks.incrementAndGet();
     return Optional.empty();
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerNetworkTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerNetworkTests.java
@@ -17,14 +17,14 @@
 
 class PeerNetworkTests {
 
-  record Question(String text) {}
+  record Request(String text) {}
 
   record Reply(String text) {}
 
-  private static final PeerMessageType<Question> QUESTION =
-      new PeerMessageType<>("question", Question.class);
-  private static final Duration LIMIT = Duration.ofSeconds(10);
-  private static final Duration SHORT_LIMIT = Duration.ofMillis(200);
+  private static final PeerMessageType<Request> REQUEST =
+      new PeerMessageType<>("question", Request.class);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
+  private static final Duration SHORT_TIMEOUT = Duration.ofMillis(200);
 
   private final List<PeerNetwork> networks = new ArrayList<>();
   private final List<DisposableServer> servers = new ArrayList<>();
@@ -36,79 +36,77 @@
   }
 
   @Test
-  void answersAQuestionOverEitherSidesConnection() {
-    PeerNetwork one = network("box-1", "a secret of sixteen bytes");
-    PeerNetwork two = network("box-2", "a secret of sixteen bytes");
-    one.setPeers(List.of(addressOf(1, "box-2")));
-    two.setPeers(List.of(addressOf(0, "box-1")));
-
-    assertThat(ask(one, "box-2", "Шумен?")).isEqualTo("box-2 heard Шумен?");
-    assertThat(ask(two, "box-1", "Huế?")).isEqualTo("box-1 heard Huế?");
-    assertThat(one.connectedPeers()).hasSize(1);
+  void answersRequestsOfEitherSideOverOneConnection() {
+    PeerNetwork first = network("box-1", "a secret of sixteen bytes");
+    PeerNetwork second = network("box-2", "a secret of sixteen bytes");
+    first.setPeers(List.of(addressOf(1, "box-2")));
+    second.setPeers(List.of(addressOf(0, "box-1")));
+
+    assertThat(ask(first, "box-2", "Шумен?")).isEqualTo("box-2 heard Шумен?");
+    assertThat(ask(second, "box-1", "Huế?")).isEqualTo("box-1 heard Huế?");
+    assertThat(first.connectedPeers()).hasSize(1);
   }
 
   @Test
-  void refusesAStrangerWithAnotherSecret() {
-    PeerNetwork one = network("box-1", "a secret of sixteen bytes");
-    PeerNetwork stranger = network("box-2", "not the secret of the others");
-    stranger.setPeers(List.of(addressOf(0, "box-1")));
+  void rejectsAPeerWithADifferentSecret() {
+    PeerNetwork first = network("box-1", "a secret of sixteen bytes");
+    PeerNetwork intruder = network("box-2", "not the secret of the others");
+    intruder.setPeers(List.of(addressOf(0, "box-1")));
 
     assertThatThrownBy(
             () ->
-                stranger
-                    .request("box-1", QUESTION, new Question(""), Reply.class, LIMIT)
+                intruder
+                    .request("box-1", REQUEST, new Request(""), Reply.class, TIMEOUT)
                     .retryWhen(Retry.fixedDelay(10, Duration.ofMillis(50)))
-                    .block(LIMIT))
+                    .block(TIMEOUT))
         .hasRootCauseInstanceOf(PeerException.class);
-    assertThat(one.connectedPeers()).isEmpty();
+    assertThat(first.connectedPeers()).isEmpty();
   }
 
   @Test
-  void questionsThatTakeLongDoNotHoldUpWhatComesAfterThem() {
-    PeerNetwork one = network("box-1", "a secret of sixteen bytes");
-    PeerNetwork two = network("box-2", "a secret of sixteen bytes");
-    PeerMessageType<Question> slow = new PeerMessageType<>("slow", Question.class);
-    two.register(slow, (from, question) -> Mono.never());
-    one.setPeers(List.of(addressOf(1, "box-2")));
-    ask(one, "box-2", "first");
+  void slowRequestsDoNotDelayLaterOnes() {
+    PeerNetwork first = network("box-1", "a secret of sixteen bytes");
+    PeerNetwork second = network("box-2", "a secret of sixteen bytes");
+    PeerMessageType<Request> slow = new PeerMessageType<>("slow", Request.class);
+    second.register(slow, (from, message) -> Mono.never());
+    first.setPeers(List.of(addressOf(1, "box-2")));
+    ask(first, "box-2", "first");
 
     for (int i = 0; i < 200; i++) {
-      one.request("box-2", slow, new Question("slow"), Reply.class, LIMIT)
+      first
+          .request("box-2", slow, new Request("slow"), Reply.class, TIMEOUT)
           .subscribe(answer -> {}, failure -> {});
     }
 
-    assertThat(ask(one, "box-2", "last")).isEqualTo("box-2 heard last");
+    assertThat(ask(first, "box-2", "last")).isEqualTo("box-2 heard last");
   }
 
   /**
-   * Seen: a stopped box was heard by a part of the others for minutes, over one connection.
-   *
-   * <p>How it came about: its network was closed while a greeting was under way; the connection
-   * opened after that, and nothing closed it any more. Cause: closing looked at what was open
-   * alone. Proof: a peer that greets a network right after it was closed.
+   * A connection whose handshake is in flight when the network is closed must not open afterwards:
+   * a stopped box would appear connected.
    */
   @Test
-  void aNetworkThatWasClosedOpensNoConnectionAnyMore() {
+  void opensNoConnectionAfterClose() {
     PeerNetwork closed = network("box-1", "a secret of sixteen bytes");
     PeerNetwork other = network("box-2", "a secret of sixteen bytes");
     closed.close();
     other.setPeers(List.of(addressOf(0, "box-1")));
 
-    // The other side may open first, and its question gets no answer then until its limit.
+    // If the other side opens the connection first, its request ends by timeout.
     assertThatThrownBy(
             () ->
                 other
-                    .request("box-1", QUESTION, new Question(""), Reply.class, SHORT_LIMIT)
+                    .request("box-1", REQUEST, new Request(""), Reply.class, SHORT_TIMEOUT)
                     .retryWhen(Retry.fixedDelay(5, Duration.ofMillis(50)))
-                    .block(LIMIT))
+                    .block(TIMEOUT))
         .hasMessageContaining("Retries exhausted");
     assertThat(closed.connectedPeers()).isEmpty();
   }
 
   private static String ask(PeerNetwork from, String to, String text) {
-    return from.request(to, QUESTION, new Question(text), Reply.class, LIMIT)
+    return from.request(to, REQUEST, new Request(text), Reply.class, TIMEOUT)
         .retryWhen(Retry.fixedDelay(100, Duration.ofMillis(50)))
-        .block(LIMIT)
+        .block(TIMEOUT)
         .text();
   }
 
@@ -121,7 +119,7 @@
             new BoxMetrics());
     network.setIncarnation(1);
     network.register(
-        QUESTION, (from, question) -> Mono.just(new Reply(id + " heard " + question.text())));
+        REQUEST, (from, message) -> Mono.just(new Reply(id + " heard " + message.text())));
     networks.add(network);
     servers.add(network.listen(new InetSocketAddress("127.0.0.1", 0)).block());
     return network;
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerProbeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerProbeTests.java
@@ -11,12 +11,12 @@
 
   private final VirtualTimeScheduler time = VirtualTimeScheduler.create();
   private int probes;
-  private int silences;
+  private int timeouts;
   private final PeerProbe probe =
-      new PeerProbe(time, () -> time.now(TimeUnit.NANOSECONDS), () -> probes++, () -> silences++);
+      new PeerProbe(time, () -> time.now(TimeUnit.NANOSECONDS), () -> probes++, () -> timeouts++);
 
   @Test
-  void aConnectionOnWhichThingsComeIsNotProbed() {
+  void doesNotProbeAConnectionThatReceivesData() {
     for (int i = 0; i < 20; i++) {
       probe.recordReceived();
       probe.recordSent();
@@ -24,19 +24,19 @@
     }
 
     assertThat(probes).isZero();
-    assertThat(silences).isZero();
+    assertThat(timeouts).isZero();
   }
 
   @Test
-  void aConnectionThatCarriesNothingIsNotProbed() {
+  void doesNotProbeAnIdleConnection() {
     time.advanceTimeBy(Duration.ofMinutes(5));
 
     assertThat(probes).isZero();
-    assertThat(silences).isZero();
+    assertThat(timeouts).isZero();
   }
 
   @Test
-  void whatIsSentIntoSilenceIsFoundOutWithinABound() {
+  void reportsADeadConnectionWithinTheTimeout() {
     time.advanceTimeBy(Duration.ofSeconds(5));
     probe.recordSent();
     probe.recordSent();
@@ -44,22 +44,22 @@
 
     time.advanceTimeBy(Duration.ofMillis(1_500));
 
-    assertThat(silences).isEqualTo(1);
+    assertThat(timeouts).isEqualTo(1);
   }
 
   @Test
-  void anAnswerToTheProbeSavesTheConnection() {
+  void keepsAConnectionThatAnswersTheProbe() {
     time.advanceTimeBy(Duration.ofSeconds(5));
     probe.recordSent();
     time.advanceTimeBy(Duration.ofMillis(200));
     probe.recordReceived();
     time.advanceTimeBy(Duration.ofMinutes(1));
-    assertThat(silences).isZero();
+    assertThat(timeouts).isZero();
 
     probe.recordSent();
     time.advanceTimeBy(Duration.ofSeconds(2));
 
     assertThat(probes).isEqualTo(2);
-    assertThat(silences).isEqualTo(1);
+    assertThat(timeouts).isEqualTo(1);
   }
 }
