--- a/gradeledge-core/src/main/java/org/gradeledge/follow/HistoryLostException.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/HistoryLostException.java
@@ -1,7 +1,8 @@
 package org.gradeledge.follow;
 
 /**
- * The changes after a revision are not known any more; the table must be read anew.
+ * Thrown if the changes after a revision are no longer available, so that the whole table must be
+ * read.
  *
  * @since 0.2
  */
@@ -9,7 +10,7 @@
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the exception. */
+  /** Creates an exception with a message. */
   public HistoryLostException(String message) {
     super(message);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/PollingIntervals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/PollingIntervals.java
@@ -4,11 +4,11 @@
 import java.util.function.Supplier;
 
 /**
- * How often a table is called. Each is asked for anew before every call.
+ * Intervals of the calls to a table; each is evaluated before every call.
  *
- * @param maxWait how long a call may wait for a change
- * @param delay shortest time between calls
- * @param maxBackoff longest time between calls while the table is away, without jitter
+ * @param maxWait longest time that a call may wait for a change
+ * @param delay delay between an answer and the next call
+ * @param maxBackoff longest delay after a failed call, without jitter
  * @since 0.3
  */
 public record PollingIntervals(
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/RevisionedTable.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/RevisionedTable.java
@@ -4,18 +4,19 @@
 import reactor.core.publisher.Mono;
 
 /**
- * A table whose rows carry revisions of one counter that rises with every change.
+ * A table whose revision increases with every change of a row.
  *
  * @since 0.2
  */
 public interface RevisionedTable {
 
-  /** Returns the whole table as of one moment. */
+  /** Returns a consistent snapshot of the whole table. */
   Mono<TableContent> read();
 
   /**
-   * Returns what has changed after a revision, at once or as soon as something does, but not later
-   * than after the wait; fails with {@link HistoryLostException} where that is not known any more.
+   * Returns the changes after a revision. If there are none yet, waits for the next change, at most
+   * for the given time. Fails with {@link HistoryLostException} if the changes are no longer
+   * available.
    */
-  Mono<TableChanges> changes(long afterRevision, Duration wait);
+  Mono<TableChanges> changes(long afterRevision, Duration maxWait);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableChanges.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableChanges.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Changes of a table.
+ * Changes of a table since an earlier revision.
  *
- * @param revision revision that they lead to
- * @param put rows that are new or have changed
- * @param removed keys of rows that are gone
+ * @param revision revision after the changes
+ * @param put new and changed rows
+ * @param removed keys of removed rows
  * @since 0.2
  */
 public record TableChanges(long revision, List<TableRow> put, List<String> removed) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableContent.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableContent.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A whole table.
+ * Snapshot of a whole table.
  *
- * @param revision newest revision that it holds
- * @param rows its rows
+ * @param revision revision of the snapshot
+ * @param rows all rows
  * @since 0.2
  */
 public record TableContent(long revision, List<TableRow> rows) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableFollower.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableFollower.java
@@ -13,8 +13,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Follows a table for good: reads it once, then its changes, and reads it anew where the history
- * was lost. A call that fails is repeated soon, with jitter so that boxes do not come all at once.
+ * Follows the changes of a table: reads the whole table once, then its changes, and reads the whole
+ * table again if its history is lost. Failed calls are retried with backoff and jitter.
  *
  * <p>Confined to the event loop.
  *
@@ -24,10 +24,7 @@
 
   private static final long INITIAL_BACKOFF_MILLIS = 120;
 
-  /**
-   * A call that has waited for so long while the table is away will not be answered: 10 times the
-   * usual.
-   */
+  /** A call that has taken longer while the table is unavailable is assumed to be lost. */
   private static final long STALE_CALL_MILLIS = 50;
 
   private final String name;
@@ -41,7 +38,7 @@
   private long epoch = -1;
   private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
-  /** The next call, null while one is under way. */
+  /** The next call; null while a call is in flight. */
   private @Nullable ScheduledFuture<?> scheduledCall;
 
   private long lastCallNumber;
@@ -49,7 +46,7 @@
   private boolean lastCallFailed;
   private boolean reportedUnavailable;
 
-  /** Creates a follower that does nothing yet. */
+  /** Creates a follower, which calls the table only once it is started. */
   public TableFollower(
       String name,
       RevisionedTable table,
@@ -57,24 +54,24 @@
       EventLoop loop,
       MonotonicClock clock,
       EventLog events,
-      PollingIntervals pace) {
+      PollingIntervals intervals) {
     this.name = name;
     this.table = table;
     this.listener = listener;
     this.loop = loop;
     this.clock = clock;
     this.events = events;
-    this.intervals = pace;
+    this.intervals = intervals;
   }
 
-  /** Starts to follow. */
+  /** Starts to follow the table. */
   public void start() {
     startCall();
   }
 
   /**
-   * Ends a pause between calls, as there is something new to be read. Whoever tells of it has read
-   * the table, so that one that was away may be back: a call that still waits for it is given up.
+   * Calls the table at once, because a new revision is expected. As the table may be available
+   * again, a call that is assumed to be lost is replaced.
    */
   public void pollNow() {
     if (scheduledCall != null && scheduledCall.cancel(false)) {
@@ -85,8 +82,8 @@
   }
 
   /**
-   * Calls anew after the machine was suspended: what is known is older than it seems, the timer of
-   * a call that is under way counts none of that time, and its connection may be gone.
+   * Calls the table at once after the machine was suspended. A call in flight is replaced: its
+   * timer did not run during the suspension, and its connection may be lost.
    */
   public void onMachineResume() {
     if (lastCallNumber == 0) {
@@ -112,43 +109,43 @@
   }
 
   /**
-   * A call that is sent while the table is away may never be answered, also once it is back; so
-   * none waits for a change until one has been answered.
+   * Calls do not wait for a change while the table is unavailable, as a call sent then may never be
+   * answered, even if the table is available again.
    */
   private Duration currentMaxWait() {
     return lastCallFailed ? Duration.ZERO : intervals.maxWait().get();
   }
 
-  private <T> void subscribe(Mono<T> call, Consumer<T> taker) {
+  private <T> void subscribe(Mono<T> call, Consumer<T> consumer) {
     long number = ++lastCallNumber;
     callStartNanos = clock.nanos();
     call.switchIfEmpty(Mono.error(() -> new IOException("no answer")))
         .subscribe(
-            answer -> loop.execute(() -> runIfLatest(number, () -> onAnswer(answer, taker))),
+            answer -> loop.execute(() -> runIfLatest(number, () -> onAnswer(answer, consumer))),
             failure -> loop.execute(() -> runIfLatest(number, () -> onFailure(failure))));
   }
 
-  /** Only the newest call counts; what comes of one that was given up is passed over. */
-  private void runIfLatest(long number, Runnable outcome) {
+  /** Ignores the results of calls that were replaced by a newer one. */
+  private void runIfLatest(long number, Runnable handler) {
     if (number == lastCallNumber) {
-      outcome.run();
+      handler.run();
     }
   }
 
-  private <T> void onAnswer(T answer, Consumer<T> taker) {
+  private <T> void onAnswer(T answer, Consumer<T> consumer) {
     backoffMillis = INITIAL_BACKOFF_MILLIS;
     if (lastCallFailed) {
       onRecovery();
     }
-    applySafely(answer, taker);
+    applySafely(answer, consumer);
     scheduledCall =
         loop.schedule(this::startCall, intervals.delay().get().toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Whatever goes wrong with an answer, the table is followed on: from a whole reading. */
-  private <T> void applySafely(T answer, Consumer<T> taker) {
+  /** Reads the whole table again if the listener fails on an answer. */
+  private <T> void applySafely(T answer, Consumer<T> consumer) {
     try {
-      taker.accept(answer);
+      consumer.accept(answer);
       listener.onAnswerApplied();
     } catch (RuntimeException failure) {
       events
@@ -176,15 +173,15 @@
     listener.onContent(content);
   }
 
-  private void updateEpoch(long eraNow) {
-    long before = epoch;
-    epoch = eraNow;
-    if (before >= 0 && before < eraNow) {
+  private void updateEpoch(long newEpoch) {
+    long previousEpoch = epoch;
+    epoch = newEpoch;
+    if (previousEpoch >= 0 && previousEpoch < newEpoch) {
       events
           .change("table-older-copy")
           .with("dependency", name)
-          .with("era", eraNow)
-          .with("before", before)
+          .with("era", newEpoch)
+          .with("before", previousEpoch)
           .with("version", TableRevision.version(revision))
           .write();
       listener.onBackupRestored();
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableListener.java
@@ -1,31 +1,31 @@
 package org.gradeledge.follow;
 
 /**
- * Hears what a table holds, on the event loop.
+ * Receives the content and the changes of a followed table, on the event loop.
  *
  * @since 0.2
  */
 public interface TableListener {
 
-  /** The whole table was read. */
+  /** Called after the whole table was read. */
   void onContent(TableContent content);
 
-  /** Rows have changed. */
+  /** Called after rows have changed. */
   void onChanges(TableChanges changes);
 
-  /** An answer was taken in, whether or not it held anything new. */
+  /** Called after each answer was applied, whether or not it contained changes. */
   default void onAnswerApplied() {}
 
-  /** A call has got no answer: the table may have been away for as long as the call took. */
+  /** Called after the first failed call; the table may be unavailable since the call was sent. */
   default void onUnavailable() {}
 
   /**
-   * The table came back as an older copy of itself, which follows as a whole reading: what was
-   * written since the copy was taken is missing from it, and what was removed since is there again,
-   * until whoever wrote it does so anew.
+   * Called if the table was restored from a backup, before {@link #onContent}. Rows written since
+   * the backup are missing and rows removed since are present again, until boxes write or remove
+   * them again.
    */
   default void onBackupRestored() {}
 
-  /** The table answers again after it was away; what it says now follows. */
+  /** Called when the table answers again, before the answer is applied. */
   default void onAvailableAgain() {}
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableRevision.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableRevision.java
@@ -1,17 +1,16 @@
 package org.gradeledge.follow;
 
 /**
- * Places in the history of a platform's tables. A platform may come back as an older copy of itself
- * and give versions out again; it then tells a new era, of which the first one that is known is 0.
+ * Revisions of a platform's tables, composed of an epoch and a version. A platform that is restored
+ * from a backup assigns versions again and starts a new epoch. The first known epoch is 0.
  *
- * <p>A revision is one number that rises with era and version, so that whoever compares revisions,
- * here or in a message, compares eras first. Without eras it is the version.
+ * <p>A revision is a single number: comparing revisions compares epochs first, then versions. In
+ * epoch 0, a revision equals its version.
  *
  * @since 0.4
  */
 public abstract class TableRevision {
 
-  /** A version for each microsecond of twelve days; eras then go up to eight million. */
   private static final int VERSION_BITS = 40;
 
   private static final long VERSION_LIMIT = 1L << VERSION_BITS;
@@ -19,15 +18,15 @@
 
   private TableRevision() {}
 
-  /** Returns the revision of a version in an era. */
-  public static long of(long era, long version) {
-    if (era < 0 || era >= EPOCH_LIMIT || version < 0 || version >= VERSION_LIMIT) {
-      throw new IllegalArgumentException("no place in a history: " + era + "/" + version);
+  /** Returns the revision of an epoch and a version. */
+  public static long of(long epoch, long version) {
+    if (epoch < 0 || epoch >= EPOCH_LIMIT || version < 0 || version >= VERSION_LIMIT) {
+      throw new IllegalArgumentException("epoch or version out of range: " + epoch + "/" + version);
     }
-    return era << VERSION_BITS | version;
+    return epoch << VERSION_BITS | version;
   }
 
-  /** Returns the era of a revision, -1 where none is known. */
+  /** Returns the epoch of a revision, or -1 if the revision is negative. */
   public static long epoch(long revision) {
     return revision >> VERSION_BITS;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableRow.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableRow.java
@@ -3,8 +3,8 @@
 /**
  * A row of a table.
  *
- * @param key its key
- * @param value its bytes
+ * @param key unique key of the row
+ * @param value content of the row
  * @since 0.2
  */
 public record TableRow(String key, byte[] value) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/WritableTable.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/WritableTable.java
@@ -4,18 +4,18 @@
 import reactor.core.publisher.Mono;
 
 /**
- * A table of the deployment's own, which its boxes write.
+ * A table that the boxes of the deployment write.
  *
  * @since 0.3
  */
 public interface WritableTable extends RevisionedTable {
 
   /**
-   * Creates a row; the value tells whether it was created, or one of that key was there already. It
-   * fails where there was no answer, and then the row may be there.
+   * Creates a row. Returns false if a row with that key exists already. If the call fails without
+   * an answer, the row may have been created.
    */
   Mono<Boolean> create(TableRow row);
 
-  /** Removes the rows of some keys, if they are there. */
+  /** Removes the rows with the given keys, if they exist. */
   Mono<Void> remove(List<String> keys);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/package-info.java
@@ -1,4 +1,4 @@
-/** Following a table of rows with revisions through outages, lost answers and lost history. */
+/** Following the changes of revisioned tables, with recovery from outages and lost history. */
 @NullMarked
 package org.gradeledge.follow;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/follow/TableFollowerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/follow/TableFollowerTests.java
@@ -30,11 +30,11 @@
 
   private static final Duration MAX_WAIT = Duration.ofSeconds(10);
 
-  /** Key of a row that the listener cannot bear. */
+  /** Key of a row on which the listener fails. */
   private static final String FAILING_KEY = "poison";
 
   @Test
-  void readsOnceAndThenFollowsChanges() throws Exception {
+  void readsTheWholeTableOnceThenItsChanges() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of(row("a")))));
     table.changes.add(Mono.just(new TableChanges(6, List.of(row("b")), List.of("a"))));
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void readsAnewWhereTheHistoryWasLost() throws Exception {
+  void readsTheWholeTableAfterLostHistory() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.error(new HistoryLostException("forgotten")));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void goesOnAfterAnOutageFromWhereItStood() throws Exception {
+  void continuesFromItsRevisionAfterAnOutage() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.error(new IOException("down")));
     table.reads.add(Mono.just(new TableContent(4, List.of())));
@@ -70,16 +70,16 @@
 
     follow(table);
 
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
     assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
     assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
   }
 
   @Test
-  void aCallThatEndsWithoutAnAnswerIsAFailureLikeOthers() throws Exception {
+  void treatsAnEmptyAnswerAsFailure() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.empty());
     table.reads.add(Mono.just(new TableContent(4, List.of())));
@@ -88,16 +88,16 @@
 
     follow(table);
 
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
     assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
     assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
   }
 
   @Test
-  void tellsOfEachOutageOnceAlsoOfASingleCallWithoutAnswer() throws Exception {
+  void reportsEachOutageOnceEvenOfASingleCall() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.error(new IOException("down")));
@@ -110,16 +110,16 @@
     follow(table);
 
     assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
     assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
     assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [] [d]");
   }
 
   @Test
-  void forgottenHistoryIsNoOutage() throws Exception {
+  void lostHistoryIsNotReportedAsOutage() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.error(new HistoryLostException("forgotten")));
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void anAnswerThatCannotBeTakenInDoesNotEndTheFollowing() throws Exception {
+  void readsTheWholeTableAfterTheListenerFails() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.just(new TableChanges(5, List.of(row(FAILING_KEY)), List.of())));
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void doesNotWaitForChangesWhileTheTableIsAway() throws Exception {
+  void doesNotWaitForChangesWhileTheTableIsUnavailable() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.error(new IOException("down")));
@@ -161,11 +161,11 @@
   }
 
   /**
-   * A call that was under way when the machine was suspended waits on: its timer counts none of
-   * that time, and its connection may be gone.
+   * The timer of a call in flight does not run while the machine is suspended, and its connection
+   * may be lost.
    */
   @Test
-  void aCallThatWasUnderWayDuringASuspensionIsMadeAnewAtOnce() throws Exception {
+  void replacesACallInFlightAfterASuspension() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.never());
@@ -209,7 +209,7 @@
     @Override
     public void onChanges(TableChanges changes) {
       if (keys(changes.put()).contains(FAILING_KEY)) {
-        throw new IllegalStateException("a listener that fails");
+        throw new IllegalStateException("listener failure");
       }
       events.add(
           "changes " + changes.revision() + " " + keys(changes.put()) + " " + changes.removed());
@@ -217,12 +217,12 @@
 
     @Override
     public void onUnavailable() {
-      events.add("away");
+      events.add("unavailable");
     }
 
     @Override
     public void onAvailableAgain() {
-      events.add("back");
+      events.add("available again");
     }
 
     private List<String> keys(List<TableRow> rows) {
@@ -230,7 +230,7 @@
     }
   }
 
-  /** Answers as it was told, then never again. */
+  /** Returns the scripted answers in order, and does not answer further calls. */
   private static final class ScriptedTable implements RevisionedTable {
 
     private final Queue<Mono<TableContent>> reads = new ArrayDeque<>();
@@ -244,9 +244,9 @@
     }
 
     @Override
-    public Mono<TableChanges> changes(long afterRevision, Duration wait) {
+    public Mono<TableChanges> changes(long afterRevision, Duration maxWait) {
       requestedRevisions.add(afterRevision);
-      requestedWaits.add(wait);
+      requestedWaits.add(maxWait);
       return changes.isEmpty() ? Mono.never() : changes.remove();
     }
   }
