--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/Heartbeat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/Heartbeat.java
@@ -6,14 +6,14 @@
 import org.gradeledge.peer.PeerMessageType;
 
 /**
- * What a box tells each of its peers every heartbeat period.
+ * Message that a box sends to each of its peers in every heartbeat interval.
  *
- * @param sent stamp of the sender's own clock; the receiver sends it back
- * @param echo the last stamp that the sender got from the receiver, absent before the first
- * @param serving whether the sender's own membership is confirmed
- * @param confirms whether the sender serves and knows the receiver as a member
- * @param versions versions in force at the sender by pipeline
- * @param leaving upstreams that said that they leave
+ * @param sent timestamp of the sender's clock, which the receiver returns as {@code echo}
+ * @param echo last timestamp received from the receiver of this message, if any
+ * @param serving whether the membership of the sender is confirmed
+ * @param confirms whether the sender is serving and has the receiver as a member
+ * @param versions configuration versions in force at the sender, by pipeline
+ * @param leaving upstreams that announced that they are leaving
  * @since 0.1
  */
 public record Heartbeat(
@@ -28,19 +28,19 @@
       new PeerMessageType<>("heartbeat", Heartbeat.class);
 
   /**
-   * A moment on a box's monotonic clock; means nothing to any other box.
+   * A timestamp of a box's monotonic clock, which is meaningful to that box only.
    *
-   * @param incarnation incarnation of the box whose clock it is
-   * @param nanos the moment
+   * @param incarnation incarnation of the box
+   * @param nanos reading of the clock
    */
   public record Stamp(long incarnation, long nanos) {}
 
   /**
    * An upstream that is leaving.
    *
-   * @param host IP number
+   * @param host IP address
    * @param port TCP port
-   * @param incarnation its incarnation that said so
+   * @param incarnation incarnation of the upstream that announced it
    */
   public record LeavingUpstream(String host, int port, long incarnation) {}
 
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
@@ -16,10 +16,11 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Sends heartbeats and takes them in: confirmations, versions, and upstreams that leave.
+ * Sends and processes heartbeats, which carry membership confirmations, configuration versions and
+ * leaving upstreams.
  *
- * <p>A peer's confirmation counts only once this box has every version that the peer has, so that a
- * box whose confirmation had lapsed never serves an old version. Thread-safe.
+ * <p>A peer's confirmation is applied only after this box has fetched all versions of the peer, so
+ * that a box whose confirmation had expired never serves an old version. Thread-safe.
  *
  * @since 0.1
  */
@@ -33,7 +34,7 @@
   private final MonotonicClock clock;
   private final Map<String, Heartbeat> lastHeartbeats = new ConcurrentHashMap<>();
 
-  /** Creates the service; it takes heartbeats in from now on. */
+  /** Creates the service and registers it for heartbeats of peers. */
   public HeartbeatService(
       PeerNetwork peers,
       Membership membership,
@@ -50,7 +51,7 @@
     peers.register(Heartbeat.TYPE, this::receive);
   }
 
-  /** Sends one heartbeat to each connected peer. */
+  /** Sends a heartbeat to each connected peer. */
   public void sendAll() {
     boolean serving = membership.isConfirmed();
     Map<String, Long> versions = registry.versions();
@@ -73,7 +74,7 @@
             });
   }
 
-  /** Returns the last heartbeat of each peer that is connected. */
+  /** Returns the last heartbeat of each connected peer. */
   public Map<String, Heartbeat> lastByPeer() {
     List<String> connected = peers.connectedPeers().stream().map(PeerIdentity::boxId).toList();
     lastHeartbeats.keySet().retainAll(connected);
@@ -96,8 +97,8 @@
   }
 
   /**
-   * A heartbeat says nothing of when it was sent: a box that was frozen finds old ones waiting. The
-   * stamp that it brings back does, since the peer had it before it sent.
+   * Confirms the membership as of the echoed timestamp, because the heartbeat itself may be old: a
+   * box that was frozen receives heartbeats that were queued meanwhile.
    */
   private void confirmMembership(Heartbeat.Stamp echo) {
     membership.confirmed(echo.incarnation(), echo.nanos());
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
@@ -7,7 +7,7 @@
 import reactor.core.publisher.Mono;
 
 /**
- * One round of asking every upstream for its load.
+ * Reads the load reports of all upstreams.
  *
  * @since 0.1
  */
@@ -24,7 +24,7 @@
     this.protocol = protocol;
   }
 
-  /** Asks all upstreams; those that do not answer keep their last report. */
+  /** Reads the reports of all upstreams; those that do not answer keep their last report. */
   public Mono<Void> readAll() {
     return Flux.fromIterable(upstreams.all()).flatMap(this::readOne, MAX_CONCURRENT_READS).then();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/PeriodicTask.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/PeriodicTask.java
@@ -8,7 +8,7 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Runs a round, waits for a period, and so on; a failed round is counted and does not end it.
+ * Runs a task repeatedly with a fixed delay. A failed run is counted and does not stop the task.
  *
  * @since 0.1
  */
@@ -18,23 +18,23 @@
   private volatile boolean failing;
 
   private PeriodicTask(
-      String name, Duration period, BoxMetrics metrics, Supplier<Mono<Void>> round) {
+      String name, Duration period, BoxMetrics metrics, Supplier<Mono<Void>> task) {
     this.running =
-        Mono.defer(round)
-            .doOnSuccess(done -> failing = false)
+        Mono.defer(task)
+            .doOnSuccess(ignored -> failing = false)
             .onErrorResume(
                 e -> {
                   recordFailure(name, metrics, e);
                   return Mono.empty();
                 })
-            .repeatWhen(rounds -> rounds.delayElements(period))
+            .repeatWhen(completions -> completions.delayElements(period))
             .subscribe();
   }
 
-  /** Starts a task; its first round starts at once. */
+  /** Starts a task without an initial delay. */
   public static PeriodicTask start(
-      String name, Duration period, BoxMetrics metrics, Supplier<Mono<Void>> round) {
-    return new PeriodicTask(name, period, metrics, round);
+      String name, Duration period, BoxMetrics metrics, Supplier<Mono<Void>> task) {
+    return new PeriodicTask(name, period, metrics, task);
   }
 
   @Override
@@ -51,7 +51,7 @@
     if (!failing) {
       failing = true;
       metrics.stateChange(name + "-failing");
-      Logger.warn("{} fails: {}", name, e.getMessage());
+      Logger.warn("Periodic task {} failed: {}", name, e.getMessage());
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
@@ -24,10 +24,10 @@
 import reactor.core.publisher.Mono;
 
 /**
- * One round of reading the platform: versions and members from the table, live and leaving boxes
- * from the list. Rounds must not overlap.
+ * Reads the state of the deployment from the platform: versions and members from the table, live
+ * and leaving boxes from the list. Calls must not overlap.
  *
- * <p>A round costs one read of the table; a second one where the members have changed.
+ * <p>The member rows are read only if their revision has changed.
  *
  * @since 0.1
  */
@@ -49,7 +49,7 @@
   /**
    * Creates a reader.
    *
-   * @param rejoin called where a read shows that this box is no longer a member
+   * @param rejoin called if this box is no longer a member of the table
    */
   public PlatformReader(
       TableService table,
@@ -58,7 +58,7 @@
       ChangeService changes,
       PeerNetwork peers,
       UpstreamDirectory upstreams,
-      GoneMembers gone,
+      GoneMembers goneMembers,
       MonotonicClock clock,
       Supplier<Mono<Void>> rejoin) {
     this.table = table;
@@ -68,29 +68,29 @@
     this.changes = changes;
     this.peers = peers;
     this.upstreams = upstreams;
-    this.goneMembers = gone;
+    this.goneMembers = goneMembers;
     this.clock = clock;
     this.rejoin = rejoin;
   }
 
-  /** Reads the table, takes on what it says, then counts it as a confirmation. */
+  /** Reads and applies the table, then counts this as a confirmation of the membership. */
   public Mono<Void> readTable() {
     return Mono.defer(
         () -> {
           long startNanos = clock.nanos();
           long incarnation = membership.incarnation();
-          List<PipelineVersion> open = changes.learner().openBeforeRead();
+          List<PipelineVersion> openVersions = changes.learner().openBeforeRead();
           return table
               .read(HEAD_KEY_PREFIXES)
               .flatMap(
                   rows ->
                       readMembersIfChanged(rows)
-                          .then(applyHeads(ChangeHeads.of(rows), open))
+                          .then(applyHeads(ChangeHeads.of(rows), openVersions))
                           .then(confirmOrRejoin(incarnation, startNanos)));
         });
   }
 
-  /** Reads the list; marks and removes members that it no longer shows. */
+  /** Reads the list of boxes; marks and removes members that are no longer listed. */
   public Mono<Void> readList() {
     return boxList
         .list()
@@ -120,8 +120,8 @@
         .then();
   }
 
-  private Mono<Void> applyHeads(ChangeHeads heads, List<PipelineVersion> open) {
-    return changes.learner().learn(heads, open).then(changes.abandoned().observe(heads));
+  private Mono<Void> applyHeads(ChangeHeads heads, List<PipelineVersion> openVersions) {
+    return changes.learner().learn(heads, openVersions).then(changes.abandoned().observe(heads));
   }
 
   private Mono<Void> confirmOrRejoin(long incarnation, long startNanos) {
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/package-info.java
@@ -1,4 +1,4 @@
-/** Keeping a box up to date: reads of the platform and heartbeats between boxes. */
+/** Synchronization of a box with the platform and with its peers. */
 @NullMarked
 package org.gradeledge.synchronization;
 
