--- a/gradeledge-core/src/main/java/org/gradeledge/time/BootClock.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/BootClock.java
@@ -3,13 +3,13 @@
 import java.util.OptionalLong;
 
 /**
- * The time since the machine was booted, in which it may have been suspended for a while.
+ * A clock of the time since the machine was booted, including time in which it was suspended.
  *
  * @since 0.3
  */
 @FunctionalInterface
 public interface BootClock {
 
-  /** Returns nanoseconds since the machine was booted, empty where that cannot be told. */
+  /** Returns the nanoseconds since the machine was booted, or empty if these are unknown. */
   OptionalLong nanos();
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/time/ClockJump.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/ClockJump.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * The time of day and the steady clock have parted.
+ * A jump of the wall clock relative to the JVM's monotonic clock, caused by a suspension of the
+ * machine or by setting the wall clock.
  *
- * @param wallClockShift by how much the time of day went ahead of the steady clock; negative if it
- *     was set back
- * @param suspended for how long the machine was suspended; zero where that is not shown
+ * @param wallClockShift how far the wall clock moved forward relative to the monotonic clock;
+ *     negative if it was set back
+ * @param suspended time for which the machine was suspended; zero if no suspension is confirmed
  * @since 0.3
  */
 public record ClockJump(Duration wallClockShift, Duration suspended) {
 
-  /** Returns whether the machine was suspended for sure. */
+  /** Returns whether a suspension of the machine is confirmed. */
   public boolean isSuspension() {
     return !suspended.isZero();
   }
 
-  /** Returns whether time may have passed that no timer counted. */
+  /** Returns whether the machine may have been suspended. */
   public boolean mayBeSuspension() {
     return !wallClockShift.isNegative();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/time/Deadline.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/Deadline.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * A moment on a monotonic clock by which something must be done. Immutable.
+ * A point in time on a monotonic clock by which an operation must be complete. Immutable.
  *
  * @since 0.1
  */
@@ -11,30 +11,30 @@
 
   private final MonotonicClock clock;
   private final long startNanos;
-  private final long limitNanos;
+  private final long timeoutNanos;
 
-  private Deadline(MonotonicClock clock, long startNanos, long limitNanos) {
+  private Deadline(MonotonicClock clock, long startNanos, long timeoutNanos) {
     this.clock = clock;
     this.startNanos = startNanos;
-    this.limitNanos = limitNanos;
+    this.timeoutNanos = timeoutNanos;
   }
 
-  /** Returns the deadline that lies {@code limit} after now. */
-  public static Deadline after(MonotonicClock clock, Duration limit) {
-    return new Deadline(clock, clock.nanos(), limit.toNanos());
+  /** Returns the deadline that is the given time from now. */
+  public static Deadline after(MonotonicClock clock, Duration timeout) {
+    return new Deadline(clock, clock.nanos(), timeout.toNanos());
   }
 
-  /** Returns the time left, zero once passed. */
+  /** Returns the remaining time, or zero if the deadline has passed. */
   public Duration remaining() {
-    return Duration.ofNanos(Math.max(0, limitNanos - elapsedNanos()));
+    return Duration.ofNanos(Math.max(0, timeoutNanos - elapsedNanos()));
   }
 
-  /** Returns whether it has passed. */
+  /** Returns whether the deadline has passed. */
   public boolean hasPassed() {
-    return elapsedNanos() >= limitNanos;
+    return elapsedNanos() >= timeoutNanos;
   }
 
-  /** Returns the nanoseconds since it was set. */
+  /** Returns the nanoseconds since the deadline was created. */
   public long elapsedNanos() {
     return clock.nanos() - startNanos;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/time/MonotonicClock.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/MonotonicClock.java
@@ -1,7 +1,7 @@
 package org.gradeledge.time;
 
 /**
- * A clock that never goes back and goes on while the process is frozen, and while the machine is
+ * A clock that never goes back and also advances while the process is stopped or the machine is
  * suspended.
  *
  * @since 0.1
@@ -9,10 +9,10 @@
 @FunctionalInterface
 public interface MonotonicClock {
 
-  /** Returns nanoseconds since an arbitrary origin; only differences mean anything. */
+  /** Returns nanoseconds since an arbitrary origin; only differences are meaningful. */
   long nanos();
 
-  /** Returns the clock of the machine. */
+  /** Returns the clock of this machine. */
   static MonotonicClock system() {
     return SuspensionAwareClock.systemClock();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/time/SuspensionAwareClock.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/SuspensionAwareClock.java
@@ -9,26 +9,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * A monotonic clock that counts the time for which the machine was suspended. The steady clock of
- * the machine does not: whatever rests on it takes what it knew before for fresh.
+ * A monotonic clock that includes the time for which the machine was suspended, which {@link
+ * System#nanoTime} does not.
  *
- * <p>The time of day and the steady clock go alike, but for two things: the machine was suspended,
- * or the time of day was set. Each look compares both, which costs some nanoseconds. Where they
- * have parted, the boot clock is asked: only if it has gone ahead by as much was it a suspension,
- * and the first look after waking, before any timer has fired, gives the true time. Else the clock
- * goes on as it was, so that no step of the time of day moves a deadline, also where the boot clock
- * that is shown is not the machine's own. Whoever listens hears of both. Thread-safe.
+ * <p>Each reading compares the wall clock with {@code System.nanoTime}. If the wall clock has
+ * jumped, the machine was suspended or the wall clock was set. It counts as a suspension only if
+ * the boot clock has jumped by about as much; the clock is then advanced by that time. Otherwise
+ * the clock is not changed, so that setting the wall clock never moves a deadline. Listeners are
+ * notified in both cases. Thread-safe.
  *
  * @since 0.3
  */
 public final class SuspensionAwareClock implements MonotonicClock {
 
-  /** Shorter suspensions are not looked for; no bound that boxes keep is as short as this. */
+  /** Smaller jumps are ignored; no time limit between boxes is as short as this. */
   static final Duration JUMP_THRESHOLD = Duration.ofMillis(200);
 
   /**
-   * Two jumps are the same if they differ by no more: steps of the time of day below the sign go
-   * unnoticed, and the boot clock tells hundredths of a second a moment before it is compared.
+   * Largest difference of jumps that count as equal. Exceeds the threshold, below which steps of
+   * the wall clock are ignored, by the resolution of the boot clock and the time of its reading.
    */
   static final Duration JUMP_TOLERANCE = Duration.ofMillis(250);
 
@@ -46,17 +45,17 @@
   /**
    * Creates a clock.
    *
-   * @param steadyNanos steady clock, which does not count suspended time
-   * @param timeOfDayMillis time of day, which does, and may be set
-   * @param bootClock judges which of the two it was
+   * @param nanoTime monotonic clock that stops while the machine is suspended
+   * @param wallClockMillis wall clock, which also advances during a suspension, but may be set
+   * @param bootClock distinguishes suspensions from settings of the wall clock
    */
   public SuspensionAwareClock(
-      LongSupplier steadyNanos, LongSupplier timeOfDayMillis, BootClock bootClock) {
-    this.nanoTime = steadyNanos;
-    this.wallClockMillis = timeOfDayMillis;
+      LongSupplier nanoTime, LongSupplier wallClockMillis, BootClock bootClock) {
+    this.nanoTime = nanoTime;
+    this.wallClockMillis = wallClockMillis;
     this.bootClock = bootClock;
     this.bootClockOffset = readBootClockOffset();
-    this.wallClockOffset = readWallClockOffset(steadyNanos.getAsLong());
+    this.wallClockOffset = readWallClockOffset(nanoTime.getAsLong());
   }
 
   /** Returns the clock of this machine. */
@@ -64,53 +63,53 @@
     return SYSTEM;
   }
 
-  /** Tells a listener whenever the clocks have parted, on the thread that notices it. */
+  /** Adds a listener of jumps, which is called on the thread that detects the jump. */
   public void onJump(Consumer<ClockJump> listener) {
     listeners.add(listener);
   }
 
   @Override
   public long nanos() {
-    long steady = nanoTime.getAsLong();
-    long ahead = readWallClockOffset(steady);
-    if (Math.abs(ahead - wallClockOffset) > JUMP_THRESHOLD.toNanos()) {
-      handleJump(ahead);
+    long monotonic = nanoTime.getAsLong();
+    long newOffset = readWallClockOffset(monotonic);
+    if (Math.abs(newOffset - wallClockOffset) > JUMP_THRESHOLD.toNanos()) {
+      handleJump(newOffset);
     }
-    return steady + suspendedNanos;
+    return monotonic + suspendedNanos;
   }
 
-  private long readWallClockOffset(long steady) {
-    return TimeUnit.MILLISECONDS.toNanos(wallClockMillis.getAsLong()) - steady;
+  private long readWallClockOffset(long monotonic) {
+    return TimeUnit.MILLISECONDS.toNanos(wallClockMillis.getAsLong()) - monotonic;
   }
 
-  /** The boot clock is read first, so that a pause between the two is never taken for more. */
+  /** Reads the boot clock first, so that a pause in between never increases the offset. */
   private OptionalLong readBootClockOffset() {
     OptionalLong boot = bootClock.nanos();
-    long steady = nanoTime.getAsLong();
-    return boot.isPresent() ? OptionalLong.of(boot.getAsLong() - steady) : boot;
+    long monotonic = nanoTime.getAsLong();
+    return boot.isPresent() ? OptionalLong.of(boot.getAsLong() - monotonic) : boot;
   }
 
-  private void handleJump(long ahead) {
+  private void handleJump(long newOffset) {
     ClockJump jump;
     synchronized (this) {
-      long dayJump = ahead - wallClockOffset;
-      wallClockOffset = ahead;
-      long suspended = suspendedNanosOf(dayJump);
+      long wallClockJump = newOffset - wallClockOffset;
+      wallClockOffset = newOffset;
+      long suspended = suspendedNanosOf(wallClockJump);
       suspendedNanos += suspended;
-      jump = new ClockJump(Duration.ofNanos(dayJump), Duration.ofNanos(suspended));
+      jump = new ClockJump(Duration.ofNanos(wallClockJump), Duration.ofNanos(suspended));
     }
     listeners.forEach(listener -> listener.accept(jump));
   }
 
-  /** Returns how much of a jump of the time of day was a suspension: all of it, or nothing. */
-  private long suspendedNanosOf(long dayJump) {
-    OptionalLong before = bootClockOffset;
+  /** Returns the suspended time if the boot clock confirms the jump of the wall clock, or zero. */
+  private long suspendedNanosOf(long wallClockJump) {
+    OptionalLong previousOffset = bootClockOffset;
     bootClockOffset = readBootClockOffset();
-    if (before.isEmpty() || bootClockOffset.isEmpty()) {
+    if (previousOffset.isEmpty() || bootClockOffset.isEmpty()) {
       return 0;
     }
-    long bootJump = bootClockOffset.getAsLong() - before.getAsLong();
-    boolean agree = Math.abs(bootJump - dayJump) <= JUMP_TOLERANCE.toNanos();
-    return agree ? Math.max(0, bootJump) : 0;
+    long bootClockJump = bootClockOffset.getAsLong() - previousOffset.getAsLong();
+    boolean agree = Math.abs(bootClockJump - wallClockJump) <= JUMP_TOLERANCE.toNanos();
+    return agree ? Math.max(0, bootClockJump) : 0;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/time/UptimeFileClock.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/UptimeFileClock.java
@@ -6,10 +6,9 @@
 import java.util.OptionalLong;
 
 /**
- * The boot clock of Linux as its first figure in {@code /proc/uptime}, in hundredths of a second.
- * The Java platform shows no clock that counts suspended time, and a native call would bring a
- * library of its own into every start. A reading takes some microseconds and never waits for a
- * disk.
+ * Boot clock of Linux, read from {@code /proc/uptime} with a resolution of hundredths of a second.
+ * The JDK has no clock that includes suspended time, and native code is avoided because its library
+ * would have to be loaded at every start.
  */
 final class UptimeFileClock implements BootClock {
 
@@ -36,24 +35,24 @@
     }
   }
 
-  /** Returns the first figure, which has two decimals. */
+  /** Parses the first number, which must have two decimals. */
   static OptionalLong parse(String text) {
-    int blank = text.indexOf(' ');
-    String figure = blank < 0 ? text.strip() : text.substring(0, blank);
-    int point = figure.indexOf('.');
-    if (point < 1 || point != figure.length() - 3 || !isDecimal(figure, point)) {
+    int space = text.indexOf(' ');
+    String number = space < 0 ? text.strip() : text.substring(0, space);
+    int point = number.indexOf('.');
+    if (point < 1 || point != number.length() - 3 || !isDecimal(number, point)) {
       return OptionalLong.empty();
     }
-    long hundredths = Long.parseLong(figure.substring(0, point) + figure.substring(point + 1));
+    long hundredths = Long.parseLong(number.substring(0, point) + number.substring(point + 1));
     return OptionalLong.of(hundredths * NANOS_PER_HUNDREDTH);
   }
 
-  private static boolean isDecimal(String figure, int point) {
-    for (int index = 0; index < figure.length(); index++) {
-      if (index != point && (figure.charAt(index) < '0' || figure.charAt(index) > '9')) {
+  private static boolean isDecimal(String number, int point) {
+    for (int index = 0; index < number.length(); index++) {
+      if (index != point && (number.charAt(index) < '0' || number.charAt(index) > '9')) {
         return false;
       }
     }
-    return figure.length() <= 16;
+    return number.length() <= 16;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/time/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/package-info.java
@@ -1,4 +1,4 @@
-/** Time as the library sees it: a monotonic clock and deadlines on it. */
+/** Monotonic clocks, detection of suspensions, and deadlines. */
 @NullMarked
 package org.gradeledge.time;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/time/SuspensionAwareClockTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/time/SuspensionAwareClockTests.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
 
-/** A machine whose clocks are set by hand. */
+/** Runs on a simulated machine, whose clocks are the fields of the test. */
 class SuspensionAwareClockTests {
 
   private static final long NANOS_PER_HUNDREDTH = 10_000_000;
@@ -32,31 +32,31 @@
   }
 
   @Test
-  void goesOnWithTheSteadyClockWithoutALookAtTheBootClock() {
+  void advancesWithoutReadingTheBootClock() {
     long start = clock.nanos();
-    int looks = bootClockReads;
+    int readsBefore = bootClockReads;
 
-    pass(50_000);
+    advance(50_000);
 
     assertThat(clock.nanos() - start).isEqualTo(millis(50_000));
-    assertThat(bootClockReads).isEqualTo(looks);
+    assertThat(bootClockReads).isEqualTo(readsBefore);
   }
 
   @Test
-  void theFirstLookAfterWakingCountsTheSuspension() {
+  void firstReadingAfterResumeIncludesTheSuspension() {
     long start = clock.nanos();
-    pass(100);
+    advance(100);
     suspend(10_000);
 
     assertThat(clock.nanos() - start).isEqualTo(millis(10_100));
 
-    pass(100);
+    advance(100);
     assertThat(clock.nanos() - start).isEqualTo(millis(10_200));
     assertThat(jumps).extracting(ClockJump::suspended).containsExactly(Duration.ofSeconds(10));
   }
 
   @Test
-  void aStepOfTheTimeOfDayMovesNothing() {
+  void ignoresStepsOfTheWallClock() {
     long start = clock.nanos();
     wallClockMillis += 2_000;
     assertThat(clock.nanos()).isEqualTo(start);
@@ -67,11 +67,11 @@
   }
 
   /**
-   * Seen where the boot clock that is shown is another machine's: each step of the time of day was
-   * taken for a suspension of as much as the two clocks had parted until then.
+   * If the boot clock is that of another machine and drifts, steps of the wall clock must not count
+   * as suspensions.
    */
   @Test
-  void aBootClockThatGoesItsOwnWayMakesNoSuspensionOfAStep() {
+  void ignoresStepsOfTheWallClockIfTheBootClockDrifts() {
     long start = clock.nanos();
     for (int step = 1; step <= 5; step++) {
       bootNanos += millis(260 * step);
@@ -81,9 +81,9 @@
     assertThat(jumps).noneMatch(ClockJump::isSuspension);
   }
 
-  /** What is known may be old then, but no deadline moves by a figure that two clocks deny. */
+  /** The clocks jump by different times, so that the suspended time is unknown. */
   @Test
-  void aSuspensionDuringWhichTheTimeOfDayIsSetIsToldAsOneThatMayBe() {
+  void reportsAPossibleSuspensionIfTheWallClockIsSetMeanwhile() {
     long start = clock.nanos();
     suspend(4_000);
     wallClockMillis -= 1_500;
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void whereTheBootClockCannotBeReadNothingIsTakenForASuspension() {
+  void ignoresSuspensionsIfTheBootClockIsUnreadable() {
     bootUnreadable = true;
     long start = clock.nanos();
 
@@ -103,7 +103,7 @@
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void whateverHappensItNeverGoesBackAndIsNearTheTrueTime(@ForAll long seed) {
+  void neverGoesBackAndStaysNearTheBootClock(@ForAll long seed) {
     SuspensionAwareClockTests machine = new SuspensionAwareClockTests();
     Random random = new Random(seed);
     long start = machine.clock.nanos();
@@ -113,23 +113,23 @@
       switch (random.nextInt(4)) {
         case 0 -> machine.suspend(500 + random.nextInt(20_000));
         case 1 -> machine.wallClockMillis += random.nextInt(8_000) - 4_000;
-        default -> machine.pass(random.nextInt(3_000));
+        default -> machine.advance(random.nextInt(3_000));
       }
       long now = machine.clock.nanos();
       assertThat(now).isGreaterThanOrEqualTo(last);
       last = now;
     }
-    long off = Math.abs((last - start) - (machine.bootNanos - bootStart));
+    long deviation = Math.abs((last - start) - (machine.bootNanos - bootStart));
     long suspensions = machine.jumps.stream().filter(ClockJump::isSuspension).count();
-    assertThat(off).isLessThanOrEqualTo(millis(20) * suspensions);
+    assertThat(deviation).isLessThanOrEqualTo(millis(20) * suspensions);
   }
 
   @Test
-  void readsTheFirstFigureOfTheFile() {
+  void parsesTheFirstNumberOfTheFile() {
     assertThat(UptimeFileClock.parse("1301.08 6510.28\n")).hasValue(1_301_080_000_000L);
     assertThat(UptimeFileClock.parse("0.05 0.00\n")).hasValue(50_000_000L);
-    for (String other : List.of("", "x", "1301", "13.1 2", "-1.00 2", "1e3.00 1", "1.00.00 2")) {
-      assertThat(UptimeFileClock.parse(other)).as(other).isEmpty();
+    for (String invalid : List.of("", "x", "1301", "13.1 2", "-1.00 2", "1e3.00 1", "1.00.00 2")) {
+      assertThat(UptimeFileClock.parse(invalid)).as(invalid).isEmpty();
     }
     assertThat(new UptimeFileClock("/nowhere").nanos()).isEmpty();
   }
@@ -141,7 +141,7 @@
         : OptionalLong.of(bootNanos / NANOS_PER_HUNDREDTH * NANOS_PER_HUNDREDTH);
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     nanoTime += millis(millis);
     wallClockMillis += millis;
     bootNanos += millis(millis);
