--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerNetworkTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerNetworkTests.java
@@ -42,8 +42,8 @@
     first.setPeers(List.of(addressOf(1, "box-2")));
     second.setPeers(List.of(addressOf(0, "box-1")));
 
-    assertThat(ask(first, "box-2", "Шумен?")).isEqualTo("box-2 heard Шумен?");
-    assertThat(ask(second, "box-1", "Huế?")).isEqualTo("box-1 heard Huế?");
+    assertThat(requestReply(first, "box-2", "Шумен?")).isEqualTo("box-2 heard Шумен?");
+    assertThat(requestReply(second, "box-1", "Huế?")).isEqualTo("box-1 heard Huế?");
     assertThat(first.connectedPeers()).hasSize(1);
   }
 
@@ -70,7 +70,7 @@
     PeerMessageType<Request> slow = new PeerMessageType<>("slow", Request.class);
     second.register(slow, (from, message) -> Mono.never());
     first.setPeers(List.of(addressOf(1, "box-2")));
-    ask(first, "box-2", "first");
+    requestReply(first, "box-2", "first");
 
     for (int i = 0; i < 200; i++) {
       first
@@ -78,7 +78,7 @@
           .subscribe(answer -> {}, failure -> {});
     }
 
-    assertThat(ask(first, "box-2", "last")).isEqualTo("box-2 heard last");
+    assertThat(requestReply(first, "box-2", "last")).isEqualTo("box-2 heard last");
   }
 
   /**
@@ -103,7 +103,7 @@
     assertThat(closed.connectedPeers()).isEmpty();
   }
 
-  private static String ask(PeerNetwork from, String to, String text) {
+  private static String requestReply(PeerNetwork from, String to, String text) {
     return from.request(to, REQUEST, new Request(text), Reply.class, TIMEOUT)
         .retryWhen(Retry.fixedDelay(100, Duration.ofMillis(50)))
         .block(TIMEOUT)
