--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
@@ -8,7 +8,7 @@
 import org.gradeledge.discovery.ZoneEvacuations;
 import org.gradeledge.peer.MessageFormat;
 import org.gradeledge.peer.MessageReader;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
 import org.msgpack.core.MessagePacker;
 
 /** Message format of {@link Heartbeat}: an array. */
@@ -35,11 +35,11 @@
     packer.packLong(heartbeat.upstreamsRevision());
     TextLists.write(packer, heartbeat.aliveBoxes());
     packer.packMapHeader(heartbeat.loadShares().size());
-    for (Map.Entry<String, LoadShare> share : heartbeat.loadShares().entrySet()) {
+    for (Map.Entry<String, BoxLoad> share : heartbeat.loadShares().entrySet()) {
       packer.packString(share.getKey());
       packer.packArrayHeader(SHARE_FIELDS);
-      packer.packInt(share.getValue().running());
-      packer.packLong(share.getValue().tokens());
+      packer.packInt(share.getValue().inFlight());
+      packer.packLong(share.getValue().memory());
     }
     writeNumbers(packer, heartbeat.backlogMillis());
     writeNumbers(packer, heartbeat.pendingPieces());
@@ -102,9 +102,9 @@
     return new ZoneEvacuations(revision, new HashSet<>(zones));
   }
 
-  private static LoadShare readShare(MessageReader reader) throws IOException {
+  private static BoxLoad readShare(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(SHARE_FIELDS);
-    LoadShare share = new LoadShare(reader.readInt(), reader.readLong());
+    BoxLoad share = new BoxLoad(reader.readInt(), reader.readLong());
     reader.skip(extraFields);
     return share;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/LimitReportFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/LimitReportFormat.java
@@ -17,8 +17,8 @@
     packer.packArrayHeader(reports.size());
     for (LimitReport report : reports) {
       packer.packArrayHeader(FIELDS);
-      packer.packString(report.start());
-      packer.packLong(report.perThousandSeconds());
+      packer.packString(report.incarnationId());
+      packer.packLong(report.requestsPer1000Seconds());
       packer.packLong(report.ageMillis());
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/HeldBackTrials.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/HeldBackTrials.java
@@ -12,15 +12,15 @@
 import org.gradeledge.event.EventLog;
 import org.gradeledge.follow.TableRow;
 import org.gradeledge.follow.WritableTable;
+import org.gradeledge.quarantine.QuarantineTrials;
 import org.gradeledge.quarantine.RequestFingerprint;
-import org.gradeledge.quarantine.Trials;
 import reactor.core.publisher.Mono;
 
 /**
  * When requests that are held back are tried once more; each trial is a row of the platform's table
  * that one box alone can create. Confined to the event loop.
  */
-final class HeldBackTrials implements Trials {
+final class HeldBackTrials implements QuarantineTrials {
 
   /**
    * When a request that is held back is tried once more, counted from the verdict. Upstreams may
@@ -74,7 +74,7 @@
   }
 
   @Override
-  public Optional<Duration> untilNext(RequestFingerprint fingerprint) {
+  public Optional<Duration> timeUntilNext(RequestFingerprint fingerprint) {
     Long since = sinceMillis.get(fingerprint);
     int taken = keys.trialsTaken(fingerprint);
     if (since == null || taken == TRIALS.size()) {
@@ -85,7 +85,7 @@
   }
 
   @Override
-  public Mono<Boolean> take(RequestFingerprint fingerprint) {
+  public Mono<Boolean> claim(RequestFingerprint fingerprint) {
     String key = VerdictRow.trialKey(fingerprint, keys.trialsTaken(fingerprint) + 1);
     keys.addWritten(key);
     return table
--- a/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
@@ -112,7 +112,7 @@
   private void tell(long newRevision) {
     revision = newRevision;
     long holds = settling ? revision - 1 : revision;
-    if (upstreams.evacuate(new ZoneEvacuations(holds, inForce))) {
+    if (upstreams.applyEvacuations(new ZoneEvacuations(holds, inForce))) {
       onEvacuations.run();
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/PlannedStop.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/PlannedStop.java
@@ -57,7 +57,7 @@
       return;
     }
     begun = true;
-    events.change("stop").with("active", server.active()).write();
+    events.change("stop").with("active", server.activeRequests()).write();
     mesh.leave();
     server.closeAfterAnswers();
     after(IDLE_CLOSES_AT, server::closeIdle);
@@ -74,7 +74,7 @@
   }
 
   private void waitForActive(Runnable whenDone) {
-    if (refusing && server.active() == 0) {
+    if (refusing && server.activeRequests() == 0) {
       whenDone.run();
     } else {
       loop.schedule(() -> waitForActive(whenDone), LOOK_MILLIS, TimeUnit.MILLISECONDS);
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.batch.BatchCoordinator;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.batch.StageWorkClient;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.PooledUpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.Deployment;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.deployment.ServiceDefinition;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.mesh.BoxMesh;
 import org.gradeledge.mesh.SharedBoxState;
 import org.gradeledge.metrics.BoxMetrics;
@@ -31,9 +31,9 @@
 import org.gradeledge.relay.RelayServices;
 import org.gradeledge.retry.RetryBudget;
 import org.gradeledge.selection.LeastLoadedChooser;
-import org.gradeledge.selection.LoadBoard;
 import org.gradeledge.selection.PrefixAffinityChooser;
 import org.gradeledge.selection.UpstreamChooser;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.ClockJump;
 import org.gradeledge.time.MonotonicClock;
 import org.gradeledge.time.SuspensionAwareClock;
@@ -61,7 +61,7 @@
   private final EventLog events;
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final PiecesToCome toCome = new PiecesToCome();
+  private final PendingPieces toCome = new PendingPieces();
   private final BoxMesh mesh;
   private final RelayMetrics metrics = new RelayMetrics();
   private final BoxMetrics boxMetrics = new BoxMetrics();
@@ -81,7 +81,7 @@
     SuspensionAwareClock clock = SuspensionAwareClock.systemClock();
     this.deployments = new DeploymentRegistry(adapters.configurations(), events);
     this.upstreams = new UpstreamRegistry(events);
-    LoadBoard board = new LoadBoard(clock, events);
+    UpstreamLoads board = new UpstreamLoads(clock, events);
     Quarantine quarantine = new Quarantine(clock);
     UpstreamSending sending = new UpstreamSending(clock, events, upstreams, this::service);
     this.mesh =
@@ -92,20 +92,20 @@
     this.followers = newFollowers(adapters, verdicts, clock);
     RetryBudget budget = newRetryBudget(clock);
     PooledUpstreamCaller caller = new PooledUpstreamCaller(loop, this::connectionLimit, clock);
-    upstreams.onEnd(caller::end);
-    upstreams.onReplaced(caller::breakOff);
+    upstreams.onRetired(caller::retire);
+    upstreams.onReplaced(caller::abort);
     sending.listen(caller, adapters.signals(), mesh);
-    LimitedSending limited = sending.limited(mesh);
+    UpstreamRateLimiter limited = sending.limited(mesh);
     sending.show(metrics, limited);
-    upstreams.onEnd(board::forget);
+    upstreams.onRetired(board::remove);
     BatchCoordinator coordinator =
         BatchCoordinator.builder()
             .box(peerName(settings), loop, clock)
             .upstreams(upstreams, service -> service(service).flatMap(ServiceDefinition::batch))
             .calls(caller, adapters.stages())
-            .beliefs(board, budget, events)
-            .toCome(toCome)
-            .sending(SendingRule.allOf(limited, sending.backoffs()))
+            .loadAndRetries(board, budget, events)
+            .pendingPieces(toCome)
+            .sendingRule(SendLimiter.allOf(limited, sending.backoffs()))
             .build();
     StageWorkClient stageWork = mesh.stageWorkClient(coordinator);
     RelayServices services =
@@ -117,10 +117,10 @@
             upstreams,
             board,
             newChooser(board),
-            SendingRule.allOf(sending.cold(this::boxes), limited, sending.backoffs()),
+            SendLimiter.allOf(sending.cold(this::boxes), limited, sending.backoffs()),
             budget,
             caller,
-            new UpstreamEnds(caller, upstreams::hasLeft),
+            new LivenessChecker(caller, upstreams::hasLeft),
             quarantine,
             verdicts,
             adapters.relay(),
@@ -145,15 +145,15 @@
         .write();
     if (jump.isSuspension()) {
       metrics.suspended();
-      handler.wokeUp();
+      handler.expireOverdue();
     }
     if (jump.mayBeSuspension()) {
-      caller.closeResting();
+      caller.closeIdle();
       followers.wokeUp();
     }
   }
 
-  private UpstreamChooser newChooser(LoadBoard board) {
+  private UpstreamChooser newChooser(UpstreamLoads board) {
     return new PrefixAffinityChooser(
         board, new LeastLoadedChooser(board, new Random()), this::memoryTokens);
   }
@@ -230,7 +230,7 @@
     CountDownLatch stopped = new CountDownLatch(1);
     loop.execute(() -> stop.start(stopped::countDown));
     stopped.await(settings.grace().toMillis(), TimeUnit.MILLISECONDS);
-    events.change("stopped").with("active", server.active()).write();
+    events.change("stopped").with("active", server.activeRequests()).write();
     events.drain(200);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
@@ -8,18 +8,18 @@
 import org.gradeledge.connection.SignalReader;
 import org.gradeledge.connection.UpstreamSignals;
 import org.gradeledge.deployment.ServiceDefinition;
-import org.gradeledge.discovery.LeavingStatement;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.LeavingAnnouncement;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.limit.UpstreamBackoffs;
 import org.gradeledge.limit.UpstreamLimits;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.mesh.BoxMesh;
 import org.gradeledge.relay.RelayMetrics;
-import org.gradeledge.selection.ColdUpstreams;
+import org.gradeledge.selection.ColdStartLimiter;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -33,7 +33,7 @@
   private final Function<String, Optional<ServiceDefinition>> services;
   private final UpstreamLimits limits;
   private final UpstreamBackoffs backoffs;
-  private final UnreadableSignals unreadableLeaving;
+  private final UnreadableSignalLog unreadableLeaving;
 
   UpstreamSending(
       MonotonicClock clock,
@@ -45,7 +45,7 @@
     this.services = services;
     this.limits = new UpstreamLimits(clock, events, upstreams::all);
     this.backoffs = new UpstreamBackoffs(clock, events);
-    this.unreadableLeaving = new UnreadableSignals(events, "upstream-leaving-unreadable");
+    this.unreadableLeaving = new UnreadableSignalLog(events, "upstream-leaving-unreadable");
   }
 
   /** Returns the limits that are known. */
@@ -54,47 +54,47 @@
   }
 
   /** Shows what upstreams say of themselves. */
-  void show(RelayMetrics metrics, LimitedSending limited) {
-    metrics.watchLimits(limits::count, limited::heldOff);
-    metrics.watchSignals(
-        () -> upstreams.leavingAsTheySaid().size(), backoffs::count, backoffs::heldOff);
+  void show(RelayMetrics metrics, UpstreamRateLimiter limited) {
+    metrics.registerLimits(limits::limitedCount, limited::skipped);
+    metrics.registerSignals(
+        () -> upstreams.announcedLeaving().size(), backoffs::activeCount, backoffs::skipped);
   }
 
   /** Reads what all answers say of their upstreams, and has the mesh tell what is new at once. */
   void listen(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
-    caller.onAnswer(
+    caller.onResponse(
         (upstream, head) -> {
           UpstreamSignals signals =
               reader.read(head.request().uri(), head.status(), head.headers());
-          limits.answered(upstream, head.sentNanos(), signals.limit());
-          backoffs.answered(upstream, signals.backoff());
+          limits.onAnswer(upstream, head.sentAtNanos(), signals.limit());
+          backoffs.onAnswer(upstream, signals.backoff());
           leaving(upstream, signals.leaving());
-          if (head.closes()) {
-            upstreams.closesConnections(upstream);
+          if (head.closesConnection()) {
+            upstreams.recordConnectionClose(upstream);
           }
         });
-    limits.onNews(mesh::announceNow);
-    upstreams.onAnnounced(mesh::announceNow);
-    backoffs.onBegin(caller::holdOff);
+    limits.onChange(mesh::announceNow);
+    upstreams.onLeavingAnnounced(mesh::announceNow);
+    backoffs.onBackoffStarted(caller::backOff);
   }
 
-  private void leaving(UpstreamRecord upstream, LeavingStatement statement) {
+  private void leaving(UpstreamRecord upstream, LeavingAnnouncement statement) {
     switch (statement.kind()) {
-      case LEAVES -> upstreams.announcesLeaving(upstream);
-      case UNREADABLE -> unreadableLeaving.note(upstream, statement.text());
+      case LEAVES -> upstreams.recordLeavingAnnouncement(upstream);
+      case UNREADABLE -> unreadableLeaving.report(upstream, statement.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("unknown statement " + statement.kind());
     }
   }
 
   /** Returns the rule of upstreams that want nothing from this box for a while. */
-  SendingRule backoffs() {
+  SendLimiter backoffs() {
     return backoffs;
   }
 
   /** Returns the rule of limits that upstreams name, for all requests. */
-  LimitedSending limited(BoxMesh mesh) {
-    return new LimitedSending(
+  UpstreamRateLimiter limited(BoxMesh mesh) {
+    return new UpstreamRateLimiter(
         clock,
         limits,
         mesh::rank,
@@ -107,16 +107,16 @@
    *
    * @param boxes how many boxes are heard, this one included
    */
-  SendingRule cold(IntSupplier boxes) {
-    ColdUpstreams cold =
-        new ColdUpstreams(
+  SendLimiter cold(IntSupplier boxes) {
+    ColdStartLimiter cold =
+        new ColdStartLimiter(
             clock,
             new Random(),
             boxes,
             service -> services.apply(service).flatMap(ServiceDefinition::coldStart));
-    upstreams.onCold(cold::told);
-    upstreams.onRestored(zones -> cold.restored(upstreams.inZones(zones)));
-    upstreams.onEnd(cold::forget);
+    upstreams.onCold(cold::onColdAnnounced);
+    upstreams.onRestored(zones -> cold.onRestored(upstreams.inZones(zones)));
+    upstreams.onRetired(cold::remove);
     return cold;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
@@ -60,7 +60,7 @@
     this.onNews = onNews;
     this.loop = loop;
     this.reading = new SteadyReading(clock);
-    upstreams.onTrust(reading::trust);
+    upstreams.setTrustSupplier(reading::trust);
     this.graceMillis =
         Math.min(RENEWAL.toMillis(), (long) (leavingBound.toMillis() * PART_OF_BOUND));
   }
@@ -103,7 +103,7 @@
   @Override
   public void onBackupRestored() {
     onUnavailable();
-    upstreams.distrustReturns();
+    upstreams.distrustReappearedEntries();
     onAvailableAgain();
   }
 
@@ -133,7 +133,7 @@
    * outage itself does so in its own time.
    */
   void settled() {
-    if (upstreams.trust() != ListTrust.DOUBTED) {
+    if (upstreams.listTrust() != ListTrust.DOUBTED) {
       judgeNow();
     }
   }
@@ -143,7 +143,7 @@
     reading.answered();
     if (judging) {
       judging = false;
-      boolean doubted = upstreams.trust() == ListTrust.DOUBTED;
+      boolean doubted = upstreams.listTrust() == ListTrust.DOUBTED;
       tellIfNews(upstreams::trustRemovals);
       if (doubted) {
         onNews.run();
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictKeeper.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/VerdictKeeper.java
@@ -17,10 +17,10 @@
 import org.gradeledge.follow.TableRow;
 import org.gradeledge.follow.WritableTable;
 import org.gradeledge.quarantine.Quarantine;
+import org.gradeledge.quarantine.QuarantineTrials;
+import org.gradeledge.quarantine.QuarantineVerdict;
 import org.gradeledge.quarantine.RequestFingerprint;
-import org.gradeledge.quarantine.SuspectNews;
-import org.gradeledge.quarantine.Trials;
-import org.gradeledge.quarantine.Verdict;
+import org.gradeledge.quarantine.SuspectUpdate;
 import reactor.core.publisher.Mono;
 
 /**
@@ -29,7 +29,7 @@
  *
  * <p>Confined to the event loop.
  */
-final class VerdictKeeper implements TableListener, Trials {
+final class VerdictKeeper implements TableListener, QuarantineTrials {
 
   /** The box that reached a verdict writes it at once; others on duty look after so long. */
   private static final long OTHERS_WRITE_MILLIS = 2_000;
@@ -47,7 +47,7 @@
   private final ReturnedVerdictRows returned;
 
   /** Verdicts that hold, to be written again where the table loses them. */
-  private final Map<RequestFingerprint, Verdict> verdicts = new HashMap<>();
+  private final Map<RequestFingerprint, QuarantineVerdict> verdicts = new HashMap<>();
 
   private boolean olderCopy;
 
@@ -136,7 +136,7 @@
   private boolean isHeldBack(String key) {
     return VerdictRow.trialOf(key)
         .or(() -> RequestFingerprint.parse(key))
-        .filter(quarantine::bars)
+        .filter(quarantine::isQuarantined)
         .isPresent();
   }
 
@@ -157,15 +157,16 @@
 
   private void hold(VerdictRow row) {
     trials.since(row.fingerprint(), row.sinceMillis());
-    quarantine.merge(new SuspectNews(List.of(row.report(timeOfDayMillis.getAsLong())), List.of()));
+    quarantine.merge(
+        new SuspectUpdate(List.of(row.report(timeOfDayMillis.getAsLong())), List.of()));
   }
 
   private void gone(String key) {
     keys.remove(key);
-    RequestFingerprint.parse(key).ifPresent(quarantine::lift);
+    RequestFingerprint.parse(key).ifPresent(quarantine::withdrawCrashes);
   }
 
-  private void reached(Verdict verdict) {
+  private void reached(QuarantineVerdict verdict) {
     verdicts.put(verdict.fingerprint(), verdict);
     keys.heldBack(verdict.fingerprint());
     returned.heldBack(verdict.fingerprint());
@@ -173,29 +174,29 @@
     events
         .change("request-held-back")
         .with("fingerprint", verdict.fingerprint().toString())
-        .with("upstreams", String.join(",", verdict.starts()))
-        .with("seen", verdict.decidedHere() ? "here" : "told")
+        .with("upstreams", String.join(",", verdict.incarnationIds()))
+        .with("seen", verdict.decidedLocally() ? "here" : "told")
         .write();
-    write(verdict, verdict.decidedHere() ? 0 : OTHERS_WRITE_MILLIS);
+    write(verdict, verdict.decidedLocally() ? 0 : OTHERS_WRITE_MILLIS);
   }
 
-  private void write(Verdict verdict, long delayMillis) {
+  private void write(QuarantineVerdict verdict, long delayMillis) {
     loop.schedule(() -> writeUnlessStored(verdict), delayMillis, TimeUnit.MILLISECONDS);
   }
 
   /** Also what was reached while the store was away is written once it is back. */
-  private void writeUnlessStored(Verdict verdict) {
+  private void writeUnlessStored(QuarantineVerdict verdict) {
     RequestFingerprint fingerprint = verdict.fingerprint();
-    if (keys.isStored(fingerprint.toString()) || !quarantine.bars(fingerprint)) {
+    if (keys.isStored(fingerprint.toString()) || !quarantine.isQuarantined(fingerprint)) {
       return;
     }
-    if (!verdict.decidedHere() && !onDuty.getAsBoolean()) {
+    if (!verdict.decidedLocally() && !onDuty.getAsBoolean()) {
       write(verdict, OTHERS_WRITE_MILLIS);
       return;
     }
     long since = trials.sinceOf(fingerprint);
     table
-        .create(new VerdictRow(fingerprint, verdict.starts(), since).write())
+        .create(new VerdictRow(fingerprint, verdict.incarnationIds(), since).write())
         .subscribe(
             created -> loop.execute(() -> keys.addWritten(fingerprint.toString())),
             failure ->
@@ -221,7 +222,7 @@
   private void released(RequestFingerprint fingerprint) {
     verdicts.remove(fingerprint);
     events.change("request-let-go").with("fingerprint", fingerprint.toString()).write();
-    if (quarantine.endsUnder(fingerprint) == 0) {
+    if (quarantine.crashCount(fingerprint) == 0) {
       removeRows(fingerprint);
     }
   }
@@ -241,12 +242,12 @@
   }
 
   @Override
-  public Optional<Duration> untilNext(RequestFingerprint fingerprint) {
-    return trials.untilNext(fingerprint);
+  public Optional<Duration> timeUntilNext(RequestFingerprint fingerprint) {
+    return trials.timeUntilNext(fingerprint);
   }
 
   @Override
-  public Mono<Boolean> take(RequestFingerprint fingerprint) {
-    return trials.take(fingerprint);
+  public Mono<Boolean> claim(RequestFingerprint fingerprint) {
+    return trials.claim(fingerprint);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRow.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRow.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.gradeledge.document.JsonTrees;
 import org.gradeledge.follow.TableRow;
-import org.gradeledge.quarantine.EndReport;
+import org.gradeledge.quarantine.CrashReport;
 import org.gradeledge.quarantine.RequestFingerprint;
 import org.gradeledge.quarantine.SuspectReport;
 
@@ -70,7 +70,8 @@
   /** Returns what the row tells, at a time of day. */
   SuspectReport report(long nowMillis) {
     long age = Math.max(0, nowMillis - sinceMillis);
-    List<EndReport> ends = starts.stream().map(start -> new EndReport(start, age, false)).toList();
+    List<CrashReport> ends =
+        starts.stream().map(start -> new CrashReport(start, age, false)).toList();
     return new SuspectReport(fingerprint, ends, true);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
@@ -106,8 +106,8 @@
 
   private void markLeaving(Heartbeat.LeavingUpstream leaving) {
     upstreams
-        .at(leaving.host(), leaving.port())
-        .ifPresent(state -> state.leaving(leaving.incarnation()));
+        .findByAddress(leaving.host(), leaving.port())
+        .ifPresent(state -> state.markLeaving(leaving.incarnation()));
   }
 
   private List<Heartbeat.LeavingUpstream> leavingUpstreams() {
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
@@ -30,6 +30,10 @@
   }
 
   private Mono<Void> readOne(UpstreamState state) {
-    return protocol.load(state.definition()).doOnNext(state::report).onErrorComplete().then();
+    return protocol
+        .fetchLoadReport(state.definition())
+        .doOnNext(state::applyReport)
+        .onErrorComplete()
+        .then();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
@@ -170,7 +170,7 @@
         .forEach(
             state -> {
               String address = state.definition().host() + ":" + state.definition().port();
-              state.listedLeaving(leaving.contains(address));
+              state.setListedLeaving(leaving.contains(address));
             });
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
@@ -20,10 +20,10 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.peer.MessageFormat;
 import org.gradeledge.peer.MessageFormats;
-import org.gradeledge.quarantine.EndReport;
+import org.gradeledge.quarantine.CrashReport;
 import org.gradeledge.quarantine.RequestFingerprint;
-import org.gradeledge.quarantine.SuspectNews;
 import org.gradeledge.quarantine.SuspectReport;
+import org.gradeledge.quarantine.SuspectUpdate;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -139,9 +139,9 @@
     Random random = new Random(seed);
     List<SuspectReport> reports = new ArrayList<>();
     for (int index = random.nextInt(5); index > 0; index--) {
-      List<EndReport> ends =
+      List<CrashReport> ends =
           RandomMessages.texts(random).stream()
-              .map(text -> new EndReport(text, random.nextInt(9_000), random.nextBoolean()))
+              .map(text -> new CrashReport(text, random.nextInt(9_000), random.nextBoolean()))
               .toList();
       reports.add(
           new SuspectReport(
@@ -150,7 +150,7 @@
               ends,
               random.nextBoolean()));
     }
-    SuspectNews records = new SuspectNews(reports, RandomMessages.texts(random));
+    SuspectUpdate records = new SuspectUpdate(reports, RandomMessages.texts(random));
     SuspectsFormat format = new SuspectsFormat();
 
     assertThat(MessageFormats.read(format, MessageFormats.write(format, records)))
--- a/gradeledge-core/src/test/java/org/gradeledge/node/OlderCopyOfVerdictsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/OlderCopyOfVerdictsTests.java
@@ -10,7 +10,7 @@
 import org.gradeledge.follow.TableRow;
 import org.gradeledge.quarantine.Quarantine;
 import org.gradeledge.quarantine.RequestFingerprint;
-import org.gradeledge.quarantine.SuspectNews;
+import org.gradeledge.quarantine.SuspectUpdate;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -40,7 +40,7 @@
   void hold() {
     channel.freezeTime();
     for (String start : List.of("a", "b", "c")) {
-      quarantine.endedUnder(GUILTY, start);
+      quarantine.recordCrash(GUILTY, start);
     }
     pass(10);
     read();
@@ -51,7 +51,7 @@
   void aVerdictThatTheCopyLacksHoldsAndIsWrittenAgainOnce() {
     drill(List.of());
 
-    assertThat(quarantine.bars(GUILTY)).isTrue();
+    assertThat(quarantine.isQuarantined(GUILTY)).isTrue();
     pass(10);
     assertThat(table.keys()).containsExactly(KEY);
     assertThat(table.creations).isEqualTo(2);
@@ -61,7 +61,7 @@
   void alsoOneThatWasWrittenAndNotReadYet() {
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
     for (String start : List.of("d", "e", "f")) {
-      quarantine.endedUnder(other, start);
+      quarantine.recordCrash(other, start);
     }
     pass(10);
     pass(1);
@@ -74,7 +74,7 @@
 
   @Test
   void aTrialThatWasSpentStaysSpentAndIsWrittenAgain() {
-    keeper.take(GUILTY).block();
+    keeper.claim(GUILTY).block();
     read();
     List<TableRow> copy =
         table.content().rows().stream().filter(row -> row.key().equals(KEY)).toList();
@@ -82,7 +82,7 @@
     drill(copy);
     pass(10);
 
-    assertThat(keeper.untilNext(GUILTY).orElseThrow().toMinutes()).isGreaterThan(100);
+    assertThat(keeper.timeUntilNext(GUILTY).orElseThrow().toMinutes()).isGreaterThan(100);
     assertThat(table.keys()).containsExactlyInAnyOrder(KEY, FIRST_TRIAL);
   }
 
@@ -91,11 +91,11 @@
     List<TableRow> copy = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
-    assertThat(quarantine.bars(GUILTY)).isFalse();
+    assertThat(quarantine.isQuarantined(GUILTY)).isFalse();
 
     drill(copy);
 
-    assertThat(quarantine.bars(GUILTY)).isFalse();
+    assertThat(quarantine.isQuarantined(GUILTY)).isFalse();
     assertThat(table.keys()).isEmpty();
   }
 
@@ -109,7 +109,7 @@
     keeper.onChanges(new TableChanges(9, List.of(), List.of(key)));
     drill(List.of(table.content().rows().get(0), row));
 
-    assertThat(quarantine.bars(other)).isFalse();
+    assertThat(quarantine.isQuarantined(other)).isFalse();
     assertThat(table.keys()).containsExactly(KEY);
   }
 
@@ -119,12 +119,12 @@
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
     onDuty = false;
     quarantine.merge(
-        new SuspectNews(
+        new SuspectUpdate(
             List.of(new VerdictRow(other, List.of("d", "e", "f"), nowMillis).report(nowMillis)),
             List.of()));
     TableRow row = new VerdictRow(other, List.of("d", "e", "f"), nowMillis).write();
     pass(1);
-    quarantine.lift(other);
+    quarantine.withdrawCrashes(other);
     pass(1);
     onDuty = true;
 
@@ -186,14 +186,14 @@
     read();
     nowMillis += 5_000;
     for (String start : List.of("g", "h", "i")) {
-      quarantine.endedUnder(GUILTY, start);
+      quarantine.recordCrash(GUILTY, start);
     }
     pass(10);
 
     drill(copy);
     pass(10);
 
-    assertThat(quarantine.bars(GUILTY)).isTrue();
+    assertThat(quarantine.isQuarantined(GUILTY)).isTrue();
     assertThat(table.keys()).containsExactly(KEY);
   }
 
@@ -206,7 +206,7 @@
     table.remove(List.of(KEY)).block();
     read();
 
-    assertThat(quarantine.bars(GUILTY)).isFalse();
+    assertThat(quarantine.isQuarantined(GUILTY)).isFalse();
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
@@ -161,7 +161,7 @@
 
   @Test
   void anOlderReadingDoesNotUndoWhatAnotherBoxTold() {
-    upstreams.evacuate(new ZoneEvacuations(20, Set.of("east")));
+    upstreams.applyEvacuations(new ZoneEvacuations(20, Set.of("east")));
 
     listener.onContent(new TableContent(7, List.of(document(3))));
 
--- a/gradeledge-core/src/test/java/org/gradeledge/node/VerdictKeeperTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/VerdictKeeperTests.java
@@ -50,7 +50,7 @@
 
     void reachVerdict() {
       for (String start : List.of("a", "b", "c")) {
-        quarantine.endedUnder(GUILTY, start);
+        quarantine.recordCrash(GUILTY, start);
       }
     }
 
@@ -67,8 +67,8 @@
     Life next = new Life();
     next.read();
 
-    assertThat(next.quarantine.bars(GUILTY)).isTrue();
-    assertThat(next.keeper.untilNext(GUILTY)).contains(Duration.ofMinutes(10).minusMillis(1));
+    assertThat(next.quarantine.isQuarantined(GUILTY)).isTrue();
+    assertThat(next.keeper.timeUntilNext(GUILTY)).contains(Duration.ofMinutes(10).minusMillis(1));
   }
 
   @Test
@@ -92,8 +92,8 @@
     onDuty.onDuty = true;
     table.away = true;
     gone.reachVerdict();
-    told.quarantine.merge(gone.quarantine.all());
-    onDuty.quarantine.merge(gone.quarantine.all());
+    told.quarantine.merge(gone.quarantine.snapshot());
+    onDuty.quarantine.merge(gone.quarantine.snapshot());
     boxes.remove(gone);
     table.away = false;
     pass(1_000);
@@ -114,7 +114,7 @@
 
     box.keeper.onChanges(new TableChanges(9, List.of(), List.of(KEY)));
 
-    assertThat(box.quarantine.bars(GUILTY)).isFalse();
+    assertThat(box.quarantine.isQuarantined(GUILTY)).isFalse();
   }
 
   @Test
@@ -127,7 +127,7 @@
 
     box.keeper.onContent(new TableContent(9, List.of()));
 
-    assertThat(box.quarantine.bars(GUILTY)).isFalse();
+    assertThat(box.quarantine.isQuarantined(GUILTY)).isFalse();
   }
 
   @Test
@@ -138,7 +138,7 @@
 
     box.keeper.onContent(new TableContent(9, List.of()));
 
-    assertThat(box.quarantine.bars(GUILTY)).isTrue();
+    assertThat(box.quarantine.isQuarantined(GUILTY)).isTrue();
   }
 
   /** A reading that began before the row was written tells of the time before. */
@@ -152,7 +152,7 @@
 
     box.keeper.onContent(before);
 
-    assertThat(box.quarantine.bars(GUILTY)).isTrue();
+    assertThat(box.quarantine.isQuarantined(GUILTY)).isTrue();
   }
 
   /**
@@ -164,21 +164,21 @@
     RequestFingerprint innocent = new RequestFingerprint(9, 9, 9);
     Life box = new Life();
     for (String start : List.of("a", "b", "c")) {
-      box.quarantine.endedUnder(innocent, start);
+      box.quarantine.recordCrash(innocent, start);
     }
     pass(1);
     for (String start : List.of("a", "b", "c", "d")) {
-      box.quarantine.endedUnder(GUILTY, start);
+      box.quarantine.recordCrash(GUILTY, start);
     }
     pass(1);
-    assertThat(box.quarantine.barred()).containsExactly(GUILTY);
+    assertThat(box.quarantine.quarantined()).containsExactly(GUILTY);
     assertThat(table.keys()).contains(KEY, innocent.toString());
 
     Life next = new Life();
     next.read();
-    next.quarantine.endedUnder(GUILTY, "d");
+    next.quarantine.recordCrash(GUILTY, "d");
 
-    assertThat(next.quarantine.barred()).containsExactly(GUILTY);
+    assertThat(next.quarantine.quarantined()).containsExactly(GUILTY);
   }
 
   @Test
@@ -187,7 +187,7 @@
     box.reachVerdict();
     pass(1);
 
-    box.quarantine.answered(GUILTY);
+    box.quarantine.recordSuccess(GUILTY);
     pass(1);
 
     assertThat(table.keys()).isEmpty();
@@ -205,7 +205,7 @@
                 new TableRow(KEY, "{\"ended\":7}".getBytes()),
                 new TableRow("0" + KEY.substring(1), "no json".getBytes()))));
 
-    assertThat(box.quarantine.barred()).isEmpty();
+    assertThat(box.quarantine.quarantined()).isEmpty();
   }
 
   /** The deployment allows three retries in all; two are trials, by one box each. */
@@ -230,7 +230,7 @@
     second.read();
     pass(TimeUnit.DAYS.toMillis(9));
     assertThat(granted(first, second)).isZero();
-    assertThat(second.keeper.untilNext(GUILTY)).isEmpty();
+    assertThat(second.keeper.timeUntilNext(GUILTY)).isEmpty();
   }
 
   /** A box that has not read that another one took the trial asks and is told no. */
@@ -243,14 +243,14 @@
     second.read();
     pass(TimeUnit.MINUTES.toMillis(10));
 
-    assertThat(first.keeper.take(GUILTY).block()).isTrue();
-    assertThat(second.keeper.take(GUILTY).block()).isFalse();
+    assertThat(first.keeper.claim(GUILTY).block()).isTrue();
+    assertThat(second.keeper.claim(GUILTY).block()).isFalse();
   }
 
   private long granted(Life... asking) {
     return List.of(asking).stream()
-        .filter(box -> isDue(box.keeper.untilNext(GUILTY)))
-        .filter(box -> box.keeper.take(GUILTY).block())
+        .filter(box -> isDue(box.keeper.timeUntilNext(GUILTY)))
+        .filter(box -> box.keeper.claim(GUILTY).block())
         .count();
   }
 
