--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableFollower.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableFollower.java
@@ -13,8 +13,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Follows a table for good: reads it once, then its changes, and reads it anew where the history
- * was lost. A call that fails is repeated soon, with jitter so that boxes do not come all at once.
+ * Follows the changes of a table: reads the whole table once, then its changes, and reads the whole
+ * table again if its history is lost. Failed calls are retried with backoff and jitter.
  *
  * <p>Confined to the event loop.
  *
@@ -22,13 +22,10 @@
  */
 public final class TableFollower {
 
-  private static final long FIRST_BACKOFF_MILLIS = 120;
+  private static final long INITIAL_BACKOFF_MILLIS = 120;
 
-  /**
-   * A call that has waited for so long while the table is away will not be answered: 10 times the
-   * usual.
-   */
-  private static final long HUNG_MILLIS = 50;
+  /** A call that has taken longer while the table is unavailable is assumed to be lost. */
+  private static final long STALE_CALL_MILLIS = 50;
 
   private final String name;
   private final RevisionedTable table;
@@ -36,20 +33,20 @@
   private final EventLoop loop;
   private final MonotonicClock clock;
   private final EventLog events;
-  private final FollowPace pace;
+  private final PollingIntervals intervals;
   private long revision = -1;
-  private long era = -1;
-  private long backoffMillis = FIRST_BACKOFF_MILLIS;
+  private long epoch = -1;
+  private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
-  /** The next call, null while one is under way. */
-  private @Nullable ScheduledFuture<?> pausing;
+  /** The next call; null while a call is in flight. */
+  private @Nullable ScheduledFuture<?> scheduledCall;
 
-  private long calls;
-  private long calledNanos;
-  private boolean lost;
-  private boolean away;
+  private long lastCallNumber;
+  private long callStartNanos;
+  private boolean lastCallFailed;
+  private boolean reportedUnavailable;
 
-  /** Creates a follower that does nothing yet. */
+  /** Creates a follower, which calls the table only once it is started. */
   public TableFollower(
       String name,
       RevisionedTable table,
@@ -57,98 +54,99 @@
       EventLoop loop,
       MonotonicClock clock,
       EventLog events,
-      FollowPace pace) {
+      PollingIntervals intervals) {
     this.name = name;
     this.table = table;
     this.listener = listener;
     this.loop = loop;
     this.clock = clock;
     this.events = events;
-    this.pace = pace;
+    this.intervals = intervals;
   }
 
-  /** Starts to follow. */
+  /** Starts to follow the table. */
   public void start() {
-    next();
+    startCall();
   }
 
   /**
-   * Ends a pause between calls, as there is something new to be read. Whoever tells of it has read
-   * the table, so that one that was away may be back: a call that still waits for it is given up.
+   * Calls the table at once, because a new revision is expected. As the table may be available
+   * again, a call that is assumed to be lost is replaced.
    */
-  public void lookNow() {
-    if (pausing != null && pausing.cancel(false)) {
-      next();
-    } else if (pausing == null && lost && callMillis() > HUNG_MILLIS) {
-      next();
+  public void pollNow() {
+    if (scheduledCall != null && scheduledCall.cancel(false)) {
+      startCall();
+    } else if (scheduledCall == null && lastCallFailed && elapsedCallMillis() > STALE_CALL_MILLIS) {
+      startCall();
     }
   }
 
   /**
-   * Calls anew after the machine was suspended: what is known is older than it seems, the timer of
-   * a call that is under way counts none of that time, and its connection may be gone.
+   * Calls the table at once after the machine was suspended. A call in flight is replaced: its
+   * timer did not run during the suspension, and its connection may be lost.
    */
-  public void wokeUp() {
-    if (calls == 0) {
+  public void onMachineResume() {
+    if (lastCallNumber == 0) {
       return;
     }
-    if (pausing != null) {
-      pausing.cancel(false);
+    if (scheduledCall != null) {
+      scheduledCall.cancel(false);
     }
-    next();
+    startCall();
   }
 
-  private long callMillis() {
-    return (clock.nanos() - calledNanos) / 1_000_000;
+  private long elapsedCallMillis() {
+    return (clock.nanos() - callStartNanos) / 1_000_000;
   }
 
-  private void next() {
-    pausing = null;
+  private void startCall() {
+    scheduledCall = null;
     if (revision < 0) {
-      subscribe(table.read(), this::take);
+      subscribe(table.read(), this::apply);
     } else {
-      subscribe(table.changes(revision, waitNow()), this::take);
+      subscribe(table.changes(revision, currentMaxWait()), this::apply);
     }
   }
 
   /**
-   * A call that is sent while the table is away may never be answered, also once it is back; so
-   * none waits for a change until one has been answered.
+   * Calls do not wait for a change while the table is unavailable, as a call sent then may never be
+   * answered, even if the table is available again.
    */
-  private Duration waitNow() {
-    return lost ? Duration.ZERO : pace.longestWait().get();
+  private Duration currentMaxWait() {
+    return lastCallFailed ? Duration.ZERO : intervals.maxWait().get();
   }
 
-  private <T> void subscribe(Mono<T> call, Consumer<T> taker) {
-    long number = ++calls;
-    calledNanos = clock.nanos();
+  private <T> void subscribe(Mono<T> call, Consumer<T> consumer) {
+    long number = ++lastCallNumber;
+    callStartNanos = clock.nanos();
     call.switchIfEmpty(Mono.error(() -> new IOException("no answer")))
         .subscribe(
-            answer -> loop.execute(() -> ended(number, () -> answered(answer, taker))),
-            failure -> loop.execute(() -> ended(number, () -> failed(failure))));
+            answer -> loop.execute(() -> runIfLatest(number, () -> onAnswer(answer, consumer))),
+            failure -> loop.execute(() -> runIfLatest(number, () -> onFailure(failure))));
   }
 
-  /** Only the newest call counts; what comes of one that was given up is passed over. */
-  private void ended(long number, Runnable outcome) {
-    if (number == calls) {
-      outcome.run();
+  /** Ignores the results of calls that were replaced by a newer one. */
+  private void runIfLatest(long number, Runnable handler) {
+    if (number == lastCallNumber) {
+      handler.run();
     }
   }
 
-  private <T> void answered(T answer, Consumer<T> taker) {
-    backoffMillis = FIRST_BACKOFF_MILLIS;
-    if (lost) {
-      regained();
+  private <T> void onAnswer(T answer, Consumer<T> consumer) {
+    backoffMillis = INITIAL_BACKOFF_MILLIS;
+    if (lastCallFailed) {
+      onRecovery();
     }
-    takeSafely(answer, taker);
-    pausing = loop.schedule(this::next, pace.pause().get().toMillis(), TimeUnit.MILLISECONDS);
+    applySafely(answer, consumer);
+    scheduledCall =
+        loop.schedule(this::startCall, intervals.delay().get().toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Whatever goes wrong with an answer, the table is followed on: from a whole reading. */
-  private <T> void takeSafely(T answer, Consumer<T> taker) {
+  /** Reads the whole table again if the listener fails on an answer. */
+  private <T> void applySafely(T answer, Consumer<T> consumer) {
     try {
-      taker.accept(answer);
-      listener.onAnswered();
+      consumer.accept(answer);
+      listener.onAnswerApplied();
     } catch (RuntimeException failure) {
       events
           .problem("table-answer-not-taken")
@@ -160,49 +158,49 @@
     }
   }
 
-  private void regained() {
-    lost = false;
+  private void onRecovery() {
+    lastCallFailed = false;
     events.change("dependency-regained").with("dependency", name).write();
-    if (away) {
-      away = false;
-      listener.onBack();
+    if (reportedUnavailable) {
+      reportedUnavailable = false;
+      listener.onAvailableAgain();
     }
   }
 
-  private void take(TableContent content) {
+  private void apply(TableContent content) {
     revision = content.revision();
-    noteEra(TableRevision.era(revision));
+    updateEpoch(TableRevision.epoch(revision));
     listener.onContent(content);
   }
 
-  private void noteEra(long eraNow) {
-    long before = era;
-    era = eraNow;
-    if (before >= 0 && before < eraNow) {
+  private void updateEpoch(long newEpoch) {
+    long previousEpoch = epoch;
+    epoch = newEpoch;
+    if (previousEpoch >= 0 && previousEpoch < newEpoch) {
       events
           .change("table-older-copy")
           .with("dependency", name)
-          .with("era", eraNow)
-          .with("before", before)
+          .with("era", newEpoch)
+          .with("before", previousEpoch)
           .with("version", TableRevision.version(revision))
           .write();
-      listener.onOlderCopy();
+      listener.onBackupRestored();
     }
   }
 
-  private void take(TableChanges changes) {
+  private void apply(TableChanges changes) {
     revision = Math.max(revision, changes.revision());
     if (!changes.put().isEmpty() || !changes.removed().isEmpty()) {
       listener.onChanges(changes);
     }
   }
 
-  private void failed(Throwable failure) {
+  private void onFailure(Throwable failure) {
     if (failure instanceof HistoryLostException) {
       revision = -1;
     }
-    if (!lost) {
-      lost = true;
+    if (!lastCallFailed) {
+      lastCallFailed = true;
       events
           .change("dependency-lost")
           .with("dependency", name)
@@ -210,12 +208,13 @@
           .with("revision", revision)
           .write();
     }
-    if (!away && !(failure instanceof HistoryLostException)) {
-      away = true;
-      listener.onAway();
+    if (!reportedUnavailable && !(failure instanceof HistoryLostException)) {
+      reportedUnavailable = true;
+      listener.onUnavailable();
     }
     long jitter = ThreadLocalRandom.current().nextLong(backoffMillis);
-    pausing = loop.schedule(this::next, backoffMillis / 2 + jitter, TimeUnit.MILLISECONDS);
-    backoffMillis = Math.min(pace.longestBackoff().get().toMillis(), backoffMillis * 2);
+    scheduledCall =
+        loop.schedule(this::startCall, backoffMillis / 2 + jitter, TimeUnit.MILLISECONDS);
+    backoffMillis = Math.min(intervals.maxBackoff().get().toMillis(), backoffMillis * 2);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/KeyedHash.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/HmacSha256.java
@@ -6,29 +6,28 @@
 import java.util.Arrays;
 
 /**
- * HMAC-SHA256 (RFC 2104) on the platform's SHA-256. The platform's own HMAC is not used: it loads
- * the framework for ciphers with its policies first, which is a fourteenth of the time that the
- * start of a box takes on its threads (by samples). Thread-safe.
+ * HMAC-SHA256 (RFC 2104) on top of the JDK's SHA-256. The JDK's {@code Mac} is not used because it
+ * loads the cipher framework and its policies, which slows the start of a box. Thread-safe.
  */
-final class KeyedHash {
+final class HmacSha256 {
 
   private static final String ALGORITHM = "SHA-256";
   private static final int BLOCK_BYTES = 64;
-  private static final byte INNER = 0x36;
-  private static final byte OUTER = 0x5c;
+  private static final byte INNER_PAD_BYTE = 0x36;
+  private static final byte OUTER_PAD_BYTE = 0x5c;
 
   private final byte[] innerPad;
   private final byte[] outerPad;
 
-  KeyedHash(String key) {
+  HmacSha256(String key) {
     byte[] bytes = key.getBytes(StandardCharsets.UTF_8);
     byte[] block =
         Arrays.copyOf(bytes.length > BLOCK_BYTES ? newDigest().digest(bytes) : bytes, BLOCK_BYTES);
-    this.innerPad = padded(block, INNER);
-    this.outerPad = padded(block, OUTER);
+    this.innerPad = xorWithPad(block, INNER_PAD_BYTE);
+    this.outerPad = xorWithPad(block, OUTER_PAD_BYTE);
   }
 
-  private static byte[] padded(byte[] block, byte pad) {
+  private static byte[] xorWithPad(byte[] block, byte pad) {
     byte[] padded = new byte[BLOCK_BYTES];
     for (int index = 0; index < BLOCK_BYTES; index++) {
       padded[index] = (byte) (block[index] ^ pad);
@@ -36,8 +35,8 @@
     return padded;
   }
 
-  /** Returns the hash of parts that follow each other. */
-  byte[] of(byte[]... parts) {
+  /** Returns the HMAC of the concatenated parts. */
+  byte[] compute(byte[]... parts) {
     MessageDigest digest = newDigest();
     digest.update(innerPad);
     for (byte[] part : parts) {
@@ -52,7 +51,7 @@
     try {
       return MessageDigest.getInstance(ALGORITHM);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+      throw new IllegalStateException("JDK must provide " + ALGORITHM, e);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/MessageFields.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/MessageFields.java
@@ -6,8 +6,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The fields of a message that is written as a map. What is missing or of another type gives an
- * {@link IllegalArgumentException} that names the field.
+ * The fields of a message that is written as a map. Access to a field that is missing or of another
+ * type fails with an {@link IllegalArgumentException} that names the field.
  *
  * @since 0.3
  */
@@ -19,69 +19,67 @@
     this.values = values;
   }
 
-  /** Returns a text. */
-  public String text(String name) {
-    return required(name, String.class);
+  /** Returns a required string. */
+  public String getString(String name) {
+    return getRequired(name, String.class);
   }
 
-  /** Returns a text that may be missing. */
-  public Optional<String> optionalText(String name) {
-    return values.containsKey(name) ? Optional.of(text(name)) : Optional.empty();
+  /** Returns a string, or empty if the field is missing. */
+  public Optional<String> getOptionalString(String name) {
+    return values.containsKey(name) ? Optional.of(getString(name)) : Optional.empty();
   }
 
-  /** Returns a number. */
-  public long number(String name) {
-    return required(name, Long.class);
+  /** Returns a required integer of up to 64 bits. */
+  public long getLong(String name) {
+    return getRequired(name, Long.class);
   }
 
-  /** Returns a number, or another one where the field is missing, as in messages of older boxes. */
-  public long numberOr(String name, long missing) {
-    return values.containsKey(name) ? number(name) : missing;
+  /** Returns an integer of up to 64 bits, or a default if the field is missing. */
+  public long getLongOrDefault(String name, long defaultValue) {
+    return values.containsKey(name) ? getLong(name) : defaultValue;
   }
 
-  /** Returns a number of 32 bits. */
-  public int integer(String name) {
-    long number = number(name);
+  /** Returns a required integer of up to 32 bits. */
+  public int getInt(String name) {
+    long number = getLong(name);
     if (number != (int) number) {
-      throw new IllegalArgumentException("field " + name + " must be a number of 32 bits");
+      throw new IllegalArgumentException("field " + name + " must be a 32-bit integer");
     }
     return (int) number;
   }
 
-  /** Returns true or false. */
-  public boolean flag(String name) {
-    return required(name, Boolean.class);
+  /** Returns a required boolean. */
+  public boolean getBoolean(String name) {
+    return getRequired(name, Boolean.class);
   }
 
-  /**
-   * Returns true or false, the latter where the field is missing, as in messages of older boxes.
-   */
-  public boolean flagIfGiven(String name) {
-    return values.containsKey(name) && flag(name);
+  /** Returns a boolean, or false if the field is missing. */
+  public boolean getBooleanOrFalse(String name) {
+    return values.containsKey(name) && getBoolean(name);
   }
 
-  /** Returns bytes. */
-  public byte[] bytes(String name) {
-    return required(name, byte[].class);
+  /** Returns a required byte array. */
+  public byte[] getBytes(String name) {
+    return getRequired(name, byte[].class);
   }
 
-  /** Returns a list of texts. */
-  public List<String> texts(String name) {
-    return list(name, String.class);
+  /** Returns a required list of strings. */
+  public List<String> getStrings(String name) {
+    return getList(name, String.class);
   }
 
-  /** Returns a list of texts, empty where the field is missing, as in messages of older boxes. */
-  public List<String> textsIfGiven(String name) {
-    return values.containsKey(name) ? texts(name) : List.of();
+  /** Returns a list of strings, empty if the field is missing. */
+  public List<String> getStringsOrEmpty(String name) {
+    return values.containsKey(name) ? getStrings(name) : List.of();
   }
 
-  /** Returns a list of records that are written as maps. */
-  public List<MessageFields> records(String name) {
-    return list(name, MessageFields.class);
+  /** Returns a required list of records that are written as maps. */
+  public List<MessageFields> getRecords(String name) {
+    return getList(name, MessageFields.class);
   }
 
-  private <T> List<T> list(String name, Class<T> type) {
-    List<?> list = required(name, List.class);
+  private <T> List<T> getList(String name, Class<T> type) {
+    List<?> list = getRequired(name, List.class);
     for (Object element : list) {
       checkType(name, element, type);
     }
@@ -90,7 +88,7 @@
     return checked;
   }
 
-  private <T> T required(String name, Class<T> type) {
+  private <T> T getRequired(String name, Class<T> type) {
     return checkType(name, values.get(name), type);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerCodec.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerCodec.java
@@ -7,15 +7,15 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * Writes and reads messages in MessagePack; bad bytes give a {@link PeerException}. Types without a
- * format of their own are bound by reflection. Thread-safe.
+ * Encodes and decodes messages in MessagePack. Invalid bytes fail with a {@link PeerException}.
+ * Types without a registered format are bound by reflection. Thread-safe.
  */
 final class PeerCodec {
 
-  /** Most messages are smaller, in bytes; larger ones take more buffers. */
+  /** Larger messages take more than one buffer. */
   private static final int BUFFER_BYTES = 1_024;
 
-  private static final MessagePack.PackerConfig PACKER =
+  private static final MessagePack.PackerConfig PACKER_CONFIG =
       new MessagePack.PackerConfig().withBufferSize(BUFFER_BYTES);
 
   private final Map<Class<?>, MessageFormat<?>> formats = new ConcurrentHashMap<>();
@@ -26,7 +26,6 @@
     register(byte[].class, new BytesFormat());
   }
 
-  /** Sets how messages of a type are written and read. */
   <T> void register(Class<T> type, MessageFormat<T> format) {
     formats.put(type, format);
   }
@@ -35,14 +34,14 @@
     @SuppressWarnings("unchecked")
     MessageFormat<T> format = (MessageFormat<T>) formats.get(message.getClass());
     try {
-      return format == null ? BoundFormat.write(message) : write(format, message);
+      return format == null ? ReflectiveCodec.write(message) : write(format, message);
     } catch (IOException e) {
-      throw new IllegalArgumentException("message must be writable as MessagePack", e);
+      throw new IllegalArgumentException("message cannot be written as MessagePack", e);
     }
   }
 
   static <T> byte[] write(MessageFormat<T> format, T message) throws IOException {
-    try (MessageBufferPacker packer = PACKER.newBufferPacker()) {
+    try (MessageBufferPacker packer = PACKER_CONFIG.newBufferPacker()) {
       format.write(packer, message);
       return packer.toByteArray();
     }
@@ -52,16 +51,16 @@
     @SuppressWarnings("unchecked")
     MessageFormat<T> format = (MessageFormat<T>) formats.get(type);
     try {
-      return format == null ? BoundFormat.read(bytes, type) : read(format, bytes);
+      return format == null ? ReflectiveCodec.read(bytes, type) : read(format, bytes);
     } catch (IOException | RuntimeException e) {
-      throw new PeerException("a frame must hold a valid " + type.getSimpleName(), e);
+      throw new PeerException("frame must contain a valid " + type.getSimpleName(), e);
     }
   }
 
   static <T> T read(MessageFormat<T> format, byte[] bytes) throws IOException {
     MessageReader reader = new MessageReader(bytes);
     T message = format.read(reader);
-    reader.checkEnded();
+    reader.checkFullyRead();
     return message;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerSecret.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerSecret.java
@@ -6,8 +6,8 @@
 import java.security.SecureRandom;
 
 /**
- * The secret that all boxes of a deployment share, proved by HMAC-SHA256 (RFC 2104) over the other
- * side's nonce and never sent. Thread-safe.
+ * The shared secret of all boxes of a deployment. A box proves that it has the secret by an
+ * HMAC-SHA256 (RFC 2104) over the peer's nonce; the secret itself is never sent. Thread-safe.
  *
  * @since 0.1
  */
@@ -15,12 +15,12 @@
 
   private static final int NONCE_BYTES = 16;
 
-  private final KeyedHash hash;
+  private final HmacSha256 hmac;
   private final SecureRandom random = new SecureRandom();
 
   /** Creates the secret from its text. */
   public PeerSecret(String text) {
-    this.hash = new KeyedHash(text);
+    this.hmac = new HmacSha256(text);
   }
 
   byte[] newNonce() {
@@ -29,17 +29,17 @@
     return nonce;
   }
 
-  /** Returns the proof that a side owes: over the nonce it was sent, its name and its direction. */
+  /** Returns the HMAC over the nonce, the identity of the prover and whether it dialed. */
   byte[] proof(byte[] nonce, PeerHello prover, boolean dialer) {
-    return hash.of(
+    return hmac.compute(
         nonce,
         new byte[] {(byte) (dialer ? 1 : 0)},
         ByteBuffer.allocate(Long.BYTES).putLong(0, prover.incarnation()).array(),
         prover.boxId().getBytes(StandardCharsets.UTF_8));
   }
 
-  boolean accepts(byte[] given, byte[] nonce, PeerHello prover, boolean dialer) {
-    return MessageDigest.isEqual(given, proof(nonce, prover, dialer));
+  boolean isValidProof(byte[] proof, byte[] nonce, PeerHello prover, boolean dialer) {
+    return MessageDigest.isEqual(proof, proof(nonce, prover, dialer));
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
@@ -16,10 +16,11 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Sends heartbeats and takes them in: confirmations, versions, and upstreams that leave.
+ * Sends and processes heartbeats, which carry membership confirmations, configuration versions and
+ * leaving upstreams.
  *
- * <p>A peer's confirmation counts only once this box has every version that the peer has, so that a
- * box whose confirmation had lapsed never serves an old version. Thread-safe.
+ * <p>A peer's confirmation is applied only after this box has fetched all versions of the peer, so
+ * that a box whose confirmation had expired never serves an old version. Thread-safe.
  *
  * @since 0.1
  */
@@ -31,9 +32,9 @@
   private final VersionFetcher fetcher;
   private final UpstreamDirectory upstreams;
   private final MonotonicClock clock;
-  private final Map<String, Heartbeat> last = new ConcurrentHashMap<>();
+  private final Map<String, Heartbeat> lastHeartbeats = new ConcurrentHashMap<>();
 
-  /** Creates the service; it takes heartbeats in from now on. */
+  /** Creates the service and registers it for heartbeats of peers. */
   public HeartbeatService(
       PeerNetwork peers,
       Membership membership,
@@ -50,13 +51,13 @@
     peers.register(Heartbeat.TYPE, this::receive);
   }
 
-  /** Sends one heartbeat to each connected peer. */
+  /** Sends a heartbeat to each connected peer. */
   public void sendAll() {
     boolean serving = membership.isConfirmed();
     Map<String, Long> versions = registry.versions();
     List<Heartbeat.LeavingUpstream> leaving = leavingUpstreams();
     peers
-        .connected()
+        .connectedPeers()
         .forEach(
             peer -> {
               boolean confirms =
@@ -64,25 +65,25 @@
               Heartbeat heartbeat =
                   new Heartbeat(
                       new Heartbeat.Stamp(membership.incarnation(), clock.nanos()),
-                      Optional.ofNullable(last.get(peer.boxId())).map(Heartbeat::sent),
+                      Optional.ofNullable(lastHeartbeats.get(peer.boxId())).map(Heartbeat::sent),
                       serving,
                       confirms,
                       versions,
                       leaving);
-              peers.tell(peer.boxId(), Heartbeat.TYPE, heartbeat);
+              peers.send(peer.boxId(), Heartbeat.TYPE, heartbeat);
             });
   }
 
-  /** Returns the last heartbeat of each peer that is connected. */
+  /** Returns the last heartbeat of each connected peer. */
   public Map<String, Heartbeat> lastByPeer() {
-    List<String> connected = peers.connected().stream().map(PeerIdentity::boxId).toList();
-    last.keySet().retainAll(connected);
-    return Map.copyOf(last);
+    List<String> connected = peers.connectedPeers().stream().map(PeerIdentity::boxId).toList();
+    lastHeartbeats.keySet().retainAll(connected);
+    return Map.copyOf(lastHeartbeats);
   }
 
   private Mono<Void> receive(PeerIdentity from, Heartbeat heartbeat) {
-    last.put(from.boxId(), heartbeat);
-    heartbeat.leaving().forEach(this::noteLeaving);
+    lastHeartbeats.put(from.boxId(), heartbeat);
+    heartbeat.leaving().forEach(this::markLeaving);
     return Flux.fromIterable(heartbeat.versions().entrySet())
         .concatMap(
             version -> fetcher.bringInForceFrom(from.boxId(), version.getKey(), version.getValue()))
@@ -90,20 +91,20 @@
             Mono.fromRunnable(
                 () -> {
                   if (heartbeat.confirms()) {
-                    heartbeat.echo().ifPresent(this::confirmedAsOf);
+                    heartbeat.echo().ifPresent(this::confirmMembership);
                   }
                 }));
   }
 
   /**
-   * A heartbeat says nothing of when it was sent: a box that was frozen finds old ones waiting. The
-   * stamp that it brings back does, since the peer had it before it sent.
+   * Confirms the membership as of the echoed timestamp, because the heartbeat itself may be old: a
+   * box that was frozen receives heartbeats that were queued meanwhile.
    */
-  private void confirmedAsOf(Heartbeat.Stamp echo) {
+  private void confirmMembership(Heartbeat.Stamp echo) {
     membership.confirmed(echo.incarnation(), echo.nanos());
   }
 
-  private void noteLeaving(Heartbeat.LeavingUpstream leaving) {
+  private void markLeaving(Heartbeat.LeavingUpstream leaving) {
     upstreams
         .findByAddress(leaving.host(), leaving.port())
         .ifPresent(state -> state.markLeaving(leaving.incarnation()));
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
@@ -7,13 +7,13 @@
 import reactor.core.publisher.Mono;
 
 /**
- * One round of asking every upstream for its load.
+ * Reads the load reports of all upstreams.
  *
  * @since 0.1
  */
 public final class LoadReportReader {
 
-  private static final int AT_A_TIME = 16;
+  private static final int MAX_CONCURRENT_READS = 16;
 
   private final UpstreamDirectory upstreams;
   private final UpstreamProtocol protocol;
@@ -24,9 +24,9 @@
     this.protocol = protocol;
   }
 
-  /** Asks all upstreams; those that do not answer keep their last report. */
+  /** Reads the reports of all upstreams; those that do not answer keep their last report. */
   public Mono<Void> readAll() {
-    return Flux.fromIterable(upstreams.all()).flatMap(this::readOne, AT_A_TIME).then();
+    return Flux.fromIterable(upstreams.all()).flatMap(this::readOne, MAX_CONCURRENT_READS).then();
   }
 
   private Mono<Void> readOne(UpstreamState state) {
--- a/gradeledge-core/src/test/java/org/gradeledge/follow/TableFollowerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/follow/TableFollowerTests.java
@@ -21,34 +21,34 @@
 class TableFollowerTests {
 
   private final EventLoop loop = new DefaultEventLoop();
-  private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
   @AfterEach
   void stop() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  private static final Duration WAIT = Duration.ofSeconds(10);
+  private static final Duration MAX_WAIT = Duration.ofSeconds(10);
 
-  /** Key of a row that the listener cannot bear. */
-  private static final String POISON = "poison";
+  /** Key of a row on which the listener fails. */
+  private static final String FAILING_KEY = "poison";
 
   @Test
-  void readsOnceAndThenFollowsChanges() throws Exception {
+  void readsTheWholeTableOnceThenItsChanges() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of(row("a")))));
     table.changes.add(Mono.just(new TableChanges(6, List.of(row("b")), List.of("a"))));
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 [a]");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [b] [a]");
-    assertThat(table.askedAfter.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
-    assertThat(table.askedAfter.poll(5, TimeUnit.SECONDS)).isEqualTo(6);
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 [a]");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [b] [a]");
+    assertThat(table.requestedRevisions.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
+    assertThat(table.requestedRevisions.poll(5, TimeUnit.SECONDS)).isEqualTo(6);
   }
 
   @Test
-  void readsAnewWhereTheHistoryWasLost() throws Exception {
+  void readsTheWholeTableAfterLostHistory() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.error(new HistoryLostException("forgotten")));
@@ -56,12 +56,12 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 9 [c]");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 9 [c]");
   }
 
   @Test
-  void goesOnAfterAnOutageFromWhereItStood() throws Exception {
+  void continuesFromItsRevisionAfterAnOutage() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.error(new IOException("down")));
     table.reads.add(Mono.just(new TableContent(4, List.of())));
@@ -70,16 +70,16 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
   }
 
   @Test
-  void aCallThatEndsWithoutAnAnswerIsAFailureLikeOthers() throws Exception {
+  void treatsAnEmptyAnswerAsFailure() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.empty());
     table.reads.add(Mono.just(new TableContent(4, List.of())));
@@ -88,16 +88,16 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
   }
 
   @Test
-  void tellsOfEachOutageOnceAlsoOfASingleCallWithoutAnswer() throws Exception {
+  void reportsEachOutageOnceEvenOfASingleCall() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.error(new IOException("down")));
@@ -109,17 +109,17 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [] [d]");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("unavailable");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("available again");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [] [d]");
   }
 
   @Test
-  void forgottenHistoryIsNoOutage() throws Exception {
+  void lostHistoryIsNotReportedAsOutage() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.error(new HistoryLostException("forgotten")));
@@ -127,25 +127,25 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 9 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 9 []");
   }
 
   @Test
-  void anAnswerThatCannotBeTakenInDoesNotEndTheFollowing() throws Exception {
+  void readsTheWholeTableAfterTheListenerFails() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
-    table.changes.add(Mono.just(new TableChanges(5, List.of(row(POISON)), List.of())));
+    table.changes.add(Mono.just(new TableChanges(5, List.of(row(FAILING_KEY)), List.of())));
     table.reads.add(Mono.just(new TableContent(6, List.of(row("e")))));
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 6 [e]");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 6 [e]");
   }
 
   @Test
-  void doesNotWaitForChangesWhileTheTableIsAway() throws Exception {
+  void doesNotWaitForChangesWhileTheTableIsUnavailable() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.error(new IOException("down")));
@@ -154,30 +154,30 @@
 
     follow(table);
 
-    assertThat(table.waits.poll(5, TimeUnit.SECONDS)).isEqualTo(WAIT);
-    assertThat(table.waits.poll(5, TimeUnit.SECONDS)).isZero();
-    assertThat(table.waits.poll(5, TimeUnit.SECONDS)).isZero();
-    assertThat(table.waits.poll(5, TimeUnit.SECONDS)).isEqualTo(WAIT);
+    assertThat(table.requestedWaits.poll(5, TimeUnit.SECONDS)).isEqualTo(MAX_WAIT);
+    assertThat(table.requestedWaits.poll(5, TimeUnit.SECONDS)).isZero();
+    assertThat(table.requestedWaits.poll(5, TimeUnit.SECONDS)).isZero();
+    assertThat(table.requestedWaits.poll(5, TimeUnit.SECONDS)).isEqualTo(MAX_WAIT);
   }
 
   /**
-   * A call that was under way when the machine was suspended waits on: its timer counts none of
-   * that time, and its connection may be gone.
+   * The timer of a call in flight does not run while the machine is suspended, and its connection
+   * may be lost.
    */
   @Test
-  void aCallThatWasUnderWayDuringASuspensionIsMadeAnewAtOnce() throws Exception {
+  void replacesACallInFlightAfterASuspension() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
     table.changes.add(Mono.never());
     table.changes.add(Mono.just(new TableChanges(5, List.of(row("d")), List.of())));
     TableFollower follower = follow(table);
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(table.askedAfter.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(table.requestedRevisions.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
 
-    loop.execute(follower::wokeUp);
+    loop.execute(follower::onMachineResume);
 
-    assertThat(table.askedAfter.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
+    assertThat(table.requestedRevisions.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
   }
 
   private TableFollower follow(ScriptedTable table) {
@@ -189,7 +189,8 @@
             loop,
             MonotonicClock.system(),
             EventLogs.silent(),
-            new FollowPace(() -> WAIT, () -> Duration.ZERO, () -> Duration.ofMillis(300)));
+            new PollingIntervals(
+                () -> MAX_WAIT, () -> Duration.ZERO, () -> Duration.ofMillis(300)));
     loop.execute(follower::start);
     return follower;
   }
@@ -202,26 +203,26 @@
 
     @Override
     public void onContent(TableContent content) {
-      heard.add("content " + content.revision() + " " + keys(content.rows()));
+      events.add("content " + content.revision() + " " + keys(content.rows()));
     }
 
     @Override
     public void onChanges(TableChanges changes) {
-      if (keys(changes.put()).contains(POISON)) {
-        throw new IllegalStateException("a listener that fails");
+      if (keys(changes.put()).contains(FAILING_KEY)) {
+        throw new IllegalStateException("listener failure");
       }
-      heard.add(
+      events.add(
           "changes " + changes.revision() + " " + keys(changes.put()) + " " + changes.removed());
     }
 
     @Override
-    public void onAway() {
-      heard.add("away");
+    public void onUnavailable() {
+      events.add("unavailable");
     }
 
     @Override
-    public void onBack() {
-      heard.add("back");
+    public void onAvailableAgain() {
+      events.add("available again");
     }
 
     private List<String> keys(List<TableRow> rows) {
@@ -229,13 +230,13 @@
     }
   }
 
-  /** Answers as it was told, then never again. */
+  /** Returns the scripted answers in order, and does not answer further calls. */
   private static final class ScriptedTable implements RevisionedTable {
 
     private final Queue<Mono<TableContent>> reads = new ArrayDeque<>();
     private final Queue<Mono<TableChanges>> changes = new ArrayDeque<>();
-    private final BlockingQueue<Long> askedAfter = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Duration> waits = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> requestedRevisions = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Duration> requestedWaits = new LinkedBlockingQueue<>();
 
     @Override
     public Mono<TableContent> read() {
@@ -243,9 +244,9 @@
     }
 
     @Override
-    public Mono<TableChanges> changes(long afterRevision, Duration wait) {
-      askedAfter.add(afterRevision);
-      waits.add(wait);
+    public Mono<TableChanges> changes(long afterRevision, Duration maxWait) {
+      requestedRevisions.add(afterRevision);
+      requestedWaits.add(maxWait);
       return changes.isEmpty() ? Mono.never() : changes.remove();
     }
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerProbeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerProbeTests.java
@@ -11,55 +11,55 @@
 
   private final VirtualTimeScheduler time = VirtualTimeScheduler.create();
   private int probes;
-  private int silences;
+  private int timeouts;
   private final PeerProbe probe =
-      new PeerProbe(time, () -> time.now(TimeUnit.NANOSECONDS), () -> probes++, () -> silences++);
+      new PeerProbe(time, () -> time.now(TimeUnit.NANOSECONDS), () -> probes++, () -> timeouts++);
 
   @Test
-  void aConnectionOnWhichThingsComeIsNotProbed() {
+  void doesNotProbeAConnectionThatReceivesData() {
     for (int i = 0; i < 20; i++) {
-      probe.received();
-      probe.sent();
+      probe.recordReceived();
+      probe.recordSent();
       time.advanceTimeBy(Duration.ofMillis(1_000));
     }
 
     assertThat(probes).isZero();
-    assertThat(silences).isZero();
+    assertThat(timeouts).isZero();
   }
 
   @Test
-  void aConnectionThatCarriesNothingIsNotProbed() {
+  void doesNotProbeAnIdleConnection() {
     time.advanceTimeBy(Duration.ofMinutes(5));
 
     assertThat(probes).isZero();
-    assertThat(silences).isZero();
+    assertThat(timeouts).isZero();
   }
 
   @Test
-  void whatIsSentIntoSilenceIsFoundOutWithinABound() {
+  void reportsADeadConnectionWithinTheTimeout() {
     time.advanceTimeBy(Duration.ofSeconds(5));
-    probe.sent();
-    probe.sent();
+    probe.recordSent();
+    probe.recordSent();
     assertThat(probes).isEqualTo(1);
 
     time.advanceTimeBy(Duration.ofMillis(1_500));
 
-    assertThat(silences).isEqualTo(1);
+    assertThat(timeouts).isEqualTo(1);
   }
 
   @Test
-  void anAnswerToTheProbeSavesTheConnection() {
+  void keepsAConnectionThatAnswersTheProbe() {
     time.advanceTimeBy(Duration.ofSeconds(5));
-    probe.sent();
+    probe.recordSent();
     time.advanceTimeBy(Duration.ofMillis(200));
-    probe.received();
+    probe.recordReceived();
     time.advanceTimeBy(Duration.ofMinutes(1));
-    assertThat(silences).isZero();
+    assertThat(timeouts).isZero();
 
-    probe.sent();
+    probe.recordSent();
     time.advanceTimeBy(Duration.ofSeconds(2));
 
     assertThat(probes).isEqualTo(2);
-    assertThat(silences).isEqualTo(1);
+    assertThat(timeouts).isEqualTo(1);
   }
 }
