--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -88,8 +88,7 @@
     this.sequence = new HeartbeatSequence(clock, System.currentTimeMillis());
     this.connections = new MeshConnections(network, clock);
     this.routes =
-        new HeartbeatRoutes(
-            self, zone, peers, network::connectedPeerIds, connections::isUnreachable);
+        new HeartbeatRoutes(self, zone, peers, network::connectedIds, connections::isUnreachable);
     this.listTrust = new ListTrustTracker(state.upstreams());
     this.documents =
         new DocumentExchange(connections, loop, state.deployments(), state.upstreams(), listTrust);
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerNetwork.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerNetwork.java
@@ -122,7 +122,7 @@
   }
 
   /** Returns the names of the connected peers. */
-  public Set<String> connectedPeerIds() {
+  public Set<String> connectedIds() {
     return Set.copyOf(connections.keySet());
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
@@ -180,7 +180,7 @@
                     + meshes.get(box).aliveCount()
                     + (meshes.get(box).receivesDigests() ? " by digests" : " directly")
                     + " boxes, connected with "
-                    + networks.get(box).connectedPeerIds())
+                    + networks.get(box).connectedIds())
         .collect(Collectors.joining("\n"));
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/RelayedMeshTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/RelayedMeshTests.java
@@ -52,7 +52,7 @@
 
     boxes.await(
         () ->
-            boxes.networks().stream().mapToInt(each -> each.connectedPeerIds().size()).sum()
+            boxes.networks().stream().mapToInt(each -> each.connectedIds().size()).sum()
                 < MAX_CONNECTION_ENDS);
 
     assertThat(
