--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -114,7 +114,7 @@
   }
 
   private boolean callOne(BatchLimits limits, long now) {
-    int items = Math.min(waiting.size(), limits.itemsPerCall());
+    int items = Math.min(waiting.size(), limits.maxItemsPerCall());
     return upstreams.worthCalling(limits, items, now).stream()
         .anyMatch(each -> call(each, limits, now));
   }
@@ -122,7 +122,7 @@
   private boolean call(BatchUpstream target, BatchLimits limits, long now) {
     List<StagePiece> chosen =
         waiting.take(
-            limits.itemsPerCall(),
+            limits.maxItemsPerCall(),
             upstreams.roomBytes(target, limits),
             upstreams.suiting(target, limits, now));
     if (chosen.isEmpty()) {
@@ -248,7 +248,7 @@
       services.free(List.of(handle));
       return;
     }
-    held.add(handle, upstream.start(), group.group().resultBytes(), limits.resultMillis());
+    held.add(handle, upstream.start(), group.group().resultBytes(), limits.resultRetentionMillis());
     group.made(piece.index(), handle);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
@@ -65,8 +65,8 @@
     if (known.isEmpty()) {
       return Double.MAX_VALUE;
     }
-    double fullCalls = Math.ceil((double) pieces / limits.itemsPerCall());
-    double work = fullCalls * limits.callMillis() + pieces * limits.itemMillis();
+    double fullCalls = Math.ceil((double) pieces / limits.maxItemsPerCall());
+    double work = fullCalls * limits.fixedCallMillis() + pieces * limits.millisPerItem();
     double soonestFree =
         known.stream().mapToDouble(each -> doneAfterMillis(each, limits, 0, now)).min().orElse(0)
             - limits.expectedMillis(0);
@@ -78,7 +78,7 @@
 
   /** Returns the time of all upstreams together that a piece takes in full calls. */
   double secondsOfPiece(BatchLimits limits) {
-    int most = limits.itemsPerCall();
+    int most = limits.maxItemsPerCall();
     double each = limits.expectedMillis(most) / most / MILLIS_OF_SECOND;
     return each / Math.max(1, wholeUpstreams(usable(), limits));
   }
@@ -105,7 +105,7 @@
         .mapToDouble(
             each -> {
               double calls = services.sending().perSecond(each.upstream()) * CALLS_OF_REQUESTS;
-              double full = each.expectedMillis(limits, limits.itemsPerCall());
+              double full = each.expectedMillis(limits, limits.maxItemsPerCall());
               return Math.min(1, calls * full / MILLIS_OF_SECOND);
             })
         .sum();
@@ -115,13 +115,13 @@
   long roomBytes(BatchUpstream target, BatchLimits limits) {
     return held.isFull(target.upstream().start())
         ? 0
-        : (long) (limits.roomBytes() * ROOM_USED) - occupiedBytes(target);
+        : (long) (limits.memoryBytes() * ROOM_USED) - occupiedBytes(target);
   }
 
   /** Another box may still be calling the upstream, as it did this work until a moment ago. */
   private boolean free(BatchUpstream target, BatchLimits limits) {
     int others = services.board().runningAtPeers(target.upstream());
-    return target.free(limits) && others < limits.calls();
+    return target.free(limits) && others < limits.maxConcurrentCalls();
   }
 
   /**
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
@@ -36,7 +36,7 @@
     }
     long now = services.clock().nanos();
     long ahead = waiting.aheadOf(group, limits.expectedMillis(1), now);
-    double own = limits.expectedMillis(Math.min(group.group().pieces(), limits.itemsPerCall()));
+    double own = limits.expectedMillis(Math.min(group.group().pieces(), limits.maxItemsPerCall()));
     double wait = upstreams.backlogMillis(limits, ahead, now);
     return !group.inTimeAfter(wait / leftFor(group.group().priority(), limits) + own, now);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/SendLimiters.java
@@ -26,16 +26,16 @@
  * Puts together what tells which upstreams take one more request of this box now, and hands on what
  * the heads of their answers say.
  */
-final class UpstreamSending {
+final class SendLimiters {
 
   private final MonotonicClock clock;
   private final UpstreamRegistry upstreams;
   private final Function<String, Optional<ServiceDefinition>> services;
   private final UpstreamLimits limits;
   private final UpstreamBackoffs backoffs;
-  private final UnreadableSignals unreadableLeaving;
+  private final UnreadableSignals unreadableLeavingSignals;
 
-  UpstreamSending(
+  SendLimiters(
       MonotonicClock clock,
       EventLog events,
       UpstreamRegistry upstreams,
@@ -45,7 +45,7 @@
     this.services = services;
     this.limits = new UpstreamLimits(clock, events, upstreams::all);
     this.backoffs = new UpstreamBackoffs(clock, events);
-    this.unreadableLeaving = new UnreadableSignals(events, "upstream-leaving-unreadable");
+    this.unreadableLeavingSignals = new UnreadableSignals(events, "upstream-leaving-unreadable");
   }
 
   /** Returns the limits that are known. */
@@ -54,21 +54,21 @@
   }
 
   /** Shows what upstreams say of themselves. */
-  void show(RelayMetrics metrics, LimitedSending limited) {
+  void registerMetrics(RelayMetrics metrics, LimitedSending limited) {
     metrics.watchLimits(limits::count, limited::heldOff);
     metrics.watchSignals(
         () -> upstreams.leavingAsTheySaid().size(), backoffs::count, backoffs::heldOff);
   }
 
   /** Reads what all answers say of their upstreams, and has the mesh tell what is new at once. */
-  void listen(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
+  void handleSignals(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
     caller.onAnswer(
         (upstream, head) -> {
           UpstreamSignals signals =
               reader.read(head.request().uri(), head.status(), head.headers());
           limits.answered(upstream, head.sentNanos(), signals.limit());
           backoffs.answered(upstream, signals.backoff());
-          leaving(upstream, signals.leaving());
+          applyLeavingSignal(upstream, signals.leaving());
           if (head.closes()) {
             upstreams.closesConnections(upstream);
           }
@@ -78,10 +78,10 @@
     backoffs.onBegin(caller::holdOff);
   }
 
-  private void leaving(UpstreamRecord upstream, LeavingStatement statement) {
+  private void applyLeavingSignal(UpstreamRecord upstream, LeavingStatement statement) {
     switch (statement.kind()) {
       case LEAVES -> upstreams.announcesLeaving(upstream);
-      case UNREADABLE -> unreadableLeaving.note(upstream, statement.text());
+      case UNREADABLE -> unreadableLeavingSignals.note(upstream, statement.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("unknown statement " + statement.kind());
     }
@@ -93,12 +93,12 @@
   }
 
   /** Returns the rule of limits that upstreams name, for all requests. */
-  LimitedSending limited(BoxMesh mesh) {
+  LimitedSending rateLimit(BoxMesh mesh) {
     return new LimitedSending(
         clock,
         limits,
         mesh::rank,
-        name -> services.apply(name).flatMap(ServiceDefinition::batch).isPresent());
+        name -> services.apply(name).flatMap(ServiceDefinition::batchLimits).isPresent());
   }
 
   /**
@@ -107,7 +107,7 @@
    *
    * @param boxes how many boxes are heard, this one included
    */
-  SendingRule cold(IntSupplier boxes) {
+  SendingRule coldStart(IntSupplier boxes) {
     ColdUpstreams cold =
         new ColdUpstreams(
             clock,
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
@@ -22,7 +22,7 @@
 
   /** Returns the service that runs it. */
   String service() {
-    return route.serviceFor(request.id().hashCode());
+    return route.selectService(request.id().hashCode());
   }
 
   /** Returns after how many milliseconds its answer is worth nothing. */
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeParts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeParts.java
@@ -37,7 +37,8 @@
       CallerResponse response) {
     String service = admitted.service();
     RequestClock clock =
-        new RequestClock(services.clock(), admitted.limitMillis(), admitted.route().targetMillis());
+        new RequestClock(
+            services.clock(), admitted.limitMillis(), admitted.route().targetLatencyMillis());
     StageTimeline timeline = new StageTimeline(clock);
     UpstreamCandidates candidates = new UpstreamCandidates(services, service, admitted.request());
     StagePlan plan =
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageEstimate.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageEstimate.java
@@ -46,7 +46,8 @@
 
   private double doneAfter(int stage, double[] doneBefore) {
     StageWork work = stages.get(stage);
-    double ready = work.after().stream().mapToDouble(before -> doneBefore[before]).max().orElse(0);
+    double ready =
+        work.dependencies().stream().mapToDouble(before -> doneBefore[before]).max().orElse(0);
     long backlog = client.backlogMillis(work.service(), priority);
     int others = backlog > 0 ? Integer.MAX_VALUE : 0;
     return Math.max(ready, backlog) + callMillis(stage, others);
@@ -61,7 +62,7 @@
   double tailMillis(int stage) {
     double longest = 0;
     for (int next = stage + 1; next < stages.size(); next++) {
-      if (wanted(next) && stages.get(next).after().contains(stage)) {
+      if (wanted(next) && stages.get(next).dependencies().contains(stage)) {
         longest = Math.max(longest, callMillis(next, 0) + tailMillis(next));
       }
     }
@@ -80,13 +81,13 @@
   private double callMillis(int stage, int others) {
     return deployment
         .service(stages.get(stage).service())
-        .flatMap(ServiceDefinition::batch)
+        .flatMap(ServiceDefinition::batchLimits)
         .map(batch -> batch.expectedMillis(itemsOfCall(stage, others, batch)))
         .orElse(0.0);
   }
 
   private int itemsOfCall(int stage, int others, BatchLimits batch) {
-    return (int) Math.min((long) pieces.get(stage) + others, batch.itemsPerCall());
+    return (int) Math.min((long) pieces.get(stage) + others, batch.maxItemsPerCall());
   }
 
   private boolean wanted(int stage) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
@@ -163,7 +163,7 @@
   }
 
   private long inputBytes(int stage) {
-    return stages.get(stage).after().stream()
+    return stages.get(stage).dependencies().stream()
         .mapToLong(before -> results.pieces(before) * stages.get(before).resultBytes())
         .sum();
   }
@@ -177,7 +177,7 @@
     timeline.started(stage);
     withdraw(stage);
     List<String> inputs = new ArrayList<>();
-    work.after().forEach(before -> inputs.addAll(results.of(before)));
+    work.dependencies().forEach(before -> inputs.addAll(results.of(before)));
     long due = clock.targetLeftMillis() - (long) (estimate.tailMillis(stage) + firstEventMillis);
     StageGroup group =
         new StageGroup(
@@ -185,7 +185,7 @@
             request.id(),
             stage,
             results.pieces(stage),
-            work.after().isEmpty() ? request.pieceKey() : Optional.empty(),
+            work.dependencies().isEmpty() ? request.pieceKey() : Optional.empty(),
             inputs,
             inputBytes(stage),
             work.resultBytes(),
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
@@ -46,7 +46,8 @@
 
   /** Returns whether all that a stage comes after is done. */
   boolean ready(int stage) {
-    return stages.get(stage).after().stream().allMatch(before -> !wanted(before) || has(before));
+    return stages.get(stage).dependencies().stream()
+        .allMatch(before -> !wanted(before) || has(before));
   }
 
   /** Returns whether another stage takes a stage's results. */
@@ -77,11 +78,11 @@
   /** Forgets the results that a stage takes, so that they are made again. */
   void forgetInputs(int stage) {
     fetched.remove(stage);
-    for (int before : stages.get(stage).after()) {
+    for (int before : stages.get(stage).dependencies()) {
       client.free(stages.get(before).service(), of(before));
       handles.remove(before);
       fetched.remove(before);
-      if (stages.get(before).after().stream().anyMatch(this::isFreed)) {
+      if (stages.get(before).dependencies().stream().anyMatch(this::isFreed)) {
         forgetInputs(before);
       }
     }
@@ -119,7 +120,7 @@
 
   private IntStream takers(int stage) {
     return IntStream.range(0, stages.size())
-        .filter(later -> wanted(later) && stages.get(later).after().contains(stage));
+        .filter(later -> wanted(later) && stages.get(later).dependencies().contains(stage));
   }
 
   private void free(int stage) {
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/ColdUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/ColdUpstreams.java
@@ -91,7 +91,7 @@
         upstream ->
             limits
                 .apply(upstream.service())
-                .ifPresent(limit -> extend(upstream.start(), limit.lasts())));
+                .ifPresent(limit -> extend(upstream.start(), limit.duration())));
   }
 
   /** Forgets an upstream that is gone. */
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/RelayInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/RelayInVirtualTime.java
@@ -18,10 +18,10 @@
 import org.gradeledge.connection.OutgoingRequest;
 import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.DeploymentRegistry;
-import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
 import org.gradeledge.deployment.RouteDefinition;
 import org.gradeledge.deployment.StageWork;
+import org.gradeledge.deployment.TestDeployments;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
@@ -43,11 +43,12 @@
   static final String PATH = "/path/x";
 
   /** A route of requests that may be repeated. */
-  static final RouteDefinition PLAIN = Deployments.route(HOST, "/path/", Repeatability.REPEATABLE);
+  static final RouteDefinition PLAIN =
+      TestDeployments.route(HOST, "/path/", Repeatability.REPEATABLE);
 
   /** The same with a stage before. */
   static final RouteDefinition STAGED =
-      Deployments.route(
+      TestDeployments.route(
           HOST,
           "/path/",
           Repeatability.REPEATABLE,
@@ -95,7 +96,7 @@
     channel.freezeTime();
     DeploymentRegistry deployments =
         new DeploymentRegistry(
-            document -> Either.right(Deployments.of(1, route)), EventLogs.silent());
+            document -> Either.right(TestDeployments.of(1, route)), EventLogs.silent());
     deployments.offer(new byte[1], "test");
     upstreams.replaceAll(1, List.of(known));
     LoadBoard board = new LoadBoard(clock, EventLogs.silent());
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
@@ -5,8 +5,8 @@
 
 import java.util.List;
 import org.gradeledge.connection.FakeUpstreamCaller;
-import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
+import org.gradeledge.deployment.TestDeployments;
 import org.junit.jupiter.api.Test;
 
 /** Requests that are under way while the machine is suspended; the timers count none of it. */
@@ -17,7 +17,8 @@
 
   private final RelayInVirtualTime box =
       new RelayInVirtualTime(
-          Deployments.route(RelayInVirtualTime.HOST, "/path/", Repeatability.ONCE), upstream(1));
+          TestDeployments.route(RelayInVirtualTime.HOST, "/path/", Repeatability.ONCE),
+          upstream(1));
 
   @Test
   void whatIsPastItsTimeIsGivenUpOnWaking() throws Exception {
