--- a/gradeledge-core/src/main/java/org/gradeledge/node/BoxPorts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/BoxPorts.java
@@ -3,7 +3,7 @@
 import reactor.netty.DisposableServer;
 
 /**
- * The ports that a box has opened.
+ * The listening ports of a box.
  *
  * @since 0.1
  */
--- a/gradeledge-core/src/main/java/org/gradeledge/node/BoxServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/BoxServices.java
@@ -37,7 +37,7 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.resources.ConnectionProvider;
 
-/** The collaborators of one box, made from its settings; nothing runs yet. */
+/** Creates the components of a box from its settings without starting them. */
 final class BoxServices {
 
   private static final int PLATFORM_CONNECTIONS = 16;
@@ -153,7 +153,7 @@
     try {
       return Files.readString(file).strip();
     } catch (IOException e) {
-      throw new UncheckedIOException("the peer secret must be readable: " + file, e);
+      throw new UncheckedIOException("Cannot read the peer secret: " + file, e);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/GracefulShutdown.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/GracefulShutdown.java
@@ -9,16 +9,16 @@
 import org.gradeledge.relay.RelayServer;
 
 /**
- * The steps of a planned stop: not ready at once, serving on until the balancer has noticed,
- * closing connections that rest, then waiting for what is under way, and refusing in time what no
- * upstream has got. Confined to the event loop.
+ * Shuts a box down gracefully: reports that it is not ready, keeps serving until the load balancer
+ * has reacted, closes idle connections, refuses new requests and waits for requests in flight. The
+ * steps are scheduled at shares of the grace period. Confined to the event loop.
  */
 final class GracefulShutdown {
 
   private static final double CLOSE_IDLE_AT = 0.3;
   private static final double REFUSE_AT = 0.4;
 
-  /** What waits for stage work by then would not be answered before the end. */
+  /** Requests that still wait for stage work at this point would not complete in time. */
   private static final double REFUSE_UNSENT_AT = 0.8;
 
   private static final double END_AT = 0.95;
@@ -34,13 +34,13 @@
   private boolean refusing;
 
   GracefulShutdown(
-      Duration grace,
+      Duration gracePeriod,
       RelayServer server,
       RelayHandler handler,
       BoxMesh mesh,
       EventLoop loop,
       EventLog events) {
-    this.gracePeriod = grace;
+    this.gracePeriod = gracePeriod;
     this.server = server;
     this.handler = handler;
     this.mesh = mesh;
@@ -52,7 +52,7 @@
     return started;
   }
 
-  void start(Runnable whenDone) {
+  void start(Runnable onCompletion) {
     if (started) {
       return;
     }
@@ -63,8 +63,8 @@
     scheduleAt(CLOSE_IDLE_AT, server::closeIdle);
     scheduleAt(REFUSE_AT, this::refuseRequests);
     scheduleAt(REFUSE_UNSENT_AT, handler::refuseUnsent);
-    scheduleAt(END_AT, whenDone);
-    awaitActiveRequests(whenDone);
+    scheduleAt(END_AT, onCompletion);
+    awaitActiveRequests(onCompletion);
   }
 
   private void refuseRequests() {
@@ -73,16 +73,16 @@
     server.closeIdle();
   }
 
-  private void awaitActiveRequests(Runnable whenDone) {
+  private void awaitActiveRequests(Runnable onCompletion) {
     if (refusing && server.active() == 0) {
-      whenDone.run();
+      onCompletion.run();
     } else {
       loop.schedule(
-          () -> awaitActiveRequests(whenDone), POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+          () -> awaitActiveRequests(onCompletion), POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void scheduleAt(double part, Runnable step) {
-    loop.schedule(step, (long) (gracePeriod.toMillis() * part), TimeUnit.MILLISECONDS);
+  private void scheduleAt(double share, Runnable step) {
+    loop.schedule(step, (long) (gracePeriod.toMillis() * share), TimeUnit.MILLISECONDS);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/GradeledgeBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/GradeledgeBox.java
@@ -29,9 +29,10 @@
 import reactor.netty.DisposableServer;
 
 /**
- * One entry box: opens its ports, joins, serves, and stops without cutting a request.
+ * A box that serves pipeline requests. It joins the membership, applies configuration changes and
+ * shuts down without interrupting requests.
  *
- * <p>It is ready once it is a member and has every accepted version in force. Thread-safe.
+ * <p>It is ready while its membership is confirmed. Thread-safe.
  *
  * @since 0.1
  */
@@ -47,13 +48,13 @@
   private volatile @Nullable BoxPorts ports;
   private volatile @Nullable MemberRow memberRow;
 
-  /** Creates a box; it opens nothing yet. */
+  /** Creates a box without opening its ports. */
   public GradeledgeBox(BoxSettings settings) {
     this.settings = settings;
     this.services = new BoxServices(settings);
   }
 
-  /** Opens the ports and starts to join; the value tells the ports that were opened. */
+  /** Opens the ports and starts joining the membership. Emits the opened ports. */
   public Mono<BoxPorts> start() {
     return Mono.zip(openCaller(), openOperator(), openPeer())
         .map(opened -> new BoxPorts(opened.getT1(), opened.getT2(), opened.getT3()))
@@ -70,7 +71,7 @@
             });
   }
 
-  /** Returns whether the balancer is to send work here. */
+  /** Returns whether the load balancer may send requests to this box. */
   public boolean isReady() {
     return !stopping.get() && services.membership.isConfirmed();
   }
@@ -81,8 +82,9 @@
   }
 
   /**
-   * Stops as planned: fails readiness and serves on for the balancer's lag, then refuses new work,
-   * leaves the members and the list, and finishes everything in progress. Further calls do nothing.
+   * Shuts down gracefully: reports that it is not ready, keeps serving for the lag of the load
+   * balancer, then refuses new requests, leaves the membership and the box list, and completes the
+   * requests in progress. Further calls have no effect.
    */
   public void drain() {
     if (!stopping.compareAndSet(false, true)) {
@@ -101,7 +103,7 @@
         .subscribe();
   }
 
-  /** Closes everything at once, as a crash would; for tests and for the end of a planned stop. */
+  /** Closes all resources immediately without completing requests. */
   public void close() {
     stopping.set(true);
     synchronized (tasks) {
@@ -138,21 +140,18 @@
     start("load-read", services.timing.poll(), services.loadReports::readAll);
   }
 
-  private void start(String name, Duration period, Supplier<Mono<Void>> round) {
+  private void start(String name, Duration period, Supplier<Mono<Void>> task) {
     synchronized (tasks) {
-      tasks.add(PeriodicTask.start(name, period, services.metrics, round));
+      tasks.add(PeriodicTask.start(name, period, services.metrics, task));
     }
   }
 
-  /**
-   * A read of the table showed that this box is not a member: it joins, for the first time or
-   * again.
-   */
+  /** Joins the membership. Called when a read of the table does not list this box as a member. */
   private Mono<Void> join() {
     if (stopping.get()) {
       return Mono.empty();
     }
-    BoxPorts opened = Objects.requireNonNull(ports, "ports must be open");
+    BoxPorts opened = Objects.requireNonNull(ports, "ports are not open");
     MemberRow row =
         new MemberRow(
             settings.boxId(),
@@ -173,22 +172,24 @@
   }
 
   private Mono<Void> announce(BoxState state) {
-    BoxPorts opened = Objects.requireNonNull(ports, "ports must be open");
+    BoxPorts opened = Objects.requireNonNull(ports, "ports are not open");
     String address = settings.caller().host() + ":" + opened.callerPort();
     return services.boxList.announce(new ListedBox(settings.boxId(), address, state));
   }
 
   private Mono<Void> leave() {
-    MemberRow row = memberRow;
-    Mono<Void> left = row == null ? Mono.empty() : new MembershipService(services.table).leave(row);
-    return left.onErrorComplete()
+    MemberRow member = memberRow;
+    Mono<Void> departure =
+        member == null ? Mono.empty() : new MembershipService(services.table).leave(member);
+    return departure
+        .onErrorComplete()
         .then(services.boxList.withdraw(settings.boxId()).onErrorComplete());
   }
 
   private Mono<Void> finishWork() {
     return Mono.defer(
             () -> services.gate.inProgress() == 0 ? Mono.just(Boolean.TRUE) : Mono.<Boolean>empty())
-        .repeatWhenEmpty(looks -> looks.delayElements(DRAIN_POLL_INTERVAL))
+        .repeatWhenEmpty(checks -> checks.delayElements(DRAIN_POLL_INTERVAL))
         .timeout(services.timing.drainBound())
         .onErrorComplete()
         .then();
--- a/gradeledge-core/src/main/java/org/gradeledge/node/MonitoringEndpoints.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/MonitoringEndpoints.java
@@ -9,7 +9,7 @@
 import reactor.netty.http.server.HttpServer;
 import reactor.netty.resources.LoopResources;
 
-/** What a box tells of itself over HTTP: whether it is ready, and its metrics. */
+/** HTTP endpoints of a box for readiness checks and metrics. */
 final class MonitoringEndpoints {
 
   private static final int HTTP_OK = 200;
@@ -25,7 +25,7 @@
     this.boxMetrics = boxMetrics;
   }
 
-  /** Starts to tell whether the box is ready. */
+  /** Serves the readiness of the box. */
   Mono<?> bindReadiness(InetSocketAddress address, BooleanSupplier ready) {
     return HttpServer.create()
         .runOn(loops, false)
@@ -39,7 +39,7 @@
         .bind();
   }
 
-  /** Starts to tell the metrics, if there is an address for them. */
+  /** Serves the metrics if an address is given. */
   Mono<?> bindMetrics(Optional<InetSocketAddress> address) {
     return address.isEmpty()
         ? Mono.empty()
--- a/gradeledge-core/src/main/java/org/gradeledge/node/OperatorRowReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/OperatorRowReader.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * Tells from a row's key what the operator orders by it.
+ * Interprets the keys of the rows that an operator writes.
  *
  * @since 0.3
  */
 public interface OperatorRowReader {
 
-  /** Returns whether a row holds the configuration. */
+  /** Returns whether a row contains the configuration. */
   boolean isConfiguration(String key);
 
-  /** Returns the zone that is evacuated as long as the row is there, empty for other rows. */
+  /** Returns the availability zone that a row evacuates, or empty for other rows. */
   Optional<String> evacuatedZone(String key);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
@@ -16,14 +16,14 @@
 import org.gradeledge.follow.TableRow;
 
 /**
- * Takes on what the operator orders: offers each configuration document to the registry, and keeps
- * the zones that are evacuated. Confined to the event loop.
+ * Applies the rows that an operator writes: offers configuration documents to the registry and
+ * updates the evacuated zones. Confined to the event loop.
  */
 final class OperatorTableListener implements TableListener {
 
   private static final String SOURCE = "platform";
 
-  /** As long as upstreams are given to write their entries again after an outage. */
+  /** Time allowed for writing rows again after a backup was restored. */
   private static final Duration REWRITE_TIME = Duration.ofSeconds(2);
 
   private final OperatorRowReader rowReader;
@@ -33,7 +33,9 @@
   private final EventLoop loop;
   private final Set<String> tableZones = new HashSet<>();
 
-  /** What holds against the table while its orders are yet to be written again; else the same. */
+  /**
+   * Zones currently evacuated. Differs from the table while rows may be missing after a restore.
+   */
   private final Set<String> effectiveZones = new HashSet<>();
 
   private int restoreCount;
@@ -41,16 +43,16 @@
   private long revision;
 
   OperatorTableListener(
-      OperatorRowReader orders,
+      OperatorRowReader rowReader,
       DeploymentRegistry deployments,
       UpstreamRegistry upstreams,
       EventLoop loop,
-      Runnable onEvacuations) {
-    this.rowReader = orders;
+      Runnable evacuationListener) {
+    this.rowReader = rowReader;
     this.deployments = deployments;
     this.upstreams = upstreams;
     this.loop = loop;
-    this.evacuationListener = onEvacuations;
+    this.evacuationListener = evacuationListener;
   }
 
   @Override
@@ -66,10 +68,10 @@
 
   @Override
   public void onChanges(TableChanges changes) {
-    List<String> put = evacuatedZones(changes.put().stream().map(TableRow::key)).toList();
+    List<String> added = evacuatedZones(changes.put().stream().map(TableRow::key)).toList();
     List<String> removed = evacuatedZones(changes.removed().stream()).toList();
     for (Set<String> zones : List.of(tableZones, effectiveZones)) {
-      zones.addAll(put);
+      zones.addAll(added);
       removed.forEach(zones::remove);
     }
     applyEvacuations(changes.revision());
@@ -77,19 +79,19 @@
   }
 
   /**
-   * What the copy lacks or has again was ordered or lifted since it was taken, and holds until the
-   * operator has had the time to write it anew. What is written meanwhile holds at once.
+   * Keeps the current evacuations until the operator has had time to write them again. Changes
+   * written in the meantime apply immediately.
    */
   @Override
   public void onOlderCopy() {
-    int number = ++restoreCount;
+    int restore = ++restoreCount;
     awaitingRewrites = true;
     setEffectiveZones(upstreams.evacuations().zones());
-    loop.schedule(() -> endRewriteTime(number), REWRITE_TIME.toMillis(), TimeUnit.MILLISECONDS);
+    loop.schedule(() -> endRewriteTime(restore), REWRITE_TIME.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void endRewriteTime(int number) {
-    if (number == restoreCount) {
+  private void endRewriteTime(int restore) {
+    if (restore == restoreCount) {
       awaitingRewrites = false;
       setEffectiveZones(tableZones);
       applyEvacuations(revision);
@@ -106,13 +108,14 @@
   }
 
   /**
-   * An order is in force before a configuration that came with it is. What holds against a copy
-   * gives way to what is read, at whatever revision that stands.
+   * Applies evacuations before the configuration of the same read. While waiting for rows to be
+   * written again, uses the preceding revision so that a later read at the same revision is still
+   * applied.
    */
   private void applyEvacuations(long newRevision) {
     revision = newRevision;
-    long holds = awaitingRewrites ? revision - 1 : revision;
-    if (upstreams.evacuate(new ZoneEvacuations(holds, effectiveZones))) {
+    long effectiveRevision = awaitingRewrites ? revision - 1 : revision;
+    if (upstreams.evacuate(new ZoneEvacuations(effectiveRevision, effectiveZones))) {
       evacuationListener.run();
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
@@ -12,53 +12,52 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * How a box follows the platform's tables: how often it calls depends on how many other boxes do so
- * and would tell it. Each call has its price, and among many boxes nearly all news comes by
- * digests. Confined to the event loop.
+ * Follows the tables of the platform. The polling rate depends on how many other boxes read the
+ * tables and forward changes, as boxes in a large deployment receive most changes in digests.
+ * Confined to the event loop.
  */
 final class PlatformFollowers {
 
-  /** How long a call waits for a new configuration; a lost answer is noticed only after that. */
+  /** Longest wait of a call for a new configuration; bounds how late a lost answer is noticed. */
   private static final Duration CONFIGURATION_WAIT = Duration.ofMillis(2_500);
 
-  /** The same where digests tell of a new configuration meanwhile. */
+  /** Longest wait while digests also announce new configurations. */
   private static final Duration LONG_CONFIGURATION_WAIT = Duration.ofSeconds(25);
 
-  /** Keeps changes in quick succession from being read one by one. */
+  /** Combines configuration changes in quick succession into one read. */
   private static final Duration CONFIGURATION_PAUSE = Duration.ofMillis(60);
 
-  /** Parts of the bound within which an upstream that leaves must get no new work. */
+  /** Pauses between reads of the list of upstreams, as factors of the maximum leaving delay. */
   private static final double UNSHARED_PAUSE_FACTOR = 0.5;
 
   private static final double FEW_BOXES_PAUSE_FACTOR = 0.2;
   private static final double READER_PAUSE_FACTOR = 0.35;
 
-  /** Only a box that no news reaches any more depends on it. */
+  /** Safety net in case digests stop reaching this box. */
   private static final double NON_READER_PAUSE_FACTOR = 5;
 
   /**
-   * Longest time between calls while the platform is away, of a box that others rely on: it must
-   * notice the return within about a second, and judge the list two seconds later, before it counts
-   * as in touch again.
+   * Longest pause between calls of a reader while the platform is unavailable. Other boxes rely on
+   * readers to notice its return and to re-evaluate the list of upstreams in time.
    */
   static final Duration MAX_BACKOFF = Duration.ofMillis(300);
 
-  /** The same of a box that hears of the return from others. */
+  /** Longest pause of a box that other boxes inform when the platform is available again. */
   private static final Duration NON_READER_MAX_BACKOFF = Duration.ofMillis(600);
 
-  /** So many that some are left where several are cut off, killed or turned away at once. */
+  /** Enough readers to tolerate the simultaneous failure of several. */
   private static final int READER_COUNT = 6;
 
-  /** Fewer boxes than this cannot rely on another one's look within half of the bound. */
+  /** With fewer boxes, reads cannot be shared within half of the maximum leaving delay. */
   private static final int MIN_BOXES_SHARING_READS = 3;
 
-  /** Verdicts seldom change, and boxes tell each other; a lost answer is noticed after this. */
+  /** Longest wait of a call for a new verdict; bounds how late a lost answer is noticed. */
   private static final Duration VERDICT_WAIT = Duration.ofSeconds(25);
 
-  /** Boxes that are not readers look for what no other box has told. */
+  /** Pause between reads of verdicts by boxes that are not readers. */
   private static final Duration VERDICT_PAUSE = Duration.ofMinutes(1);
 
-  /** No request waits for this table: a box that cannot read it goes by what others tell. */
+  /** Longest pause between calls for verdicts; boxes also forward verdicts to each other. */
   private static final Duration VERDICT_MAX_BACKOFF = Duration.ofSeconds(2);
 
   private final Duration maxLeavingDelay;
@@ -70,15 +69,15 @@
   PlatformFollowers(
       RelayAdapters adapters,
       TableListener verdictListener,
-      Duration leavingBound,
+      Duration maxLeavingDelay,
       BoxMesh mesh,
       DeploymentRegistry deployments,
       UpstreamRegistry registry,
       EventLoop loop,
       MonotonicClock clock,
       EventLog events,
-      Runnable onUnreadableRow) {
-    this.maxLeavingDelay = leavingBound;
+      Runnable unreadableRowListener) {
+    this.maxLeavingDelay = maxLeavingDelay;
     this.mesh = mesh;
     this.configurations =
         new TableFollower(
@@ -95,11 +94,11 @@
         new UpstreamTableListener(
             registry,
             adapters.upstreamRowReader(),
-            new UnreadableRowLog(events, onUnreadableRow),
+            new UnreadableRowLog(events, unreadableRowListener),
             mesh::announceNow,
             loop,
             clock,
-            leavingBound);
+            maxLeavingDelay);
     this.upstreams =
         new TableFollower(
             "upstreams",
@@ -129,7 +128,7 @@
     verdicts.start();
   }
 
-  /** Reads all tables anew after the machine was suspended. */
+  /** Reads all tables again after the machine was suspended. */
   void readAllAgain() {
     configurations.wokeUp();
     upstreams.wokeUp();
@@ -148,7 +147,7 @@
     return mesh.receivesDigests() ? LONG_CONFIGURATION_WAIT : CONFIGURATION_WAIT;
   }
 
-  /** Boxes that hear each other share the reading, as each tells the others what it learned. */
+  /** Returns the pause between reads of upstreams, longer for boxes that receive digests. */
   private Duration upstreamPause() {
     return Duration.ofMillis((long) (maxLeavingDelay.toMillis() * upstreamPauseFactor()));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/QuarantineVerdictStore.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/QuarantineVerdictStore.java
@@ -24,14 +24,14 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Keeps verdicts in the platform's table, so that they outlast the boxes: all of them may be lost
- * at one moment. A row that goes, as an operator removes it, lifts the verdict.
+ * Stores quarantine verdicts in the platform's table so that they survive the loss of all boxes.
+ * Removing the row of a verdict, as an operator may do, withdraws the verdict.
  *
  * <p>Confined to the event loop.
  */
 final class QuarantineVerdictStore implements TableListener, Trials {
 
-  /** The box that reached a verdict writes it at once; others on duty look after so long. */
+  /** Delay after which other assigned boxes write a verdict that its box has not written. */
   private static final long FALLBACK_WRITE_MILLIS = 2_000;
 
   private static final long RETRY_MILLIS = 1_000;
@@ -46,38 +46,41 @@
   private final TableBackedTrials trials;
   private final RestoredRowCleaner restoredRowCleaner;
 
-  /** Verdicts that hold, to be written again where the table loses them. */
+  /** Verdicts in force, to be written again if the table loses them. */
   private final Map<RequestFingerprint, Verdict> verdicts = new HashMap<>();
 
   private boolean backupRestored;
 
   /**
-   * Creates the keeper.
+   * Creates the store.
    *
-   * @param timeOfDayMillis milliseconds since 1970; the only clock that all lives of all boxes
-   *     share, and exact enough for minutes
-   * @param onDuty whether this box writes what the box that reached a verdict did not
+   * @param timeOfDayMillis milliseconds since 1970; the only clock shared by all boxes across
+   *     restarts
+   * @param isWriter whether this box is assigned to write verdicts of other boxes
    */
   QuarantineVerdictStore(
       Quarantine quarantine,
       WritableTable table,
       EventLoop loop,
       LongSupplier timeOfDayMillis,
-      BooleanSupplier onDuty,
+      BooleanSupplier isWriter,
       EventLog events) {
     this.quarantine = quarantine;
     this.table = table;
     this.loop = loop;
     this.timeOfDayMillis = timeOfDayMillis;
-    this.isWriter = onDuty;
+    this.isWriter = isWriter;
     this.events = events;
-    this.trials = new TableBackedTrials(keys, table, loop, timeOfDayMillis, onDuty, events);
-    this.restoredRowCleaner = new RestoredRowCleaner(table, loop, onDuty, events);
+    this.trials = new TableBackedTrials(keys, table, loop, timeOfDayMillis, isWriter, events);
+    this.restoredRowCleaner = new RestoredRowCleaner(table, loop, isWriter, events);
     quarantine.onVerdict(this::onVerdict);
     quarantine.onRelease(this::onRelease);
   }
 
-  /** What the copy lacks nobody has lifted, and what it has again may have been lifted since. */
+  /**
+   * Marks the next read as a restored backup: missing rows are written again, and rows that were
+   * removed are removed again.
+   */
   @Override
   public void onOlderCopy() {
     backupRestored = true;
@@ -90,17 +93,17 @@
       mergeRestored(content);
       return;
     }
-    Set<String> before = keys.startRead();
-    content.rows().forEach(this::take);
-    before.stream().filter(key -> !containsRow(content, key)).forEach(this::withdrawVerdict);
+    Set<String> previous = keys.startRead();
+    content.rows().forEach(this::applyRow);
+    previous.stream().filter(key -> !containsRow(content, key)).forEach(this::withdrawVerdict);
   }
 
   private void mergeRestored(TableContent content) {
-    Set<String> before = keys.startRestoredRead();
-    content.rows().stream().filter(row -> !keys.isWithdrawn(row.key())).forEach(this::take);
+    Set<String> previous = keys.startRestoredRead();
+    content.rows().stream().filter(row -> !keys.isWithdrawn(row.key())).forEach(this::applyRow);
     restoredRowCleaner.removeRestored(
         content.rows().stream().map(TableRow::key).filter(keys::isWithdrawn).toList());
-    before.stream().filter(key -> !containsRow(content, key)).forEach(this::rewriteIfTrial);
+    previous.stream().filter(key -> !containsRow(content, key)).forEach(this::rewriteIfTrial);
     verdicts.values().stream()
         .filter(verdict -> !containsRow(content, verdict.fingerprint().toString()))
         .forEach(verdict -> scheduleWrite(verdict, 0));
@@ -110,7 +113,7 @@
     return content.rows().stream().anyMatch(row -> row.key().equals(key));
   }
 
-  /** A trial stays spent here, whoever writes its row again. */
+  /** Marks a trial as used whose row is missing from the restored table. */
   private void rewriteIfTrial(String key) {
     if (VerdictRow.fingerprintOfTrial(key).isPresent()) {
       trials.rewriteTrial(key);
@@ -119,11 +122,11 @@
 
   @Override
   public void onChanges(TableChanges changes) {
-    changes.put().forEach(this::take);
+    changes.put().forEach(this::applyRow);
     changes.removed().forEach(this::onRowRemoved);
   }
 
-  /** A row that was never read here may have been lifted too: an older copy has it again. */
+  /** Records the removal also of rows that were not read, as a restored backup may contain them. */
   private void onRowRemoved(String key) {
     restoredRowCleaner.onRowRemoved(key);
     if (keys.isStored(key)) {
@@ -140,17 +143,17 @@
         .isPresent();
   }
 
-  private void take(TableRow row) {
+  private void applyRow(TableRow row) {
     keys.addRead(row.key());
     if (VerdictRow.fingerprintOfTrial(row.key()).isEmpty()) {
       VerdictRow.read(row)
           .peek(this::mergeVerdict)
           .peekLeft(
-              why ->
+              reason ->
                   events
                       .problem("verdict-row-unreadable")
                       .with("key", row.key())
-                      .with("why", why)
+                      .with("why", reason)
                       .write());
     }
   }
@@ -185,7 +188,9 @@
     loop.schedule(() -> writeUnlessStored(verdict), delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Also what was reached while the store was away is written once it is back. */
+  /**
+   * Writes a verdict unless it is stored or withdrawn, and retries until the table is available.
+   */
   private void writeUnlessStored(Verdict verdict) {
     RequestFingerprint fingerprint = verdict.fingerprint();
     if (keys.isStored(fingerprint.toString()) || !quarantine.bars(fingerprint)) {
@@ -195,9 +200,9 @@
       scheduleWrite(verdict, FALLBACK_WRITE_MILLIS);
       return;
     }
-    long since = trials.quarantinedAt(fingerprint);
+    long quarantinedAt = trials.quarantinedAt(fingerprint);
     table
-        .create(new VerdictRow(fingerprint, verdict.starts(), since).toTableRow())
+        .create(new VerdictRow(fingerprint, verdict.starts(), quarantinedAt).toTableRow())
         .subscribe(
             created -> loop.execute(() -> keys.addWritten(fingerprint.toString())),
             failure ->
@@ -217,8 +222,9 @@
   }
 
   /**
-   * Only a request that is cleared loses its row. One whose ends others explain keeps it: boxes may
-   * judge differently for a moment, and a row that goes clears the request at all of them.
+   * Removes the rows of a request only if its crashes were withdrawn. A verdict that other requests
+   * explain keeps its row: boxes may disagree temporarily, and removing the row withdraws the
+   * crashes at all boxes.
    */
   private void onRelease(RequestFingerprint fingerprint) {
     verdicts.remove(fingerprint);
--- a/gradeledge-core/src/main/java/org/gradeledge/node/ReadContinuityTracker.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/ReadContinuityTracker.java
@@ -5,20 +5,17 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Whether a box has read a table so steadily that it would have noticed an outage in which entries
- * lapse. Confined to the event loop.
+ * Tracks whether a table has been read without gaps long enough to miss an outage in which rows
+ * expire. Confined to the event loop.
  */
 final class ReadContinuityTracker {
 
-  /**
-   * Longest time between two answers. Entries lapse after three heartbeats of silence, which is no
-   * less than 3 s on any deployment; a box that others rely on reads each second.
-   */
+  /** Longest time between two answers; shorter than the time after which rows expire. */
   private static final Duration MAX_GAP = Duration.ofMillis(2_500);
 
   /**
-   * Whoever has just begun to read does not know of an outage that has just ended; within two
-   * seconds of that the entries of all that live are back.
+   * Time without gaps before removals are trusted. Rows that expired in an outage just before the
+   * first read have been written again by then.
    */
   private static final Duration MIN_CONTINUOUS_TIME = Duration.ofSeconds(2);
 
@@ -31,7 +28,7 @@
     this.clock = clock;
   }
 
-  /** Notes an answer. */
+  /** Records an answer of the table. */
   void recordAnswer() {
     long now = clock.nanos();
     if (!answerReceived || now - lastAnswerNanos > MAX_GAP.toNanos()) {
@@ -43,10 +40,10 @@
 
   ListTrust trust() {
     long now = clock.nanos();
-    boolean steady =
+    boolean continuous =
         answerReceived
             && now - lastAnswerNanos <= MAX_GAP.toNanos()
             && lastAnswerNanos - continuousSinceNanos >= MIN_CONTINUOUS_TIME.toNanos();
-    return steady ? ListTrust.TRUSTED : ListTrust.UNKNOWN;
+    return continuous ? ListTrust.TRUSTED : ListTrust.UNKNOWN;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayAdapters.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayAdapters.java
@@ -8,18 +8,17 @@
 import org.gradeledge.relay.RelayProtocol;
 
 /**
- * What translates between the box and the platform that it runs on.
+ * Adapters between a box and the platform on which it runs.
  *
- * @param relayProtocol how requests look on the wire
- * @param stageProtocol how calls for stage work look on the wire
- * @param signalReader how upstreams say what the heads of their answers tell of themselves
+ * @param relayProtocol encodes requests to upstreams
+ * @param stageProtocol encodes calls for stage work
+ * @param signalReader reads signals of upstreams from the headers of their answers
  * @param deploymentReader reads configuration documents
  * @param upstreamRowReader reads rows of the list of upstreams
- * @param operatorRowReader tells what rows of the table of orders mean
- * @param operatorTable holds what the operator orders: the newest configuration document,
- *     evacuations
- * @param upstreamTable holds the list of upstreams
- * @param verdictTable holds the requests that are held back; the deployment's own
+ * @param operatorRowReader interprets rows of the operator's table
+ * @param operatorTable table with the current configuration document and evacuations
+ * @param upstreamTable table with the list of upstreams
+ * @param verdictTable table with the quarantined requests, specific to the deployment
  * @since 0.2
  */
 public record RelayAdapters(
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -41,7 +41,7 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * A box that relays requests to upstreams: everything of it runs on one event loop.
+ * A box that relays requests to upstreams on a single event loop.
  *
  * @since 0.2
  */
@@ -52,7 +52,7 @@
   private static final int MIN_CONNECTIONS = 3;
   private static final String VERDICT_WRITER_ROLE = "write-verdicts";
 
-  /** Boxes that write a verdict where the one that reached it is gone: one and a spare. */
+  /** Boxes that write a verdict if the box that reached it is lost. */
   private static final int VERDICT_WRITER_COUNT = 2;
 
   private final RelaySettings settings;
@@ -71,7 +71,7 @@
   private final MonitoringEndpoints endpoints;
   private final GracefulShutdown stop;
 
-  /** Puts the box together; it does not listen yet. */
+  /** Creates the box without starting it. */
   public RelayBox(
       RelaySettings settings, RelayAdapters adapters, LoopResources loops, EventLog events) {
     this.settings = settings;
@@ -135,8 +135,8 @@
   }
 
   /**
-   * What timers would have done meanwhile is done now; peers that are silent go at the next beat.
-   * Where it is not sure that time has passed, what costs little and does no harm is done.
+   * Handles overdue timers and stale connections after a suspension of the machine. Where a
+   * suspension is only possible, closes idle connections and reads the tables again.
    */
   private void onClockJump(ClockJump jump, PooledUpstreamCaller caller) {
     events
@@ -153,9 +153,9 @@
     }
   }
 
-  private UpstreamChooser newChooser(LoadBoard board) {
+  private UpstreamChooser newChooser(LoadBoard loads) {
     return new PrefixAffinityChooser(
-        board, new LeastLoadedChooser(board, new Random()), this::kvCacheTokens);
+        loads, new LeastLoadedChooser(loads, new Random()), this::kvCacheTokens);
   }
 
   private QuarantineVerdictStore newVerdictStore(Quarantine quarantine, RelayAdapters adapters) {
@@ -178,10 +178,10 @@
   }
 
   private PlatformFollowers newFollowers(
-      RelayAdapters adapters, QuarantineVerdictStore verdicts, MonotonicClock clock) {
+      RelayAdapters adapters, QuarantineVerdictStore verdictStore, MonotonicClock clock) {
     return new PlatformFollowers(
         adapters,
-        verdicts,
+        verdictStore,
         settings.maxLeavingDelay(),
         mesh,
         deployments,
@@ -192,7 +192,7 @@
         metrics::unreadableRow);
   }
 
-  private BoxMesh newMesh(SharedBoxState beliefs, MonotonicClock clock) {
+  private BoxMesh newMesh(SharedBoxState state, MonotonicClock clock) {
     PeerTransport transport =
         new PeerTransport(Optional.empty(), Optional.empty(), Optional.of(loops));
     PeerNetwork network =
@@ -205,12 +205,12 @@
         settings.seeds(),
         network,
         loop,
-        beliefs,
+        state,
         clock,
         events);
   }
 
-  /** Starts to listen and to follow the platform. */
+  /** Starts listening and following the tables of the platform. */
   public Mono<Void> start() {
     events
         .change("start")
@@ -225,7 +225,7 @@
         .then(Mono.fromRunnable(() -> loop.execute(followers::start)));
   }
 
-  /** Stops as planned; returns once everything is done. Must not be called on the event loop. */
+  /** Shuts down gracefully and returns once done. Must not be called on the event loop. */
   public void stop() throws InterruptedException {
     CountDownLatch stopped = new CountDownLatch(1);
     loop.execute(() -> stop.start(stopped::countDown));
@@ -243,13 +243,13 @@
   }
 
   private Optional<ServiceDefinition> findService(String name) {
-    return deployments.current().flatMap((Deployment held) -> held.service(name));
+    return deployments.current().flatMap((Deployment deployment) -> deployment.service(name));
   }
 
   private int connectionLimit(UpstreamRecord upstream) {
-    int most =
+    int limit =
         findService(upstream.service()).map(ServiceDefinition::maxConnections).orElse(boxCount());
-    return Math.max(MIN_CONNECTIONS, (int) (most * USABLE_CONNECTION_SHARE / boxCount()));
+    return Math.max(MIN_CONNECTIONS, (int) (limit * USABLE_CONNECTION_SHARE / boxCount()));
   }
 
   private long kvCacheTokens(UpstreamRecord upstream) {
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelaySettings.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelaySettings.java
@@ -6,23 +6,22 @@
 import java.util.Optional;
 
 /**
- * Settings of a box that relays.
+ * Settings of a box that relays requests.
  *
- * @param box its name
- * @param zone its availability zone
- * @param weight how much work for others the box can bear beside its own, in hundredths of a core;
- *     boxes compare it with each other's
- * @param callerAddress where callers connect
- * @param readinessAddress where the balancer asks whether the box is ready
- * @param peerAddress where other boxes connect; this names the box among them
- * @param metricsAddress where metrics are read
- * @param seeds addresses of some other boxes, which may be stale
- * @param peerSecret secret that the boxes of a deployment share
- * @param retryRatio requests that may be sent again for each one taken
- * @param retryAllowance requests that may be sent again besides, in a window
+ * @param box name of the box
+ * @param zone availability zone of the box
+ * @param weight capacity for work of other boxes, in hundredths of a core; relative to other boxes
+ * @param callerAddress address for callers
+ * @param readinessAddress address for readiness checks of the load balancer
+ * @param peerAddress address for other boxes; identifies this box among them
+ * @param metricsAddress address for metrics
+ * @param seeds addresses of some other boxes, possibly outdated
+ * @param peerSecret secret shared by the boxes of a deployment
+ * @param retryRatio retries allowed for each accepted request
+ * @param retryAllowance additional retries allowed in a window
  * @param retryWindow length of a window
- * @param maxLeavingDelay within this an upstream that leaves must get no new work
- * @param gracePeriod time between the signal to stop and the end
+ * @param maxLeavingDelay time within which a leaving upstream must stop receiving new requests
+ * @param gracePeriod time between the signal to stop and the end of the process
  * @since 0.2
  */
 public record RelaySettings(
@@ -41,7 +40,7 @@
     Duration maxLeavingDelay,
     Duration gracePeriod) {
 
-  /** Copies the list. */
+  /** Creates settings with an immutable copy of the seeds. */
   public RelaySettings {
     seeds = List.copyOf(seeds);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RestoredRowCleaner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RestoredRowCleaner.java
@@ -13,15 +13,16 @@
 import org.gradeledge.quarantine.RequestFingerprint;
 
 /**
- * Rows of verdicts that were lifted and stand in the table again, as that came back as an older
- * copy of itself. Boxes on duty remove them at once; one on duty may not know of the lifting, so
- * that the others remove what is still there some seconds later. Confined to the event loop.
+ * Removes verdict rows that reappear when the table is restored from a backup taken before they
+ * were removed. Boxes assigned to write verdicts remove them immediately. Other boxes remove the
+ * remaining rows after a delay, as an assigned box may not have recorded the removal. Confined to
+ * the event loop.
  */
 final class RestoredRowCleaner {
 
   private static final long FALLBACK_DELAY_MILLIS = 2_000;
 
-  /** Boxes that are not on duty are spread over so long, as one of them is enough. */
+  /** Random delay that spreads the removals of boxes that are not assigned. */
   private static final long FALLBACK_JITTER_MILLIS = 8_000;
 
   private static final long RETRY_MILLIS = 1_000;
@@ -32,31 +33,32 @@
   private final EventLog events;
   private final Set<String> keys = new HashSet<>();
 
-  RestoredRowCleaner(WritableTable table, EventLoop loop, BooleanSupplier onDuty, EventLog events) {
+  RestoredRowCleaner(
+      WritableTable table, EventLoop loop, BooleanSupplier isWriter, EventLog events) {
     this.table = table;
     this.loop = loop;
-    this.isWriter = onDuty;
+    this.isWriter = isWriter;
     this.events = events;
   }
 
-  /** Removes rows that the table has again. */
-  void removeRestored(Collection<String> returned) {
+  /** Removes rows that are in the table again. */
+  void removeRestored(Collection<String> restoredKeys) {
     keys.clear();
-    keys.addAll(returned);
+    keys.addAll(restoredKeys);
     if (isWriter.getAsBoolean()) {
       removeRows();
     } else {
-      long spread = ThreadLocalRandom.current().nextLong(FALLBACK_JITTER_MILLIS);
-      scheduleRemoval(FALLBACK_DELAY_MILLIS + spread);
+      long jitter = ThreadLocalRandom.current().nextLong(FALLBACK_JITTER_MILLIS);
+      scheduleRemoval(FALLBACK_DELAY_MILLIS + jitter);
     }
   }
 
-  /** Notes that a row is gone. */
+  /** Records that a row was removed from the table. */
   void onRowRemoved(String key) {
     keys.remove(key);
   }
 
-  /** Notes that a request is held back, perhaps once more, so that its rows count again. */
+  /** Keeps the rows of a request that is quarantined again. */
   void onQuarantined(RequestFingerprint fingerprint) {
     keys.removeIf(key -> key.startsWith(fingerprint.toString()));
   }
@@ -71,19 +73,19 @@
     if (keys.isEmpty()) {
       return;
     }
-    List<String> removed = List.copyOf(keys);
+    List<String> removedKeys = List.copyOf(keys);
     table
-        .remove(removed)
+        .remove(removedKeys)
         .subscribe(
             ignored -> {},
-            failure -> loop.execute(() -> retryRemoval(removed, failure)),
-            () -> loop.execute(() -> removed.forEach(keys::remove)));
+            failure -> loop.execute(() -> retryRemoval(removedKeys, failure)),
+            () -> loop.execute(() -> removedKeys.forEach(keys::remove)));
   }
 
-  private void retryRemoval(List<String> removed, Throwable failure) {
+  private void retryRemoval(List<String> removedKeys, Throwable failure) {
     events
         .problem("verdict-not-removed")
-        .with("keys", String.join(",", removed))
+        .with("keys", String.join(",", removedKeys))
         .with("why", String.valueOf(failure))
         .write();
     scheduleRemoval(RETRY_MILLIS);
--- a/gradeledge-core/src/main/java/org/gradeledge/node/SendLimiters.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/SendLimiters.java
@@ -23,8 +23,8 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Puts together what tells which upstreams take one more request of this box now, and hands on what
- * the heads of their answers say.
+ * Creates the limiters that decide whether an upstream accepts another request from this box, and
+ * updates them from the signals in answers of upstreams.
  */
 final class SendLimiters {
 
@@ -48,19 +48,19 @@
     this.unreadableLeavingSignals = new UnreadableSignals(events, "upstream-leaving-unreadable");
   }
 
-  /** Returns the limits that are known. */
+  /** Returns the rate limits announced by upstreams. */
   UpstreamLimits limits() {
     return limits;
   }
 
-  /** Shows what upstreams say of themselves. */
-  void registerMetrics(RelayMetrics metrics, LimitedSending limited) {
-    metrics.watchLimits(limits::count, limited::heldOff);
+  /** Registers metrics of announced limits, backoffs and leaving upstreams. */
+  void registerMetrics(RelayMetrics metrics, LimitedSending rateLimiter) {
+    metrics.watchLimits(limits::count, rateLimiter::heldOff);
     metrics.watchSignals(
         () -> upstreams.leavingAsTheySaid().size(), backoffs::count, backoffs::heldOff);
   }
 
-  /** Reads what all answers say of their upstreams, and has the mesh tell what is new at once. */
+  /** Applies the signals in all answers and has the mesh announce changes immediately. */
   void handleSignals(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
     caller.onAnswer(
         (upstream, head) -> {
@@ -78,21 +78,21 @@
     backoffs.onBegin(caller::holdOff);
   }
 
-  private void applyLeavingSignal(UpstreamRecord upstream, LeavingStatement statement) {
-    switch (statement.kind()) {
+  private void applyLeavingSignal(UpstreamRecord upstream, LeavingStatement signal) {
+    switch (signal.kind()) {
       case LEAVES -> upstreams.announcesLeaving(upstream);
-      case UNREADABLE -> unreadableLeavingSignals.note(upstream, statement.text());
+      case UNREADABLE -> unreadableLeavingSignals.note(upstream, signal.text());
       case NOTHING -> {}
-      default -> throw new IllegalStateException("unknown statement " + statement.kind());
+      default -> throw new IllegalStateException("Unknown leaving signal: " + signal.kind());
     }
   }
 
-  /** Returns the rule of upstreams that want nothing from this box for a while. */
+  /** Returns the limiter for upstreams that requested a backoff. */
   SendingRule backoffs() {
     return backoffs;
   }
 
-  /** Returns the rule of limits that upstreams name, for all requests. */
+  /** Creates the limiter that enforces the rate limits announced by upstreams. */
   LimitedSending rateLimit(BoxMesh mesh) {
     return new LimitedSending(
         clock,
@@ -102,21 +102,21 @@
   }
 
   /**
-   * Returns the rule of upstreams that are cold. Calls for stage work need none: one at a time,
-   * they are fewer than any cold upstream bears.
+   * Creates the limiter for upstreams that are cold. Calls for stage work are exempt: they are sent
+   * one at a time, below the limit of any cold upstream.
    *
-   * @param boxes how many boxes are heard, this one included
+   * @param boxCount number of known boxes including this one
    */
-  SendingRule coldStart(IntSupplier boxes) {
-    ColdUpstreams cold =
+  SendingRule coldStart(IntSupplier boxCount) {
+    ColdUpstreams limiter =
         new ColdUpstreams(
             clock,
             new Random(),
-            boxes,
+            boxCount,
             service -> services.apply(service).flatMap(ServiceDefinition::coldStart));
-    upstreams.onCold(cold::told);
-    upstreams.onRestored(zones -> cold.restored(upstreams.inZones(zones)));
-    upstreams.onEnd(cold::forget);
-    return cold;
+    upstreams.onCold(limiter::told);
+    upstreams.onRestored(zones -> limiter.restored(upstreams.inZones(zones)));
+    upstreams.onEnd(limiter::forget);
+    return limiter;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/TableBackedTrials.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/TableBackedTrials.java
@@ -17,16 +17,12 @@
 import reactor.core.publisher.Mono;
 
 /**
- * When requests that are held back are tried once more; each trial is a row of the platform's table
- * that one box alone can create. Confined to the event loop.
+ * Schedules trials of quarantined requests. A box claims a trial by creating its row in the
+ * platform's table, so that only one box runs it. Confined to the event loop.
  */
 final class TableBackedTrials implements Trials {
 
-  /**
-   * When a request that is held back is tried once more, counted from the verdict. Upstreams may
-   * have been mended by then; each trial may end one, so that there are two, and the deployment
-   * allows three in all.
-   */
+  /** Delay of each trial after the verdict. */
   static final List<Duration> TRIAL_DELAYS = List.of(Duration.ofMinutes(10), Duration.ofHours(2));
 
   private static final long RETRY_MILLIS = 1_000;
@@ -44,27 +40,27 @@
       WritableTable table,
       EventLoop loop,
       LongSupplier timeOfDayMillis,
-      BooleanSupplier onDuty,
+      BooleanSupplier isWriter,
       EventLog events) {
     this.keys = keys;
     this.table = table;
     this.loop = loop;
     this.timeOfDayMillis = timeOfDayMillis;
-    this.isWriter = onDuty;
+    this.isWriter = isWriter;
     this.events = events;
   }
 
-  /** Notes since when a request is held back, as its row says. */
+  /** Records when a request was quarantined according to its row. */
   void setQuarantinedAt(RequestFingerprint fingerprint, long millis) {
     quarantinedAtMillis.put(fingerprint, millis);
   }
 
-  /** Notes since when a request is held back, unless its row has said so. */
+  /** Records when a request was quarantined unless the time is already known. */
   void setQuarantinedAtIfAbsent(RequestFingerprint fingerprint, long millis) {
     quarantinedAtMillis.putIfAbsent(fingerprint, millis);
   }
 
-  /** Returns since when a request is held back, now if that is not known. */
+  /** Returns when a request was quarantined, or the current time if unknown. */
   long quarantinedAt(RequestFingerprint fingerprint) {
     return quarantinedAtMillis.getOrDefault(fingerprint, timeOfDayMillis.getAsLong());
   }
@@ -75,13 +71,13 @@
 
   @Override
   public Optional<Duration> untilNext(RequestFingerprint fingerprint) {
-    Long since = quarantinedAtMillis.get(fingerprint);
-    int taken = keys.usedTrials(fingerprint);
-    if (since == null || taken == TRIAL_DELAYS.size()) {
+    Long quarantinedAt = quarantinedAtMillis.get(fingerprint);
+    int used = keys.usedTrials(fingerprint);
+    if (quarantinedAt == null || used == TRIAL_DELAYS.size()) {
       return Optional.empty();
     }
-    long age = timeOfDayMillis.getAsLong() - since;
-    return Optional.of(Duration.ofMillis(Math.max(0, TRIAL_DELAYS.get(taken).toMillis() - age)));
+    long age = timeOfDayMillis.getAsLong() - quarantinedAt;
+    return Optional.of(Duration.ofMillis(Math.max(0, TRIAL_DELAYS.get(used).toMillis() - age)));
   }
 
   @Override
@@ -101,7 +97,7 @@
         .write();
   }
 
-  /** Keeps a trial spent whose row the table has lost, and writes that again. */
+  /** Marks a trial as used and writes its row again after the table lost it. */
   void rewriteTrial(String key) {
     keys.addWritten(key);
     if (isWriter.getAsBoolean()) {
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UnreadableRowLog.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UnreadableRowLog.java
@@ -8,12 +8,12 @@
 import org.gradeledge.follow.TableRow;
 
 /**
- * Rows that name no upstream, as something else wrote them. Each is told of once, and again only
- * when it has changed, however often the list is read. Confined to the event loop.
+ * Logs rows of the list of upstreams that cannot be read. A row is logged again only when its value
+ * changes. Confined to the event loop.
  */
 final class UnreadableRowLog {
 
-  /** Far more than one list has rows; the oldest are forgotten, and may be told of once more. */
+  /** Number of rows to remember; the oldest are evicted. */
   private static final int MAX_ENTRIES = 1_000;
 
   private final EventLog events;
@@ -21,28 +21,28 @@
   private final Map<String, Integer> hashByKey = new LinkedHashMap<>();
 
   /**
-   * Creates it without any row.
+   * Creates an empty log.
    *
-   * @param onOne run for each row that is told of
+   * @param rowListener run for each logged row
    */
-  UnreadableRowLog(EventLog events, Runnable onOne) {
+  UnreadableRowLog(EventLog events, Runnable rowListener) {
     this.events = events;
-    this.rowListener = onOne;
+    this.rowListener = rowListener;
   }
 
-  void logIfChanged(TableRow row, String why) {
+  void logIfChanged(TableRow row, String reason) {
     int hash = Arrays.hashCode(row.value());
-    Integer before = hashByKey.put(row.key(), hash);
+    Integer previous = hashByKey.put(row.key(), hash);
     if (hashByKey.size() > MAX_ENTRIES) {
       hashByKey.remove(hashByKey.keySet().iterator().next());
     }
-    if (before == null || before != hash) {
+    if (previous == null || previous != hash) {
       rowListener.run();
-      events.problem("upstream-row-unreadable").with("row", row.key()).with("why", why).write();
+      events.problem("upstream-row-unreadable").with("row", row.key()).with("why", reason).write();
     }
   }
 
-  /** Forgets rows that can be read now, or are gone. */
+  /** Removes rows that are readable again or were deleted. */
   void remove(Collection<String> keys) {
     keys.forEach(hashByKey::remove);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamRowReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamRowReader.java
@@ -12,6 +12,6 @@
 @FunctionalInterface
 public interface UpstreamRowReader {
 
-  /** Returns the upstream, or what is wrong with the row. */
+  /** Returns the upstream, or the reason why the row cannot be read. */
   Either<String, UpstreamRecord> read(TableRow row);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
@@ -15,18 +15,18 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Takes the list of upstreams into the registry. A row that cannot be read names no upstream: where
- * one stood under its key before, that is taken as missing until the row is whole again, since what
- * cannot be read may have said that the upstream leaves.
+ * Applies the list of upstreams to the registry. A row that cannot be read removes the upstream of
+ * its key until the row is readable again, as its content may announce that the upstream is
+ * leaving.
  */
 final class UpstreamTableListener implements TableListener {
 
-  /** Upstreams that live have renewed their entries by then after the platform's return. */
+  /** Time within which live upstreams renew their rows after an outage of the platform. */
   private static final Duration RENEWAL_TIME = Duration.ofMillis(2_000);
 
   /**
-   * Part of the bound for upstreams that leave after which the list is judged. The rest is for the
-   * look that comes before, and for the way of what was sent a moment earlier.
+   * Share of the maximum leaving delay after which missing rows are treated as removed. The rest
+   * covers the preceding read and requests already sent.
    */
   private static final double SHARE_OF_LEAVING_DELAY = 0.9;
 
@@ -44,29 +44,29 @@
   /**
    * Creates the listener.
    *
-   * @param leavingBound time within which an upstream that leaves must get no new work
+   * @param maxLeavingDelay time within which a leaving upstream must stop receiving new requests
    */
   UpstreamTableListener(
       UpstreamRegistry upstreams,
       UpstreamRowReader reader,
-      UnreadableRowLog unreadable,
-      Runnable onNews,
+      UnreadableRowLog unreadableRows,
+      Runnable changeListener,
       EventLoop loop,
       MonotonicClock clock,
-      Duration leavingBound) {
+      Duration maxLeavingDelay) {
     this.upstreams = upstreams;
     this.reader = reader;
-    this.unreadableRows = unreadable;
-    this.changeListener = onNews;
+    this.unreadableRows = unreadableRows;
+    this.changeListener = changeListener;
     this.loop = loop;
     this.readContinuity = new ReadContinuityTracker(clock);
     upstreams.onTrust(readContinuity::trust);
     this.renewalMillis =
         Math.min(
-            RENEWAL_TIME.toMillis(), (long) (leavingBound.toMillis() * SHARE_OF_LEAVING_DELAY));
+            RENEWAL_TIME.toMillis(), (long) (maxLeavingDelay.toMillis() * SHARE_OF_LEAVING_DELAY));
   }
 
-  /** Sets how the list is read at once. */
+  /** Sets the action that reads the list immediately. */
   void setReadAction(Runnable action) {
     readAction = action;
   }
@@ -80,14 +80,14 @@
   public void onChanges(TableChanges changes) {
     unreadableRows.remove(changes.removed());
     List<String> missing = new ArrayList<>(changes.removed());
-    List<UpstreamRecord> whole = readRows(changes.put(), missing);
-    notifyIfChanged(() -> upstreams.update(changes.revision(), whole, missing));
+    List<UpstreamRecord> readable = readRows(changes.put(), missing);
+    notifyIfChanged(() -> upstreams.update(changes.revision(), readable, missing));
   }
 
   private void notifyIfChanged(Runnable change) {
-    long before = upstreams.changedAt();
+    long previousRevision = upstreams.changedAt();
     change.run();
-    if (upstreams.changedAt() > before) {
+    if (upstreams.changedAt() > previousRevision) {
       changeListener.run();
     }
   }
@@ -100,7 +100,7 @@
     changeListener.run();
   }
 
-  /** Whoever lives has written its entry again by the time that an outage's lapsed ones are. */
+  /** Treats a restored backup like an outage: live upstreams write their rows again. */
   @Override
   public void onOlderCopy() {
     onAway();
@@ -110,16 +110,16 @@
 
   @Override
   public void onBack() {
-    int ended = outageCount;
-    loop.schedule(() -> confirmRemovalsAfter(ended), renewalMillis, TimeUnit.MILLISECONDS);
+    int outage = outageCount;
+    loop.schedule(() -> confirmRemovalsAfter(outage), renewalMillis, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * What is missing from the next answer is gone. An answer from before may be as old as the pause
-   * between two looks, in which living upstreams have renewed their entries.
+   * Treats rows missing from the next answer as removed, unless another outage has begun. Earlier
+   * answers may predate the renewal of rows.
    */
-  private void confirmRemovalsAfter(int ended) {
-    if (ended == outageCount) {
+  private void confirmRemovalsAfter(int outage) {
+    if (outage == outageCount) {
       confirmRemovals();
     }
   }
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Judges what is missing, as no other box doubts the list any more. One that has noticed the
-   * outage itself does so in its own time.
+   * Confirms removals once no other box distrusts the list. A box that noticed the outage itself
+   * confirms them after its own delay.
    */
   void onListConfirmed() {
     if (upstreams.trust() != ListTrust.DOUBTED) {
@@ -144,25 +144,25 @@
     readContinuity.recordAnswer();
     if (awaitingConfirmation) {
       awaitingConfirmation = false;
-      boolean doubted = upstreams.trust() == ListTrust.DOUBTED;
+      boolean distrusted = upstreams.trust() == ListTrust.DOUBTED;
       notifyIfChanged(upstreams::trustRemovals);
-      if (doubted) {
+      if (distrusted) {
         changeListener.run();
       }
     }
   }
 
-  /** Returns the upstreams that rows name, and adds the keys of the other rows to a list. */
-  private List<UpstreamRecord> readRows(List<TableRow> rows, List<String> unread) {
-    List<UpstreamRecord> whole = new ArrayList<>();
+  /** Returns the upstreams of readable rows and adds the keys of the other rows to a list. */
+  private List<UpstreamRecord> readRows(List<TableRow> rows, List<String> unreadableKeys) {
+    List<UpstreamRecord> readable = new ArrayList<>();
     for (TableRow row : rows) {
       reader
           .read(row)
-          .peek(whole::add)
+          .peek(readable::add)
           .peek(upstream -> unreadableRows.remove(List.of(row.key())))
-          .peekLeft(why -> unreadableRows.logIfChanged(row, why))
-          .peekLeft(why -> unread.add(row.key()));
+          .peekLeft(reason -> unreadableRows.logIfChanged(row, reason))
+          .peekLeft(reason -> unreadableKeys.add(row.key()));
     }
-    return whole;
+    return readable;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRow.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRow.java
@@ -15,13 +15,13 @@
 import org.gradeledge.quarantine.SuspectReport;
 
 /**
- * A request that is held back, as its row keeps it. The key is the fingerprint; the value names the
- * upstreams that ended under it, and when the verdict was reached by the time of day, in
- * milliseconds since 1970. Trials are rows of their own, so that one box alone can create each.
+ * Table row of a quarantined request. The key is the fingerprint. The value contains the upstreams
+ * that crashed while serving the request and the time of the verdict. Trials are separate rows, so
+ * that only one box can create each.
  *
- * @param fingerprint which request
- * @param incarnationIds the upstreams that ended under it
- * @param quarantinedAtMillis when the verdict was reached
+ * @param fingerprint fingerprint of the request
+ * @param incarnationIds upstreams that crashed while serving the request
+ * @param quarantinedAtMillis time of the verdict in milliseconds since 1970
  */
 record VerdictRow(
     RequestFingerprint fingerprint, List<String> incarnationIds, long quarantinedAtMillis) {
@@ -30,18 +30,18 @@
   private static final String TIME_FIELD = "since";
   private static final String TRIAL_INFIX = "/trial-";
 
-  /** Returns the key of a trial of a request; they are counted from 1. */
+  /** Returns the key of a trial of a request; the first trial has number 1. */
   static String trialKey(RequestFingerprint fingerprint, int number) {
     return fingerprint + TRIAL_INFIX + number;
   }
 
-  /** Returns whose trial a key names, empty where it names none. */
+  /** Returns the fingerprint in the key of a trial, or empty for other keys. */
   static Optional<RequestFingerprint> fingerprintOfTrial(String key) {
     int end = key.indexOf(TRIAL_INFIX);
     return end < 0 ? Optional.empty() : RequestFingerprint.parse(key.substring(0, end));
   }
 
-  /** Reads a row, or tells what is wrong with it. */
+  /** Returns the content of a row, or the reason why it cannot be read. */
   static Either<String, VerdictRow> read(TableRow row) {
     return Try.of(() -> parse(row.key(), JsonTrees.read(row.value())))
         .toEither()
@@ -56,24 +56,24 @@
       throw new IllegalArgumentException(
           "/" + INCARNATIONS_FIELD + " and /" + TIME_FIELD + " must be given");
     }
-    List<String> starts = new ArrayList<>();
-    value.path(INCARNATIONS_FIELD).forEach(start -> starts.add(start.asText()));
-    return new VerdictRow(fingerprint, starts, value.path(TIME_FIELD).asLong());
+    List<String> ids = new ArrayList<>();
+    value.path(INCARNATIONS_FIELD).forEach(id -> ids.add(id.asText()));
+    return new VerdictRow(fingerprint, ids, value.path(TIME_FIELD).asLong());
   }
 
   TableRow toTableRow() {
     ObjectNode value = JsonTrees.newObject();
-    ArrayNode ended = value.putArray(INCARNATIONS_FIELD);
-    incarnationIds.forEach(ended::add);
+    ArrayNode ids = value.putArray(INCARNATIONS_FIELD);
+    incarnationIds.forEach(ids::add);
     value.put(TIME_FIELD, quarantinedAtMillis);
     return new TableRow(fingerprint.toString(), JsonTrees.write(value));
   }
 
-  /** Returns what the row tells, at a time of day. */
+  /** Returns a suspect report with the content of the row. */
   SuspectReport toReport(long nowMillis) {
     long age = Math.max(0, nowMillis - quarantinedAtMillis);
-    List<EndReport> ends =
-        incarnationIds.stream().map(start -> new EndReport(start, age, false)).toList();
-    return new SuspectReport(fingerprint, ends, true);
+    List<EndReport> crashes =
+        incarnationIds.stream().map(id -> new EndReport(id, age, false)).toList();
+    return new SuspectReport(fingerprint, crashes, true);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRowKeys.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRowKeys.java
@@ -8,20 +8,23 @@
 import java.util.stream.Stream;
 import org.gradeledge.quarantine.RequestFingerprint;
 
-/** Which rows of verdicts and trials are in the platform's table. Confined to the event loop. */
+/**
+ * Tracks which rows of verdicts and trials are in the platform's table. Confined to the event loop.
+ */
 final class VerdictRowKeys {
 
-  /** Many more than an operator lifts in the seconds that a copy may be old. */
+  /** Exceeds the number of verdicts that an operator withdraws while a backup may be outdated. */
   private static final int MAX_WITHDRAWN = 1_024;
 
   /**
-   * Keys of rows that were read. What this box has written may be missing from an older reading.
+   * Keys of rows that were read. Keys that this box wrote are separate, as an outdated read may
+   * lack them.
    */
   private final Set<String> readKeys = new HashSet<>();
 
   private final Set<String> writtenKeys = new HashSet<>();
 
-  /** Keys whose rows were removed, the newest last: an older copy of the table has them again. */
+  /** Keys of removed rows, newest last; a restored backup may contain the rows again. */
   private final Set<String> withdrawnKeys = new LinkedHashSet<>();
 
   boolean isStored(String key) {
@@ -40,23 +43,23 @@
     writtenKeys.add(key);
   }
 
-  /** Begins a whole reading; returns the keys that were read before. */
+  /** Starts a full read and returns the keys of the previous one. */
   Set<String> startRead() {
-    Set<String> before = Set.copyOf(readKeys);
+    Set<String> previous = Set.copyOf(readKeys);
     readKeys.clear();
-    return before;
+    return previous;
   }
 
-  /** Begins the reading of an older copy of the table; returns all keys that were there before. */
+  /** Starts a read of a restored backup and returns all keys stored before. */
   Set<String> startRestoredRead() {
-    Set<String> before = new HashSet<>(readKeys);
-    before.addAll(writtenKeys);
+    Set<String> previous = new HashSet<>(readKeys);
+    previous.addAll(writtenKeys);
     readKeys.clear();
     writtenKeys.clear();
-    return before;
+    return previous;
   }
 
-  /** Notes that a row was removed. */
+  /** Records that a row was removed. */
   void remove(String key) {
     readKeys.remove(key);
     writtenKeys.remove(key);
@@ -66,25 +69,25 @@
     }
   }
 
-  /** Notes that a request is held back, perhaps once more. */
+  /** Records that a request is quarantined, so that its rows no longer count as removed. */
   void onQuarantined(RequestFingerprint fingerprint) {
     withdrawnKeys.removeIf(key -> key.startsWith(fingerprint.toString()));
   }
 
-  /** Returns the keys of all rows that a request has. */
-  List<String> storedKeys(RequestFingerprint fingerprint, int mostTrials) {
+  /** Returns the keys of all stored rows of a request. */
+  List<String> storedKeys(RequestFingerprint fingerprint, int maxTrials) {
     Stream<String> trials =
-        IntStream.rangeClosed(1, mostTrials)
+        IntStream.rangeClosed(1, maxTrials)
             .mapToObj(number -> VerdictRow.trialKey(fingerprint, number));
     return Stream.concat(Stream.of(fingerprint.toString()), trials).filter(this::isStored).toList();
   }
 
-  /** Returns how many trials of a request were granted. */
+  /** Returns the number of used trials of a request. */
   int usedTrials(RequestFingerprint fingerprint) {
-    int taken = 0;
-    while (isStored(VerdictRow.trialKey(fingerprint, taken + 1))) {
-      taken++;
+    int used = 0;
+    while (isStored(VerdictRow.trialKey(fingerprint, used + 1))) {
+      used++;
     }
-    return taken;
+    return used;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/package-info.java
@@ -1,4 +1,4 @@
-/** A whole entry box, put together from the other packages. */
+/** Boxes assembled from the components of the other packages. */
 @NullMarked
 package org.gradeledge.node;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/node/FakeWritableTable.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/FakeWritableTable.java
@@ -11,7 +11,7 @@
 import org.gradeledge.follow.WritableTable;
 import reactor.core.publisher.Mono;
 
-/** A table that several boxes of a test share; it answers at once, or not at all. */
+/** Table shared by the boxes of a test; answers immediately or fails while unavailable. */
 final class FakeWritableTable implements WritableTable {
 
   boolean unavailable;
@@ -20,10 +20,10 @@
   private final TreeMap<String, TableRow> rows = new TreeMap<>();
   private long revision;
 
-  /** Comes back as a copy of some rows. */
-  void restoreBackup(List<TableRow> copy) {
+  /** Replaces the content with a restored backup. */
+  void restoreBackup(List<TableRow> backup) {
     rows.clear();
-    copy.forEach(row -> rows.put(row.key(), row));
+    backup.forEach(row -> rows.put(row.key(), row));
   }
 
   Set<String> keys() {
@@ -39,7 +39,7 @@
     return Mono.fromCallable(
         () -> {
           if (unavailable) {
-            throw new IOException("the table is away");
+            throw new IOException("the table is unavailable");
           }
           boolean created = rows.putIfAbsent(row.key(), row) == null;
           creationCount += created ? 1 : 0;
@@ -53,7 +53,7 @@
     return Mono.fromCallable(
             () -> {
               if (unavailable) {
-                throw new IOException("the table is away");
+                throw new IOException("the table is unavailable");
               }
               keys.forEach(rows::remove);
               removalCount++;
--- a/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
@@ -24,7 +24,7 @@
 
   private static final byte[] EMPTY = {};
 
-  /** Keys are {@code document} and {@code empty:ZONE}. */
+  /** Reads keys {@code document} and {@code empty:ZONE}. */
   private static final class FakeRowReader implements OperatorRowReader {
 
     @Override
--- a/gradeledge-core/src/test/java/org/gradeledge/node/QuarantineVerdictStoreTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/QuarantineVerdictStoreTests.java
@@ -16,7 +16,7 @@
 import org.gradeledge.quarantine.RequestFingerprint;
 import org.junit.jupiter.api.Test;
 
-/** Verdicts outlast the boxes, in virtual time. */
+/** Persistence of verdicts across restarts of boxes, in virtual time. */
 class QuarantineVerdictStoreTests {
 
   private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 2, 3);
@@ -26,7 +26,7 @@
   private final List<Box> boxes = new ArrayList<>();
   private long nowMillis = TimeUnit.DAYS.toMillis(20_000);
 
-  /** One life of a box: whatever only it knew goes with it. */
+  /** Box without state from previous process lifetimes. */
   private final class Box {
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -49,8 +49,8 @@
     }
 
     void reachVerdict() {
-      for (String start : List.of("a", "b", "c")) {
-        quarantine.endedUnder(CRASHING, start);
+      for (String incarnationId : List.of("a", "b", "c")) {
+        quarantine.endedUnder(CRASHING, incarnationId);
       }
     }
 
@@ -64,11 +64,11 @@
     new Box().reachVerdict();
     advance(1);
 
-    Box next = new Box();
-    next.read();
+    Box restarted = new Box();
+    restarted.read();
 
-    assertThat(next.quarantine.bars(CRASHING)).isTrue();
-    assertThat(next.store.untilNext(CRASHING)).contains(Duration.ofMinutes(10).minusMillis(1));
+    assertThat(restarted.quarantine.bars(CRASHING)).isTrue();
+    assertThat(restarted.store.untilNext(CRASHING)).contains(Duration.ofMinutes(10).minusMillis(1));
   }
 
   @Test
@@ -86,15 +86,15 @@
 
   @Test
   void writerWritesVerdictOfLostBox() {
-    Box gone = new Box();
-    Box told = new Box();
-    Box onDuty = new Box();
-    onDuty.isWriter = true;
+    Box lostBox = new Box();
+    Box informedBox = new Box();
+    Box writer = new Box();
+    writer.isWriter = true;
     table.unavailable = true;
-    gone.reachVerdict();
-    told.quarantine.merge(gone.quarantine.all());
-    onDuty.quarantine.merge(gone.quarantine.all());
-    boxes.remove(gone);
+    lostBox.reachVerdict();
+    informedBox.quarantine.merge(lostBox.quarantine.all());
+    writer.quarantine.merge(lostBox.quarantine.all());
+    boxes.remove(lostBox);
     table.unavailable = false;
     advance(1_000);
     assertThat(table.keys()).isEmpty();
@@ -141,7 +141,6 @@
     assertThat(box.quarantine.bars(CRASHING)).isTrue();
   }
 
-  /** A reading that began before the row was written tells of the time before. */
   @Test
   void keepsVerdictWhenReadPredatesRow() {
     Box box = new Box();
@@ -156,29 +155,29 @@
   }
 
   /**
-   * Boxes may judge differently for a moment. A row that one of them removed for that would lift
-   * the verdict at all, and clear what ended.
+   * Guards against removing the row of a verdict that this box considers explained by other
+   * requests: the removal would withdraw the crashes at all boxes.
    */
   @Test
   void keepsRowOfVerdictExplainedByOtherRequests() {
-    RequestFingerprint innocent = new RequestFingerprint(9, 9, 9);
+    RequestFingerprint harmless = new RequestFingerprint(9, 9, 9);
     Box box = new Box();
-    for (String start : List.of("a", "b", "c")) {
-      box.quarantine.endedUnder(innocent, start);
+    for (String incarnationId : List.of("a", "b", "c")) {
+      box.quarantine.endedUnder(harmless, incarnationId);
     }
     advance(1);
-    for (String start : List.of("a", "b", "c", "d")) {
-      box.quarantine.endedUnder(CRASHING, start);
+    for (String incarnationId : List.of("a", "b", "c", "d")) {
+      box.quarantine.endedUnder(CRASHING, incarnationId);
     }
     advance(1);
     assertThat(box.quarantine.barred()).containsExactly(CRASHING);
-    assertThat(table.keys()).contains(KEY, innocent.toString());
+    assertThat(table.keys()).contains(KEY, harmless.toString());
 
-    Box next = new Box();
-    next.read();
-    next.quarantine.endedUnder(CRASHING, "d");
+    Box restarted = new Box();
+    restarted.read();
+    restarted.quarantine.endedUnder(CRASHING, "d");
 
-    assertThat(next.quarantine.barred()).containsExactly(CRASHING);
+    assertThat(restarted.quarantine.barred()).containsExactly(CRASHING);
   }
 
   @Test
@@ -208,7 +207,7 @@
     assertThat(box.quarantine.barred()).isEmpty();
   }
 
-  /** The deployment allows three retries in all; two are trials, by one box each. */
+  /** The deployment allows three retries in all; two of them are trials. */
   @Test
   void grantsTwoTrialsToAllBoxesTogether() {
     Box first = new Box();
@@ -233,7 +232,7 @@
     assertThat(second.store.untilNext(CRASHING)).isEmpty();
   }
 
-  /** A box that has not read that another one took the trial asks and is told no. */
+  /** Covers a box that has not yet read the claim of another box. */
   @Test
   void doesNotGrantTrialClaimedByAnotherBox() {
     Box first = new Box();
@@ -247,8 +246,8 @@
     assertThat(second.store.take(CRASHING).block()).isFalse();
   }
 
-  private long countGrantedTrials(Box... asking) {
-    return List.of(asking).stream()
+  private long countGrantedTrials(Box... claimants) {
+    return List.of(claimants).stream()
         .filter(box -> isDue(box.store.untilNext(CRASHING)))
         .filter(box -> box.store.take(CRASHING).block())
         .count();
@@ -262,7 +261,7 @@
     nowMillis += millis;
     for (Box box : boxes) {
       box.channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
-      for (int turn = 0; turn < 5; turn++) {
+      for (int run = 0; run < 5; run++) {
         box.channel.runPendingTasks();
       }
     }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/ReadContinuityTrackerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/ReadContinuityTrackerTests.java
@@ -41,7 +41,7 @@
     assertThat(tracker.trust()).isEqualTo(ListTrust.TRUSTED);
   }
 
-  /** A box that was suspended or frozen has not read meanwhile. */
+  /** Covers a suspended or frozen process. */
   @Test
   void doesNotTrustWithoutRecentAnswer() {
     readAfter(0, 1_000, 1_000);
--- a/gradeledge-core/src/test/java/org/gradeledge/node/RestoredUpstreamTableTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/RestoredUpstreamTableTests.java
@@ -6,18 +6,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The list of upstreams comes back as an older copy of itself, in virtual time. */
+/** Restore of the list of upstreams from a backup, in virtual time. */
 class RestoredUpstreamTableTests {
 
   private static final Duration MAX_LEAVING_DELAY = Duration.ofSeconds(2);
 
-  /** The list is that of the copy's era within a second. */
+  /** The box has applied the restored list by then. */
   private static final long APPLIED_MILLIS = 1_300;
 
-  /** What lives has written its entry again by then. */
+  /** Live upstreams have written their rows again by then. */
   private static final long RENEWED_MILLIS = 1_600;
 
-  /** What is missing by then is gone. */
+  /** Removals are confirmed by then. */
   private static final long CONFIRMED_MILLIS = 3_500;
 
   private final SimulatedBox box = new SimulatedBox(MAX_LEAVING_DELAY);
@@ -47,12 +47,12 @@
     box.advance(2_000);
     box.table().restoreBackup(3, "a");
 
-    for (long after = 0; after < CONFIRMED_MILLIS; after += 10) {
-      if (after == RENEWED_MILLIS) {
+    for (long elapsed = 0; elapsed < CONFIRMED_MILLIS; elapsed += 10) {
+      if (elapsed == RENEWED_MILLIS) {
         box.table().add("younger");
       }
       box.advance(10);
-      assertThat(box.isUsable("younger")).describedAs("%d ms after", after).isTrue();
+      assertThat(box.isUsable("younger")).describedAs("%d ms after the restore", elapsed).isTrue();
     }
   }
 
@@ -77,9 +77,9 @@
     assertThat(box.isUsable("gone")).isFalse();
     box.table().restoreBackup(3, "a", "gone");
 
-    for (long after = 0; after < RENEWED_MILLIS; after += 10) {
+    for (long elapsed = 0; elapsed < RENEWED_MILLIS; elapsed += 10) {
       box.advance(10);
-      assertThat(box.isUsable("gone")).describedAs("%d ms after", after).isFalse();
+      assertThat(box.isUsable("gone")).describedAs("%d ms after the restore", elapsed).isFalse();
     }
     box.table().remove("gone");
     box.advance(CONFIRMED_MILLIS);
@@ -132,14 +132,14 @@
 
   @Test
   void makesAtMostTwoAdditionalCallsPerRestore() {
-    int before = box.table().callCount();
+    int callsBefore = box.table().callCount();
     box.advance(5_000);
-    int usual = box.table().callCount() - before;
+    int usualCalls = box.table().callCount() - callsBefore;
 
     box.table().restoreBackup(3, "a");
-    int then = box.table().callCount();
+    int callsAtRestore = box.table().callCount();
     box.advance(5_000);
 
-    assertThat(box.table().callCount() - then).isLessThanOrEqualTo(usual + 2);
+    assertThat(box.table().callCount() - callsAtRestore).isLessThanOrEqualTo(usualCalls + 2);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/RestoredVerdictTableTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/RestoredVerdictTableTests.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The table of verdicts comes back as an older copy of itself, in virtual time. */
+/** Restore of the table of verdicts from a backup, in virtual time. */
 class RestoredVerdictTableTests {
 
   private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 2, 3);
@@ -39,8 +39,8 @@
   @BeforeEach
   void reachVerdict() {
     channel.freezeTime();
-    for (String start : List.of("a", "b", "c")) {
-      quarantine.endedUnder(CRASHING, start);
+    for (String incarnationId : List.of("a", "b", "c")) {
+      quarantine.endedUnder(CRASHING, incarnationId);
     }
     advance(10);
     read();
@@ -60,8 +60,8 @@
   @Test
   void rewritesVerdictThatWasNotReadBeforeRestore() {
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
-    for (String start : List.of("d", "e", "f")) {
-      quarantine.endedUnder(other, start);
+    for (String incarnationId : List.of("d", "e", "f")) {
+      quarantine.endedUnder(other, incarnationId);
     }
     advance(10);
     advance(1);
@@ -76,10 +76,10 @@
   void rewritesUsedTrialMissingFromBackup() {
     store.take(CRASHING).block();
     read();
-    List<TableRow> copy =
+    List<TableRow> backup =
         table.content().rows().stream().filter(row -> row.key().equals(KEY)).toList();
 
-    restoreBackup(copy);
+    restoreBackup(backup);
     advance(10);
 
     assertThat(store.untilNext(CRASHING).orElseThrow().toMinutes()).isGreaterThan(100);
@@ -88,18 +88,18 @@
 
   @Test
   void removesRestoredRowThatOperatorHadRemoved() {
-    List<TableRow> copy = table.content().rows();
+    List<TableRow> backup = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
     assertThat(quarantine.bars(CRASHING)).isFalse();
 
-    restoreBackup(copy);
+    restoreBackup(backup);
 
     assertThat(quarantine.bars(CRASHING)).isFalse();
     assertThat(table.keys()).isEmpty();
   }
 
-  // Guards against a lifted verdict whose row comes back and stays, as its row was never read here.
+  // Guards against keeping a restored row whose removal preceded the first read.
   @Test
   void removesRestoredRowThatWasNeverReadHere() {
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
@@ -113,7 +113,7 @@
     assertThat(table.keys()).containsExactly(KEY);
   }
 
-  // Guards against the same where other boxes have told of the lifting before the table did.
+  // Guards against the same where other boxes reported the withdrawal first.
   @Test
   void removesRestoredRowWithdrawnByOtherBoxes() {
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
@@ -133,15 +133,15 @@
     assertThat(table.keys()).containsExactly(KEY);
   }
 
-  // Guards against a row that comes back and stays, as no box on duty knows that it was lifted.
+  // Guards against a restored row that stays because no writer recorded its removal.
   @Test
   void removesRestoredRowWithDelayWhenNotWriter() {
-    List<TableRow> copy = table.content().rows();
+    List<TableRow> backup = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
     isWriter = false;
 
-    restoreBackup(copy);
+    restoreBackup(backup);
     assertThat(table.keys()).containsExactly(KEY);
     advance(20_000);
 
@@ -150,28 +150,28 @@
 
   @Test
   void leavesRemovalToWritersWhenNotWriter() {
-    List<TableRow> copy = table.content().rows();
+    List<TableRow> backup = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
     isWriter = false;
-    restoreBackup(copy);
+    restoreBackup(backup);
     table.remove(List.of(KEY)).block();
     store.onChanges(new TableChanges(9, List.of(), List.of(KEY)));
-    int before = table.removalCount;
+    int removalsBefore = table.removalCount;
 
     advance(20_000);
 
-    assertThat(table.removalCount).isEqualTo(before);
+    assertThat(table.removalCount).isEqualTo(removalsBefore);
   }
 
-  // Guards against a row that comes back and stays, as the call that removes it again failed.
+  // Guards against a restored row that stays because its removal failed.
   @Test
   void retriesFailedRemoval() {
-    List<TableRow> copy = table.content().rows();
+    List<TableRow> backup = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
     table.unavailable = true;
-    restoreBackup(copy);
+    restoreBackup(backup);
 
     table.unavailable = false;
     advance(2_000);
@@ -181,16 +181,16 @@
 
   @Test
   void keepsVerdictReachedAgainAfterWithdrawal() {
-    List<TableRow> copy = table.content().rows();
+    List<TableRow> backup = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
     nowMillis += 5_000;
-    for (String start : List.of("g", "h", "i")) {
-      quarantine.endedUnder(CRASHING, start);
+    for (String incarnationId : List.of("g", "h", "i")) {
+      quarantine.endedUnder(CRASHING, incarnationId);
     }
     advance(10);
 
-    restoreBackup(copy);
+    restoreBackup(backup);
     advance(10);
 
     assertThat(quarantine.bars(CRASHING)).isTrue();
@@ -222,8 +222,8 @@
     assertThat(table.keys()).containsExactly(KEY);
   }
 
-  private void restoreBackup(List<TableRow> copy) {
-    table.restoreBackup(copy);
+  private void restoreBackup(List<TableRow> backup) {
+    table.restoreBackup(backup);
     store.onOlderCopy();
     read();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedBox.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedBox.java
@@ -8,7 +8,7 @@
 import org.gradeledge.follow.FollowPace;
 import org.gradeledge.follow.TableFollower;
 
-/** What a box knows of the list of upstreams, in virtual time, paced as among few boxes. */
+/** Follows the list of upstreams like a box of a small deployment, in virtual time. */
 final class SimulatedBox {
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -17,7 +17,7 @@
   private final TableFollower follower;
   private long nowMillis;
 
-  SimulatedBox(Duration leavingBound) {
+  SimulatedBox(Duration maxLeavingDelay) {
     channel.freezeTime();
     UpstreamTableListener listener =
         new UpstreamTableListener(
@@ -27,7 +27,7 @@
             () -> {},
             channel.eventLoop(),
             () -> TimeUnit.MILLISECONDS.toNanos(nowMillis),
-            leavingBound);
+            maxLeavingDelay);
     follower =
         new TableFollower(
             "upstreams",
@@ -38,7 +38,7 @@
             EventLogs.silent(),
             new FollowPace(
                 () -> Duration.ZERO,
-                () -> leavingBound.dividedBy(2),
+                () -> maxLeavingDelay.dividedBy(2),
                 () -> PlatformFollowers.MAX_BACKOFF));
     listener.setReadAction(follower::lookNow);
   }
@@ -56,7 +56,7 @@
     return upstreams.usable("service").stream().anyMatch(each -> each.id().equals(id));
   }
 
-  /** Lets time pass, a millisecond at a time. */
+  /** Advances the virtual time in steps of one millisecond. */
   void advance(long millis) {
     for (long step = 0; step < millis; step++) {
       nowMillis++;
--- a/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedUpstreamTable.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedUpstreamTable.java
@@ -23,15 +23,13 @@
 import reactor.core.publisher.MonoSink;
 
 /**
- * A list of upstreams on an event loop of virtual time. A call that comes while it is away is never
- * answered and fails at its limit, also where the list is back before.
+ * Table of upstreams on an event loop with virtual time. Calls made during an outage time out, even
+ * if the table is available again before.
  */
 final class SimulatedUpstreamTable implements RevisionedTable {
 
-  /** As an answer takes where nothing is wrong. */
   private static final long ANSWER_MILLIS = 5;
 
-  /** A connection that cannot be opened fails by then. */
   private static final long CALL_TIMEOUT_MILLIS = 600;
 
   private record Change(long revision, String id, boolean removed) {}
@@ -48,7 +46,7 @@
     this.loop = loop;
   }
 
-  /** Reads rows as this list writes them; what starts with a question mark cannot be read. */
+  /** Reads a row of this table; values that start with a question mark are unreadable. */
   static Either<String, UpstreamRecord> readRow(TableRow row) {
     String text = new String(row.value(), StandardCharsets.UTF_8);
     return text.startsWith("?")
@@ -66,7 +64,7 @@
     history.add(new Change(++revision, id, true));
   }
 
-  /** Comes back as a copy with these entries; versions are given out again from a lower one. */
+  /** Replaces the content with a restored backup; versions continue from the given one. */
   void restoreBackup(long version, String... ids) {
     present.clear();
     history.clear();
@@ -75,13 +73,13 @@
     Stream.of(ids).forEach(id -> present.put(id, true));
   }
 
-  /** Sets from when until when, in milliseconds from now, calls get no answer. */
+  /** Schedules an outage; times are in milliseconds from now. */
   void scheduleOutage(long from, long until) {
     loop.schedule(() -> unavailable = true, from, TimeUnit.MILLISECONDS);
     loop.schedule(() -> unavailable = false, until, TimeUnit.MILLISECONDS);
   }
 
-  /** Returns how often it was called. */
+  /** Returns the number of calls. */
   int callCount() {
     return callCount;
   }
@@ -100,44 +98,44 @@
     return answer(() -> changesAfter(afterRevision));
   }
 
-  private TableChanges changesAfter(long after) {
-    if (TableRevision.era(after) != epoch) {
-      throw new HistoryLostException("another era");
+  private TableChanges changesAfter(long afterRevision) {
+    if (TableRevision.era(afterRevision) != epoch) {
+      throw new HistoryLostException("another epoch");
     }
-    long afterRevision = TableRevision.version(after);
-    Map<String, Boolean> last = new TreeMap<>();
+    long afterVersion = TableRevision.version(afterRevision);
+    Map<String, Boolean> removedById = new TreeMap<>();
     history.stream()
-        .filter(change -> change.revision() > afterRevision)
-        .forEach(change -> last.put(change.id(), change.removed()));
+        .filter(change -> change.revision() > afterVersion)
+        .forEach(change -> removedById.put(change.id(), change.removed()));
     return new TableChanges(
         TableRevision.of(epoch, revision),
-        last.keySet().stream().filter(id -> !last.get(id)).map(this::row).toList(),
-        last.keySet().stream().filter(last::get).toList());
+        removedById.keySet().stream().filter(id -> !removedById.get(id)).map(this::row).toList(),
+        removedById.keySet().stream().filter(removedById::get).toList());
   }
 
   private TableRow row(String id) {
     return new TableRow(id, id.getBytes(StandardCharsets.UTF_8));
   }
 
-  private <T> Mono<T> answer(Supplier<T> now) {
+  private <T> Mono<T> answer(Supplier<T> content) {
     callCount++;
-    return Mono.create(sink -> scheduleAnswer(sink, now));
+    return Mono.create(sink -> scheduleAnswer(sink, content));
   }
 
-  private <T> void scheduleAnswer(MonoSink<T> sink, Supplier<T> now) {
+  private <T> void scheduleAnswer(MonoSink<T> sink, Supplier<T> content) {
     if (unavailable) {
       loop.schedule(
           () -> sink.error(new IOException("no answer")),
           CALL_TIMEOUT_MILLIS,
           TimeUnit.MILLISECONDS);
     } else {
-      loop.schedule(() -> succeed(sink, now), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> succeed(sink, content), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private static <T> void succeed(MonoSink<T> sink, Supplier<T> now) {
+  private static <T> void succeed(MonoSink<T> sink, Supplier<T> content) {
     try {
-      sink.success(now.get());
+      sink.success(content.get());
     } catch (HistoryLostException lost) {
       sink.error(lost);
     }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/UnreadableUpstreamRowTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/UnreadableUpstreamRowTests.java
@@ -21,7 +21,7 @@
 import org.gradeledge.follow.TableRow;
 import org.junit.jupiter.api.Test;
 
-/** Something else writes into the list of upstreams, and over rows of upstreams. */
+/** Unreadable rows in the list of upstreams. */
 class UnreadableUpstreamRowTests {
 
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
@@ -72,7 +72,7 @@
             .distinct()
             .map(number -> number % 3 == 0 ? unreadable("k" + number, "?") : row("k" + number))
             .toList();
-    Set<String> whole =
+    Set<String> readableKeys =
         rows.stream()
             .filter(row -> row.value()[0] != '?')
             .map(TableRow::key)
@@ -80,7 +80,7 @@
 
     listener.onContent(new TableContent(upstreams.revision() + 1, rows));
 
-    assertThat(usable()).containsExactlyInAnyOrderElementsOf(whole);
+    assertThat(usable()).containsExactlyInAnyOrderElementsOf(readableKeys);
   }
 
   private List<String> usable() {
--- a/gradeledge-core/src/test/java/org/gradeledge/node/UpstreamTableOutageTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/UpstreamTableOutageTests.java
@@ -8,27 +8,17 @@
 import net.jqwik.api.constraints.LongRange;
 
 /**
- * Seen: new work reached an upstream that had said that it leaves, long after.
- *
- * <p>How it came about: it said so a moment before the list of upstreams was away, and its entry
- * lapsed meanwhile. When the list was back, each box kept the missing entry in use, as a living
- * upstream may not have renewed its own yet, until two seconds after its own first answered call;
- * and that call came up to 2.4 seconds after the return.
- *
- * <p>Cause: the time of grace ran from when the box happened to notice the return, and was as long
- * as the bound itself; what it ended with was an answer of up to a second before. Proof: the box
- * and its list in virtual time, over all lengths of the outage; logs of played days show the same
- * times.
+ * Guards against sending requests to an upstream that left shortly before an outage of the list:
+ * its row expired during the outage and was kept in use long after the list was available again.
  */
 class UpstreamTableOutageTests {
 
-  /** A box that has reached the list again for so long must know what stands in it. */
+  /** Removals are confirmed this long after the end of an outage. */
   private static final long CONFIRMED_MILLIS = 3_000;
 
-  /** An upstream gets no new work later than this after the box has read that it is gone. */
   private static final Duration MAX_LEAVING_DELAY = Duration.ofSeconds(2);
 
-  /** Living upstreams have renewed their entries by then. */
+  /** Live upstreams have renewed their rows by then. */
   private static final long RENEWED_MILLIS = 1_600;
 
   private static final long OUTAGE_START_MILLIS = 5_000;
@@ -51,13 +41,13 @@
     box.advance(RENEWED_MILLIS);
     box.table().add("lives");
 
-    for (long after = RENEWED_MILLIS; after < CONFIRMED_MILLIS; after += 10) {
+    for (long elapsed = RENEWED_MILLIS; elapsed < CONFIRMED_MILLIS; elapsed += 10) {
       box.advance(10);
-      assertThat(box.isUsable("lives")).describedAs("%d ms after the return", after).isTrue();
+      assertThat(box.isUsable("lives")).describedAs("%d ms after the return", elapsed).isTrue();
     }
   }
 
-  /** Returns a box at the moment of the list's return; two entries have lapsed meanwhile. */
+  /** Returns a box at the end of an outage in which the rows of two upstreams expired. */
   private static SimulatedBox afterOutage(long outageMillis) {
     SimulatedBox box = new SimulatedBox(MAX_LEAVING_DELAY);
     box.table().add("left");
