--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/BatchLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/BatchLimits.java
@@ -1,14 +1,14 @@
 package org.gradeledge.deployment;
 
 /**
- * What one upstream of a batching service takes and needs.
+ * Limits and expected times of calls to one upstream of a batching service.
  *
- * @param maxConcurrentCalls calls at work at once
- * @param maxItemsPerCall most items of a call
+ * @param maxConcurrentCalls maximum number of concurrent calls
+ * @param maxItemsPerCall maximum number of items in a call
  * @param fixedCallMillis fixed time of a call
- * @param millisPerItem about the time of an item
- * @param memoryBytes room for results
- * @param resultRetentionMillis how long a result is kept unless it is freed
+ * @param millisPerItem approximate additional time for each item
+ * @param memoryBytes memory for results
+ * @param resultRetentionMillis time for which a result is kept unless it is released
  * @since 0.2
  */
 public record BatchLimits(
@@ -19,14 +19,14 @@
     long memoryBytes,
     long resultRetentionMillis) {
 
-  /** Checks the limits. */
+  /** Validates the limits. */
   public BatchLimits {
     if (maxConcurrentCalls <= 0 || maxItemsPerCall <= 0) {
       throw new IllegalArgumentException("calls and items of a call must be positive");
     }
   }
 
-  /** Returns about how long a call of so many items works, in milliseconds. */
+  /** Returns the expected duration of a call with the given number of items, in milliseconds. */
   public double expectedMillis(int items) {
     return fixedCallMillis + items * millisPerItem;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/CallerLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/CallerLimits.java
@@ -1,12 +1,12 @@
 package org.gradeledge.deployment;
 
 /**
- * What a caller may send, and how long it may take or rest.
+ * Size and time limits for requests and connections of callers.
  *
- * @param maxHeaderBytes most bytes of a request's head
- * @param maxBodyBytes most bytes of a request's body
- * @param headerTimeoutMillis longest time that a head may take
- * @param idleTimeoutMillis longest time that a connection may rest
+ * @param maxHeaderBytes maximum size of the header section of a request
+ * @param maxBodyBytes maximum size of the body of a request
+ * @param headerTimeoutMillis maximum time to receive the header section
+ * @param idleTimeoutMillis maximum time for which a connection may be idle
  * @since 0.2
  */
 public record CallerLimits(
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/ClientAccount.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/ClientAccount.java
@@ -3,10 +3,11 @@
 import java.util.Optional;
 
 /**
- * A client account that keys belong to.
+ * A client account that is identified by keys.
  *
- * @param name its name, told to upstreams
- * @param priority goes before the route's where given; 0 is the most urgent
+ * @param name name of the account, forwarded to upstreams
+ * @param priority priority of the account, if any; takes precedence over that of the route, 0 is
+ *     the most urgent
  * @since 0.2
  */
 public record ClientAccount(String name, Optional<Integer> priority) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/ColdStart.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/ColdStart.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * What an upstream bears while it is cold: for a while after its start, and whenever it says so.
+ * Rate limit for an upstream while it is cold: after its start and whenever it announces it.
  *
- * @param requestsPerSecond requests that it bears from all boxes together
- * @param duration how long it is cold after a start
+ * @param requestsPerSecond maximum rate of requests from all boxes together
+ * @param duration time for which an upstream is cold after its start
  * @since 0.3
  */
 public record ColdStart(double requestsPerSecond, Duration duration) {
 
-  /** Checks the parts. */
+  /** Validates the rate. */
   public ColdStart {
     if (!(requestsPerSecond > 0)) {
       throw new IllegalArgumentException("requestsPerSecond must be above 0");
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/Deployment.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/Deployment.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * A whole configuration of relayed routes; it takes effect as a whole or not at all. Immutable.
+ * Immutable configuration of relayed routes, replaced as a whole.
  *
- * @param revision rises with each configuration
+ * @param revision revision, which increases with each configuration
  * @param routes the routes
  * @param services the services by name
  * @param accounts the client accounts by key
- * @param keysRequired whether routes that are not open need a key
- * @param callerLimits what callers may send
- * @param document the bytes that it was read from, for peers that could not read them
+ * @param keysRequired whether routes without public access require a key
+ * @param callerLimits limits for requests of callers
+ * @param document source document, forwarded to boxes that could not read it
  * @since 0.2
  */
 public record Deployment(
@@ -24,13 +24,13 @@
     CallerLimits callerLimits,
     byte[] document) {
 
-  /** Copies the maps. */
+  /** Creates a configuration with immutable copies of the maps. */
   public Deployment {
     services = Map.copyOf(services);
     accounts = Map.copyOf(accounts);
   }
 
-  /** Returns a service, empty where it is not defined. */
+  /** Returns the service with the given name, or empty if it is not defined. */
   public Optional<ServiceDefinition> service(String name) {
     return Optional.ofNullable(services.get(name));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/DeploymentReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/DeploymentReader.java
@@ -3,13 +3,13 @@
 import io.vavr.control.Either;
 
 /**
- * Reads a configuration document in whatever form its source has.
+ * Reads a configuration document in the format of its source.
  *
  * @since 0.2
  */
 @FunctionalInterface
 public interface DeploymentReader {
 
-  /** Returns the configuration, or what is wrong with the document and where. */
+  /** Returns the configuration, or a description of the error and its position. */
   Either<String, Deployment> read(byte[] document);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/DeploymentRegistry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/DeploymentRegistry.java
@@ -8,8 +8,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The newest configuration that the box holds. It never goes back: an older revision is passed
- * over, and a document that cannot be read leaves the last good one in force.
+ * Holds the newest configuration of the box. Older revisions are ignored, and an unreadable
+ * document leaves the current configuration in force.
  *
  * <p>Confined to the event loop.
  *
@@ -23,59 +23,59 @@
   private @Nullable Deployment current;
   private long lastUnreadableLength = -1;
 
-  /** Creates a registry that holds nothing yet. */
+  /** Creates an empty registry. */
   public DeploymentRegistry(DeploymentReader reader, EventLog events) {
     this.reader = reader;
     this.events = events;
   }
 
-  /** Tells a listener of each configuration taken on from now on. */
+  /** Adds a listener that is notified of each new configuration. */
   public void onChange(Consumer<Deployment> listener) {
     listeners.add(listener);
   }
 
-  /** Returns the configuration in force, empty until the first is known. */
+  /** Returns the configuration in force, or empty if there is none yet. */
   public Optional<Deployment> current() {
     return Optional.ofNullable(current);
   }
 
-  /** Returns the revision in force, -1 until the first is known. */
+  /** Returns the revision in force, or -1 if there is none yet. */
   public long revision() {
     return current == null ? -1 : current.revision();
   }
 
   /**
-   * Takes a document on where it is newer than what is held.
+   * Applies a document if its revision is newer than the current one.
    *
-   * @param source who it was learned from, for the log
+   * @param source origin of the document, for the log
    */
   public void offer(byte[] document, String source) {
     reader
         .read(document)
-        .peek(next -> apply(next, source))
-        .peekLeft(why -> rejectUnreadable(document, why));
+        .peek(deployment -> apply(deployment, source))
+        .peekLeft(reason -> rejectUnreadable(document, reason));
   }
 
-  private void apply(Deployment next, String source) {
-    if (next.revision() <= revision()) {
+  private void apply(Deployment deployment, String source) {
+    if (deployment.revision() <= revision()) {
       return;
     }
-    long before = revision();
-    current = next;
+    long previousRevision = revision();
+    current = deployment;
     events
         .change("configuration-in-force")
-        .with("revision", next.revision())
-        .with("before", before)
+        .with("revision", deployment.revision())
+        .with("before", previousRevision)
         .with("source", source)
         .write();
-    listeners.forEach(listener -> listener.accept(next));
+    listeners.forEach(listener -> listener.accept(deployment));
   }
 
-  private void rejectUnreadable(byte[] document, String why) {
+  private void rejectUnreadable(byte[] document, String reason) {
     if (lastUnreadableLength == document.length) {
       return;
     }
     lastUnreadableLength = document.length;
-    events.change("configuration-unreadable").with("why", why).with("kept", revision()).write();
+    events.change("configuration-unreadable").with("why", reason).with("kept", revision()).write();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/Repeatability.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/Repeatability.java
@@ -1,18 +1,18 @@
 package org.gradeledge.deployment;
 
 /**
- * What may be done again with a request of a route.
+ * Whether and how requests of a route may be repeated.
  *
  * @since 0.2
  */
 public enum Repeatability {
-  /** May run any number of times. */
+  /** Requests may run any number of times. */
   REPEATABLE(false),
-  /** May run at most once. */
+  /** Requests may run at most once. */
   ONCE(false),
-  /** Answered by a stream of events, and run at most once. */
+  /** Requests are answered by a stream of events and may run at most once. */
   STREAM(true),
-  /** Answered by a stream of events that another upstream may continue. */
+  /** Requests are answered by a stream of events that another upstream may resume. */
   RESUMABLE_STREAM(true);
 
   private final boolean streaming;
@@ -26,7 +26,7 @@
     return streaming;
   }
 
-  /** Returns whether a request may be sent again although it may have run. */
+  /** Returns whether a request may be sent again even if it may have run. */
   public boolean repeatable() {
     return this == REPEATABLE || this == RESUMABLE_STREAM;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/RouteDefinition.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/RouteDefinition.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * A route: which requests it takes, which services run them and within which bounds.
+ * A route with the requests that it matches, the services that run them and their limits.
  *
  * @param name unique name
- * @param host host that it answers to, in lower case
- * @param pathPrefix begins and ends with a slash
- * @param repeatability what may be repeated
- * @param timeoutMillis longest time that a request may be held
- * @param targetLatencyMillis time within which an answer earns its full worth
- * @param priority 0 is the most urgent
- * @param maxAttempts most upstreams that may run one request
- * @param services where requests go, by weight
- * @param stages work that comes first, in the order of its numbers
- * @param publicAccess whether requests need no key
+ * @param host host in lower case
+ * @param pathPrefix path prefix that starts and ends with a slash
+ * @param repeatability whether requests may be repeated
+ * @param timeoutMillis maximum duration of a request
+ * @param targetLatencyMillis latency up to which an answer has its full value
+ * @param priority priority of the route, 0 is the most urgent
+ * @param maxAttempts maximum number of upstreams that may run a request
+ * @param services services that run requests, by weight
+ * @param stages stage work that precedes the request; stages refer to each other by index
+ * @param publicAccess whether requests are accepted without a key
  * @since 0.2
  */
 public record RouteDefinition(
@@ -31,7 +31,7 @@
     List<StageWork> stages,
     boolean publicAccess) {
 
-  /** Copies the lists and checks the bounds. */
+  /** Validates the limits and copies the lists. */
   public RouteDefinition {
     services = List.copyOf(services);
     stages = List.copyOf(stages);
@@ -41,19 +41,19 @@
   }
 
   /**
-   * Returns the service that runs a request.
+   * Selects the service that runs a request.
    *
-   * @param draw any number that is spread evenly over requests
+   * @param draw number that is uniformly distributed over requests
    */
   public String selectService(int draw) {
     int total = services.stream().mapToInt(WeightedService::weight).sum();
     if (total == 0) {
       return services.get(0).service();
     }
-    int left = Math.floorMod(draw, total);
+    int remaining = Math.floorMod(draw, total);
     for (WeightedService candidate : services) {
-      left -= candidate.weight();
-      if (left < 0) {
+      remaining -= candidate.weight();
+      if (remaining < 0) {
         return candidate.service();
       }
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/RouteTable.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/RouteTable.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 
 /**
- * The routes of a deployment, found by host and longest path prefix. Immutable.
+ * Finds the route of a request by host and longest path prefix. Immutable.
  *
  * @since 0.2
  */
@@ -21,7 +21,7 @@
 
   private final Map<String, List<RouteDefinition>> routesByHost;
 
-  /** Creates the table. */
+  /** Creates a table of the given routes. */
   public RouteTable(Collection<RouteDefinition> routes) {
     Map<String, List<RouteDefinition>> grouped =
         routes.stream().collect(Collectors.groupingBy(RouteDefinition::host));
@@ -31,10 +31,10 @@
   }
 
   /**
-   * Returns the route of a request.
+   * Returns the route of a request, or empty if none matches.
    *
-   * @param host as the caller sent it; a port and the case are ignored
-   * @param path without the query
+   * @param host host from the request; port and case are ignored
+   * @param path path without the query
    */
   public Optional<RouteDefinition> find(String host, String path) {
     return routesByHost.getOrDefault(withoutPort(host).toLowerCase(Locale.ROOT), List.of()).stream()
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/StageWork.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/StageWork.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Work that must be finished before a request of a route can run.
+ * Work that must be completed before a request of a route can run.
  *
- * @param service name of the service that does it
- * @param dependencies numbers of the stages whose results it needs
- * @param resultBytes about how large one result is
+ * @param service name of the service that performs the work
+ * @param dependencies indexes of the stages whose results are required
+ * @param resultBytes approximate size of one result
  * @since 0.2
  */
 public record StageWork(String service, List<Integer> dependencies, long resultBytes) {
 
-  /** Copies the list. */
+  /** Creates stage work with an immutable copy of the dependencies. */
   public StageWork {
     dependencies = List.copyOf(dependencies);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/package-info.java
@@ -1,4 +1,4 @@
-/** What a whole configuration of relayed routes says, and the newest one that a box holds. */
+/** Configuration of relayed routes and the registry of the newest one. */
 @NullMarked
 package org.gradeledge.deployment;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/deployment/DeploymentRegistryTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/deployment/DeploymentRegistryTests.java
@@ -22,8 +22,8 @@
 
   @Test
   void ignoresOlderRevisions() {
-    List<Long> taken = new ArrayList<>();
-    registry.onChange(next -> taken.add(next.revision()));
+    List<Long> applied = new ArrayList<>();
+    registry.onChange(deployment -> applied.add(deployment.revision()));
 
     registry.offer(new byte[] {3}, "platform");
     registry.offer(new byte[] {2}, "peer");
@@ -31,7 +31,7 @@
     registry.offer(new byte[] {5}, "peer");
 
     assertThat(registry.revision()).isEqualTo(5);
-    assertThat(taken).containsExactly(3L, 5L);
+    assertThat(applied).containsExactly(3L, 5L);
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/deployment/TestDeployments.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/deployment/TestDeployments.java
@@ -9,12 +9,12 @@
 
   private TestDeployments() {}
 
-  /** Returns a route with usual bounds. */
+  /** Returns a route with default limits. */
   public static RouteDefinition route(String host, String prefix, Repeatability repeatability) {
     return route(host, prefix, repeatability, List.of());
   }
 
-  /** Returns a route with usual bounds and stages. */
+  /** Returns a route with default limits and the given stages. */
   public static RouteDefinition route(
       String host, String prefix, Repeatability repeatability, List<StageWork> stages) {
     return new RouteDefinition(
@@ -31,7 +31,7 @@
         true);
   }
 
-  /** Returns a configuration of these routes. */
+  /** Returns a configuration of the given routes. */
   public static Deployment of(long revision, RouteDefinition... routes) {
     return new Deployment(
         revision,
