--- a/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRequestReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRequestReader.java
@@ -40,7 +40,7 @@
     try {
       return OptionalLong.of(Long.parseLong(header.strip()));
     } catch (NumberFormatException e) {
-      throw RefusalException.because(RefusalReason.DEADLINE_INVALID)
+      throw RefusalException.forReason(RefusalReason.DEADLINE_INVALID)
           .detail("Gradeledge-Deadline-Ms must be a whole number of milliseconds")
           .cause(e)
           .build();
@@ -70,7 +70,7 @@
   }
 
   private static RefusalException malformed(String detail, @Nullable Throwable cause) {
-    return RefusalException.because(RefusalReason.MALFORMED_REQUEST)
+    return RefusalException.forReason(RefusalReason.MALFORMED_REQUEST)
         .detail(detail)
         .cause(cause)
         .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRoutes.java
@@ -79,7 +79,7 @@
       return known;
     }
     Logger.error(e, "request failed before it was admitted: id={}", requestId);
-    return RefusalException.because(RefusalReason.INTERNAL).cause(e).build();
+    return RefusalException.forReason(RefusalReason.INTERNAL).cause(e).build();
   }
 
   private Publisher<Void> readiness(HttpServerResponse response) {
--- a/gradeledge-core/src/main/java/org/gradeledge/change/MemberPreparation.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/MemberPreparation.java
@@ -49,7 +49,7 @@
   /** Tells all connected members that a submission was refused; the rest learn it by reading. */
   void withdraw(Submission submission) {
     registry.withdraw(submission.pipeline(), submission.id());
-    peers.tellAll(
+    peers.sendToAll(
         ChangeMessages.WITHDRAW,
         new ChangeMessages.Withdraw(submission.pipeline(), submission.id()));
   }
@@ -73,7 +73,7 @@
     Mono<ChangeMessages.Prepared> answer =
         member.boxId().equals(self.boxId())
             ? Mono.fromSupplier(() -> participant.prepare(prepare))
-            : peers.ask(
+            : peers.request(
                 member.boxId(),
                 ChangeMessages.PREPARE,
                 prepare,
@@ -94,7 +94,7 @@
       return Mono.just(member.boxId());
     }
     Mono<ChangeMessages.Installed> answer =
-        peers.ask(
+        peers.request(
             member.boxId(),
             ChangeMessages.INSTALL,
             new ChangeMessages.Install(accepted.pipeline(), accepted.version(), accepted.id()),
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
@@ -81,7 +81,7 @@
   }
 
   private Mono<Void> fromAnyPeer(PipelineHead head) {
-    return Flux.fromIterable(peers.connected())
+    return Flux.fromIterable(peers.connectedPeers())
         .concatMapDelayError(
             peer ->
                 fetch(peer.boxId(), head.pipeline(), head.version())
@@ -94,7 +94,7 @@
 
   private Mono<Void> fetch(String peerId, String pipeline, long version) {
     return peers
-        .ask(
+        .request(
             peerId,
             ChangeMessages.FETCH,
             new ChangeMessages.Fetch(pipeline),
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimService.java
@@ -135,7 +135,7 @@
   }
 
   private static RefusalException unavailable(Throwable cause) {
-    return RefusalException.because(RefusalReason.TABLE_UNAVAILABLE)
+    return RefusalException.forReason(RefusalReason.TABLE_UNAVAILABLE)
         .detail("the platform's table cannot say who holds the idempotency key")
         .cause(cause)
         .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/ConfigurationRegistry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/ConfigurationRegistry.java
@@ -47,14 +47,14 @@
   public PipelineVersion serving(String pipeline) {
     PreparedVersion pending = prepared.get(pipeline);
     if (pending != null && inDoubt(pending)) {
-      throw RefusalException.because(RefusalReason.CONFIGURATION_IN_DOUBT)
+      throw RefusalException.forReason(RefusalReason.CONFIGURATION_IN_DOUBT)
           .detail("a change of " + pipeline + " was prepared and its verdict is not known yet")
           .build();
     }
     return inForce(pipeline)
         .orElseThrow(
             () ->
-                RefusalException.because(RefusalReason.PIPELINE_UNKNOWN)
+                RefusalException.forReason(RefusalReason.PIPELINE_UNKNOWN)
                     .detail("there is no pipeline of this name")
                     .build());
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/CallFailure.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CallFailure.java
@@ -19,19 +19,19 @@
   /** The upstream sent bytes that are no answer. */
   GARBLED(true);
 
-  private final boolean sent;
+  private final boolean requestSent;
 
   CallFailure(boolean sent) {
-    this.sent = sent;
+    this.requestSent = sent;
   }
 
   /** Returns whether it speaks against the upstream's health. */
-  public boolean blamesUpstream() {
+  public boolean isUpstreamFault() {
     return this != NO_CONNECTION_FREE && this != ENDED && this != HELD_OFF;
   }
 
   /** Returns whether the upstream may have got the request. */
-  public boolean sent() {
-    return sent;
+  public boolean isRequestSent() {
+    return requestSent;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/CallInProgress.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CallInProgress.java
@@ -4,12 +4,12 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /** A call and what is left to tell its listener. Confined to the event loop. */
-final class CallInProgress implements UpstreamCall {
+final class CallInProgress implements CancellableCall {
 
   private final OutgoingRequest request;
   private final CallListener listener;
   private Runnable onCancel = () -> {};
-  private boolean over;
+  private boolean finished;
 
   CallInProgress(OutgoingRequest request, CallListener listener) {
     this.request = request;
@@ -20,8 +20,8 @@
     return request;
   }
 
-  boolean isOver() {
-    return over;
+  boolean isFinished() {
+    return finished;
   }
 
   void onCancel(Runnable action) {
@@ -30,46 +30,46 @@
 
   @Override
   public void cancel() {
-    if (!over) {
-      over = true;
+    if (!finished) {
+      finished = true;
       onCancel.run();
     }
   }
 
   /** Fails a call that was not sent, and closes what it waits for. */
-  void giveUp(CallFailure failure) {
+  void abandon(CallFailure failure) {
     fail(failure);
     onCancel.run();
   }
 
-  void sent() {
-    if (!over) {
+  void notifySent() {
+    if (!finished) {
       listener.onSent();
     }
   }
 
-  void head(int status, HttpHeaders headers) {
-    if (!over) {
+  void notifyHead(int status, HttpHeaders headers) {
+    if (!finished) {
       listener.onHead(status, headers);
     }
   }
 
-  void content(ByteBuf content) {
-    if (!over) {
+  void notifyContent(ByteBuf content) {
+    if (!finished) {
       listener.onContent(content);
     }
   }
 
   void complete() {
-    if (!over) {
-      over = true;
+    if (!finished) {
+      finished = true;
       listener.onComplete();
     }
   }
 
   void fail(CallFailure failure) {
-    if (!over) {
-      over = true;
+    if (!finished) {
+      finished = true;
       listener.onFailure(failure);
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CancellableCall.java
@@ -6,7 +6,7 @@
  * @since 0.2
  */
 @FunctionalInterface
-public interface UpstreamCall {
+public interface CancellableCall {
 
   /** Gives the call up; its connection is closed so that the upstream stops working on it. */
   void cancel();
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/ConnectionReuse.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/ConnectionReuse.java
@@ -14,13 +14,13 @@
   /** None. */
   NONE(-1);
 
-  private final long mostIdleMillis;
+  private final long maxIdleMillis;
 
   ConnectionReuse(long mostIdleMillis) {
-    this.mostIdleMillis = mostIdleMillis;
+    this.maxIdleMillis = mostIdleMillis;
   }
 
   boolean allows(long idleMillis) {
-    return idleMillis <= mostIdleMillis;
+    return idleMillis <= maxIdleMillis;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/AnswerId.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/CorrelationHeader.java
@@ -7,4 +7,4 @@
  * @param value its value in the answer that belongs to the call
  * @since 0.2
  */
-public record AnswerId(String header, String value) {}
+public record CorrelationHeader(String header, String value) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamEnds.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/LivenessChecker.java
@@ -18,39 +18,39 @@
  *
  * @since 0.3
  */
-public final class UpstreamEnds {
+public final class LivenessChecker {
 
   private final UpstreamCaller caller;
-  private final Predicate<UpstreamRecord> left;
-  private final Map<String, List<Consumer<UpstreamProof>>> asking = new HashMap<>();
+  private final Predicate<UpstreamRecord> hasLeft;
+  private final Map<String, List<Consumer<LivenessResult>>> pendingChecks = new HashMap<>();
 
   /**
    * Creates one that asks over a caller.
    *
    * @param left whether an upstream has left, so that its end is no crash
    */
-  public UpstreamEnds(UpstreamCaller caller, Predicate<UpstreamRecord> left) {
+  public LivenessChecker(UpstreamCaller caller, Predicate<UpstreamRecord> left) {
     this.caller = caller;
-    this.left = left;
+    this.hasLeft = left;
   }
 
   /** Asks; the listener hears once, also before this returns. */
-  public void prove(UpstreamRecord upstream, Consumer<UpstreamProof> listener) {
-    if (left.test(upstream)) {
-      listener.accept(UpstreamProof.LEFT);
+  public void check(UpstreamRecord upstream, Consumer<LivenessResult> listener) {
+    if (hasLeft.test(upstream)) {
+      listener.accept(LivenessResult.LEFT);
       return;
     }
-    List<Consumer<UpstreamProof>> listeners = asking.get(upstream.start());
+    List<Consumer<LivenessResult>> listeners = pendingChecks.get(upstream.incarnationId());
     if (listeners != null) {
       listeners.add(listener);
       return;
     }
-    asking.put(upstream.start(), new ArrayList<>(List.of(listener)));
-    caller.probe(upstream, proof -> tell(upstream, proof));
+    pendingChecks.put(upstream.incarnationId(), new ArrayList<>(List.of(listener)));
+    caller.probe(upstream, proof -> completeCheck(upstream, proof));
   }
 
-  private void tell(UpstreamRecord upstream, UpstreamProof proof) {
-    Optional.ofNullable(asking.remove(upstream.start()))
+  private void completeCheck(UpstreamRecord upstream, LivenessResult proof) {
+    Optional.ofNullable(pendingChecks.remove(upstream.incarnationId()))
         .ifPresent(listeners -> listeners.forEach(listener -> listener.accept(proof)));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamProof.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/LivenessResult.java
@@ -6,7 +6,7 @@
  *
  * @since 0.3
  */
-public enum UpstreamProof {
+public enum LivenessResult {
   /** It was opened: the upstream is there, and only the connection was lost. */
   THERE,
   /** It was refused: nobody listens there any more. */
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/OutgoingRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/OutgoingRequest.java
@@ -11,7 +11,7 @@
  * @param uri path and query, unchanged
  * @param headers its headers without those of one connection
  * @param body its whole body
- * @param answerId what the answer must carry to be the answer of this request
+ * @param correlationHeader what the answer must carry to be the answer of this request
  * @param reuse which kept connections may carry it
  * @since 0.2
  */
@@ -20,5 +20,5 @@
     String uri,
     HttpHeaders headers,
     byte[] body,
-    Optional<AnswerId> answerId,
+    Optional<CorrelationHeader> correlationHeader,
     ConnectionReuse reuse) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/PooledUpstreamCaller.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/PooledUpstreamCaller.java
@@ -33,18 +33,18 @@
  */
 public final class PooledUpstreamCaller implements UpstreamCaller {
 
-  private static final int CONNECT_MILLIS = 700;
-  private static final int LINE_BYTES = 8 * 1024;
-  private static final int HEADER_BYTES = 64 * 1024;
-  private static final int CHUNK_BYTES = 64 * 1024;
+  private static final int CONNECT_TIMEOUT_MILLIS = 700;
+  private static final int MAX_INITIAL_LINE_BYTES = 8 * 1024;
+  private static final int MAX_HEADER_BYTES = 64 * 1024;
+  private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
   private final EventLoop loop;
   private final MonotonicClock clock;
   private final Bootstrap bootstrap;
   private final ToIntFunction<UpstreamRecord> connectionLimit;
-  private final Map<String, UpstreamConnections> byUpstream = new HashMap<>();
-  private final Map<String, Set<UpstreamConnection>> openByStart = new HashMap<>();
-  private BiConsumer<UpstreamRecord, AnswerHead> answers = (upstream, head) -> {};
+  private final Map<String, UpstreamConnectionPool> poolsByIncarnation = new HashMap<>();
+  private final Map<String, Set<UpstreamConnection>> openByIncarnation = new HashMap<>();
+  private BiConsumer<UpstreamRecord, ResponseHead> responseListener = (upstream, head) -> {};
 
   /**
    * Creates a caller without connections.
@@ -61,19 +61,21 @@
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.ALLOCATOR, PooledByteBufAllocator.DEFAULT)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .option(ChannelOption.TCP_NODELAY, true);
   }
 
   @Override
-  public UpstreamCall call(UpstreamRecord target, OutgoingRequest request, CallListener listener) {
+  public CancellableCall call(
+      UpstreamRecord target, OutgoingRequest request, CallListener listener) {
     CallInProgress call = new CallInProgress(request, listener);
-    UpstreamConnections connections =
-        byUpstream.computeIfAbsent(target.start(), start -> new UpstreamConnections());
-    UpstreamConnection kept = connections.takeKept(request.reuse());
+    UpstreamConnectionPool connections =
+        poolsByIncarnation.computeIfAbsent(
+            target.incarnationId(), start -> new UpstreamConnectionPool());
+    UpstreamConnection kept = connections.takeIdle(request.reuse());
     if (kept != null) {
-      loop.execute(() -> kept.start(call));
-    } else if (!connections.makeRoom(connectionLimit.applyAsInt(target))) {
+      loop.execute(() -> kept.send(call));
+    } else if (!connections.ensureCapacity(connectionLimit.applyAsInt(target))) {
       loop.execute(() -> call.fail(CallFailure.NO_CONNECTION_FREE));
     } else {
       connect(target, connections, call);
@@ -82,41 +84,42 @@
   }
 
   @Override
-  public void forget(UpstreamRecord target) {
-    retire(target);
+  public void discardConnections(UpstreamRecord target) {
+    removePool(target);
   }
 
   @Override
-  public void end(UpstreamRecord target) {
-    retire(target).ifPresent(connections -> connections.failDialling(CallFailure.ENDED));
+  public void retire(UpstreamRecord target) {
+    removePool(target).ifPresent(connections -> connections.failConnecting(CallFailure.ENDED));
   }
 
   @Override
-  public void holdOff(UpstreamRecord target) {
-    Optional.ofNullable(byUpstream.get(target.start()))
-        .ifPresent(connections -> connections.failDialling(CallFailure.HELD_OFF));
+  public void backOff(UpstreamRecord target) {
+    Optional.ofNullable(poolsByIncarnation.get(target.incarnationId()))
+        .ifPresent(connections -> connections.failConnecting(CallFailure.HELD_OFF));
   }
 
-  private Optional<UpstreamConnections> retire(UpstreamRecord target) {
-    Optional<UpstreamConnections> retired = Optional.ofNullable(byUpstream.remove(target.start()));
-    retired.ifPresent(UpstreamConnections::closeKept);
+  private Optional<UpstreamConnectionPool> removePool(UpstreamRecord target) {
+    Optional<UpstreamConnectionPool> retired =
+        Optional.ofNullable(poolsByIncarnation.remove(target.incarnationId()));
+    retired.ifPresent(UpstreamConnectionPool::close);
     return retired;
   }
 
   @Override
-  public void breakOff(UpstreamRecord target) {
-    end(target);
-    Set.copyOf(openByStart.getOrDefault(target.start(), Set.of()))
-        .forEach(UpstreamConnection::breakOff);
+  public void abort(UpstreamRecord target) {
+    retire(target);
+    Set.copyOf(openByIncarnation.getOrDefault(target.incarnationId(), Set.of()))
+        .forEach(UpstreamConnection::abort);
   }
 
   /** Closes all connections on which no call is under way: others may have closed them unheard. */
-  public void closeResting() {
-    byUpstream.values().forEach(UpstreamConnections::closeResting);
+  public void closeIdle() {
+    poolsByIncarnation.values().forEach(UpstreamConnectionPool::closeIdle);
   }
 
   @Override
-  public void probe(UpstreamRecord target, Consumer<UpstreamProof> listener) {
+  public void probe(UpstreamRecord target, Consumer<LivenessResult> listener) {
     bootstrap
         .clone()
         .handler(new ChannelInboundHandlerAdapter())
@@ -124,30 +127,30 @@
         .addListener(
             (ChannelFuture opened) -> {
               opened.channel().close();
-              loop.execute(() -> listener.accept(proof(opened.cause())));
+              loop.execute(() -> listener.accept(toResult(opened.cause())));
             });
   }
 
-  private static UpstreamProof proof(@Nullable Throwable cause) {
+  private static LivenessResult toResult(@Nullable Throwable cause) {
     if (cause == null) {
-      return UpstreamProof.THERE;
+      return LivenessResult.THERE;
     }
     boolean refused =
         cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-    return refused ? UpstreamProof.REFUSED : UpstreamProof.SILENT;
+    return refused ? LivenessResult.REFUSED : LivenessResult.SILENT;
   }
 
   /** Tells a listener of the head of each answer to any call. */
-  public void onAnswer(BiConsumer<UpstreamRecord, AnswerHead> listener) {
-    this.answers = listener;
+  public void onResponse(BiConsumer<UpstreamRecord, ResponseHead> listener) {
+    this.responseListener = listener;
   }
 
   private void connect(
-      UpstreamRecord target, UpstreamConnections connections, CallInProgress call) {
+      UpstreamRecord target, UpstreamConnectionPool connections, CallInProgress call) {
     UpstreamConnection connection =
-        new UpstreamConnection(connections, head -> answers.accept(target, head), clock);
-    connections.opened();
-    connections.dialling(call);
+        new UpstreamConnection(connections, head -> responseListener.accept(target, head), clock);
+    connections.connectionOpened();
+    connections.addConnecting(call);
     ChannelFuture connecting =
         bootstrap
             .clone()
@@ -160,41 +163,43 @@
                 })
             .connect(target.host(), target.port());
     call.onCancel(() -> connecting.channel().close());
-    openByStart.computeIfAbsent(target.start(), start -> new HashSet<>()).add(connection);
+    openByIncarnation
+        .computeIfAbsent(target.incarnationId(), start -> new HashSet<>())
+        .add(connection);
     connecting
         .channel()
         .closeFuture()
         .addListener(
             closed -> {
-              connections.closed(connection);
+              connections.connectionClosed(connection);
               forget(target, connection);
             });
     connecting.addListener(
         done -> {
-          connections.dialled(call);
-          connected(done.cause(), connection, call);
+          connections.removeConnecting(call);
+          onConnected(done.cause(), connection, call);
         });
   }
 
   private void forget(UpstreamRecord target, UpstreamConnection connection) {
-    openByStart.computeIfPresent(
-        target.start(),
+    openByIncarnation.computeIfPresent(
+        target.incarnationId(),
         (start, open) -> {
           open.remove(connection);
           return open.isEmpty() ? null : open;
         });
   }
 
-  private static void connected(
+  private static void onConnected(
       @Nullable Throwable cause, UpstreamConnection connection, CallInProgress call) {
     if (cause == null) {
-      connection.start(call);
+      connection.send(call);
     } else {
       call.fail(CallFailure.NOT_CONNECTED);
     }
   }
 
   private static HttpClientCodec newCodec() {
-    return new HttpClientCodec(LINE_BYTES, HEADER_BYTES, CHUNK_BYTES);
+    return new HttpClientCodec(MAX_INITIAL_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/AnswerBody.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/ResponseBuffer.java
@@ -8,33 +8,33 @@
  *
  * @since 0.2
  */
-public final class AnswerBody {
+public final class ResponseBuffer {
 
-  private final int mostBytes;
-  private final ByteArrayOutputStream gathered = new ByteArrayOutputStream();
+  private final int maxBytes;
+  private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
 
   /**
    * Creates an empty body.
    *
    * @param mostBytes most bytes that it may have
    */
-  public AnswerBody(int mostBytes) {
-    this.mostBytes = mostBytes;
+  public ResponseBuffer(int mostBytes) {
+    this.maxBytes = mostBytes;
   }
 
   /** Adds bytes, unless the body would pass its bound; returns whether they were added. */
   public boolean add(ByteBuf content) {
-    if (gathered.size() + content.readableBytes() > mostBytes) {
+    if (buffer.size() + content.readableBytes() > maxBytes) {
       return false;
     }
     byte[] bytes = new byte[content.readableBytes()];
     content.readBytes(bytes);
-    gathered.writeBytes(bytes);
+    buffer.writeBytes(bytes);
     return true;
   }
 
   /** Returns what was gathered. */
-  public byte[] bytes() {
-    return gathered.toByteArray();
+  public byte[] toByteArray() {
+    return buffer.toByteArray();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/AnswerHead.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/ResponseHead.java
@@ -8,11 +8,11 @@
  * The head of an answer, for those that learn of the upstream from all answers alike.
  *
  * @param request what it answers
- * @param sentNanos when that was sent, by the monotonic clock
+ * @param sentAtNanos when that was sent, by the monotonic clock
  * @param response status and headers
  * @since 0.4
  */
-public record AnswerHead(OutgoingRequest request, long sentNanos, HttpResponse response) {
+public record ResponseHead(OutgoingRequest request, long sentAtNanos, HttpResponse response) {
 
   /** Returns the status code. */
   public int status() {
@@ -25,7 +25,7 @@
   }
 
   /** Returns whether the upstream closes the connection after this answer. */
-  public boolean closes() {
+  public boolean closesConnection() {
     return !HttpUtil.isKeepAlive(response);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamConnection.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamConnection.java
@@ -29,35 +29,36 @@
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
 
   private static final String KEEP_ALIVE = "Keep-Alive";
-  private static final Pattern KEPT_SECONDS = Pattern.compile("timeout=(\\d+)");
-  private static final long DEFAULT_KEPT_MILLIS = 3_000;
-  private static final long CLOSING_MARGIN_MILLIS = 700;
-  private static final int INFORMATIONAL_END = 200;
+  private static final Pattern KEEP_ALIVE_TIMEOUT = Pattern.compile("timeout=(\\d+)");
+  private static final long DEFAULT_KEEP_ALIVE_MILLIS = 3_000;
+  private static final long KEEP_ALIVE_MARGIN_MILLIS = 700;
+  private static final int MIN_FINAL_STATUS = 200;
 
-  private final UpstreamConnections owner;
-  private final Consumer<AnswerHead> onHead;
+  private final UpstreamConnectionPool pool;
+  private final Consumer<ResponseHead> onHead;
   private @Nullable ChannelHandlerContext context;
   private @Nullable CallInProgress call;
-  private @Nullable ChannelFuture written;
-  private boolean passingOver;
-  private boolean headSeen;
+  private @Nullable ChannelFuture writeFuture;
+  private boolean skippingResponse;
+  private boolean headReceived;
   private boolean reusable = true;
-  private boolean reset;
-  private long keptMillis = DEFAULT_KEPT_MILLIS;
+  private boolean connectionReset;
+  private long keepAliveMillis = DEFAULT_KEEP_ALIVE_MILLIS;
   private final MonotonicClock clock;
-  private long restingSince;
-  private long sentNanos;
+  private long idleSinceNanos;
+  private long sentAtNanos;
 
   /**
    * Creates a connection that is not open yet.
    *
    * @param onHead hears of the head of each answer, also where its call was given up
    */
-  UpstreamConnection(UpstreamConnections owner, Consumer<AnswerHead> onHead, MonotonicClock clock) {
-    this.owner = owner;
+  UpstreamConnection(
+      UpstreamConnectionPool owner, Consumer<ResponseHead> onHead, MonotonicClock clock) {
+    this.pool = owner;
     this.onHead = onHead;
     this.clock = clock;
-    this.restingSince = clock.nanos();
+    this.idleSinceNanos = clock.nanos();
   }
 
   @Override
@@ -66,10 +67,10 @@
   }
 
   /** Sends the request of a call. */
-  void start(CallInProgress next) {
+  void send(CallInProgress next) {
     ChannelHandlerContext channel = Optional.ofNullable(context).orElseThrow();
-    if (next.isOver()) {
-      finish();
+    if (next.isFinished()) {
+      finishCall();
       return;
     }
     if (!channel.channel().isActive()) {
@@ -77,23 +78,23 @@
       return;
     }
     call = next;
-    headSeen = false;
+    headReceived = false;
     reusable &= next.request().reuse() != ConnectionReuse.NONE;
     next.onCancel(this::close);
-    sentNanos = clock.nanos();
-    written = channel.writeAndFlush(encode(next.request()));
-    next.sent();
+    sentAtNanos = clock.nanos();
+    writeFuture = channel.writeAndFlush(encode(next.request()));
+    next.notifySent();
   }
 
-  boolean usable() {
+  boolean isReusable() {
     return reusable
         && context != null
         && context.channel().isActive()
-        && idleMillis() < keptMillis - CLOSING_MARGIN_MILLIS;
+        && idleMillis() < keepAliveMillis - KEEP_ALIVE_MARGIN_MILLIS;
   }
 
   long idleMillis() {
-    return (clock.nanos() - restingSince) / 1_000_000;
+    return (clock.nanos() - idleSinceNanos) / 1_000_000;
   }
 
   void close() {
@@ -104,7 +105,7 @@
   }
 
   /** Closes the connection; a call under way on it has no answer to wait for. */
-  void breakOff() {
+  void abort() {
     fail(CallFailure.BROKEN);
   }
 
@@ -120,57 +121,57 @@
       return;
     }
     if (message instanceof HttpResponse response) {
-      head(current, response);
+      handleHead(current, response);
     }
-    if (message instanceof HttpContent content && headSeen) {
-      body(current, content);
+    if (message instanceof HttpContent content && headReceived) {
+      handleContent(current, content);
     }
   }
 
-  private void head(CallInProgress current, HttpResponse response) {
-    if (response.status().code() < INFORMATIONAL_END) {
-      passingOver = true;
+  private void handleHead(CallInProgress current, HttpResponse response) {
+    if (response.status().code() < MIN_FINAL_STATUS) {
+      skippingResponse = true;
       return;
     }
-    headSeen = true;
-    passingOver = isOthersAnswer(current, response);
-    if (passingOver) {
+    headReceived = true;
+    skippingResponse = belongsToOtherCall(current, response);
+    if (skippingResponse) {
       reusable = false;
       return;
     }
     reusable &= HttpUtil.isKeepAlive(response) && isFramed(response);
-    noteKeptTime(response.headers().get(KEEP_ALIVE));
-    onHead.accept(new AnswerHead(current.request(), sentNanos, response));
-    current.head(response.status().code(), response.headers());
+    updateKeepAlive(response.headers().get(KEEP_ALIVE));
+    onHead.accept(new ResponseHead(current.request(), sentAtNanos, response));
+    current.notifyHead(response.status().code(), response.headers());
   }
 
-  private void body(CallInProgress current, HttpContent content) {
+  private void handleContent(CallInProgress current, HttpContent content) {
     boolean last = content instanceof LastHttpContent;
-    if (passingOver) {
-      passingOver = !last;
-      headSeen = !last;
+    if (skippingResponse) {
+      skippingResponse = !last;
+      headReceived = !last;
       return;
     }
-    if (reset && last) {
+    if (connectionReset && last) {
       // Netty ends an answer without length also when the connection is reset.
       fail(CallFailure.BROKEN);
       return;
     }
     ByteBuf bytes = content.content();
     if (bytes.isReadable()) {
-      current.content(bytes);
+      current.notifyContent(bytes);
     }
     if (last) {
       call = null;
-      finish();
+      finishCall();
       current.complete();
     }
   }
 
-  private static boolean isOthersAnswer(CallInProgress current, HttpResponse response) {
+  private static boolean belongsToOtherCall(CallInProgress current, HttpResponse response) {
     return current
         .request()
-        .answerId()
+        .correlationHeader()
         .map(own -> !own.value().equals(response.headers().get(own.header())))
         .orElse(false);
   }
@@ -179,35 +180,35 @@
     return HttpUtil.isTransferEncodingChunked(response) || HttpUtil.isContentLengthSet(response);
   }
 
-  private void noteKeptTime(@Nullable String keepAlive) {
+  private void updateKeepAlive(@Nullable String keepAlive) {
     if (keepAlive != null) {
-      Matcher seconds = KEPT_SECONDS.matcher(keepAlive);
+      Matcher seconds = KEEP_ALIVE_TIMEOUT.matcher(keepAlive);
       if (seconds.find()) {
-        keptMillis = Long.parseLong(seconds.group(1)) * 1_000;
+        keepAliveMillis = Long.parseLong(seconds.group(1)) * 1_000;
       }
     }
   }
 
   /** Keeps the connection once all bytes that came together with the answer have been looked at. */
-  private void finish() {
-    restingSince = clock.nanos();
-    reusable &= written == null || written.isSuccess();
+  private void finishCall() {
+    idleSinceNanos = clock.nanos();
+    reusable &= writeFuture == null || writeFuture.isSuccess();
     if (!reusable) {
       close();
       return;
     }
-    Optional.ofNullable(context).orElseThrow().executor().execute(this::keep);
+    Optional.ofNullable(context).orElseThrow().executor().execute(this::returnToPool);
   }
 
-  private void keep() {
+  private void returnToPool() {
     if (reusable && call == null) {
-      owner.keep(this);
+      pool.release(this);
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext channel, Throwable cause) {
-    reset = true;
+    connectionReset = true;
     fail(CallFailure.BROKEN);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/connection/UpstreamSignals.java
@@ -1,8 +1,8 @@
 package org.gradeledge.connection;
 
-import org.gradeledge.discovery.LeavingStatement;
-import org.gradeledge.limit.BackoffStatement;
-import org.gradeledge.limit.LimitStatement;
+import org.gradeledge.discovery.LeavingAnnouncement;
+import org.gradeledge.limit.BackoffAnnouncement;
+import org.gradeledge.limit.LimitAnnouncement;
 
 /**
  * What the head of one answer says of the upstream that gave it, whatever the request was.
@@ -13,10 +13,10 @@
  * @since 0.5
  */
 public record UpstreamSignals(
-    LimitStatement limit, LeavingStatement leaving, BackoffStatement backoff) {
+    LimitAnnouncement limit, LeavingAnnouncement leaving, BackoffAnnouncement backoff) {
 
   /** What an answer says that another upstream gave. */
   public static final UpstreamSignals NONE =
       new UpstreamSignals(
-          LimitStatement.NOTHING, LeavingStatement.NOTHING, BackoffStatement.NOTHING);
+          LimitAnnouncement.NOTHING, LeavingAnnouncement.NOTHING, BackoffAnnouncement.NOTHING);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/DepartedUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/DepartedUpstreams.java
@@ -13,30 +13,31 @@
 final class DepartedUpstreams {
 
   /** Some hours of replacing a hundred upstreams every few minutes; about 400 kB. */
-  private static final int KEPT = 4096;
+  private static final int MAX_ENTRIES = 4096;
 
-  private final Map<String, Long> newestBirthById = new LinkedHashMap<>();
-  private final Set<String> starts = new LinkedHashSet<>();
+  private final Map<String, Long> latestStartById = new LinkedHashMap<>();
+  private final Set<String> incarnationIds = new LinkedHashSet<>();
 
-  void remember(UpstreamRecord upstream) {
-    newestBirthById.merge(upstream.id(), upstream.born(), Math::max);
-    if (newestBirthById.size() > KEPT) {
-      newestBirthById.remove(newestBirthById.keySet().iterator().next());
+  void add(UpstreamRecord upstream) {
+    latestStartById.merge(upstream.id(), upstream.startedAtMillis(), Math::max);
+    if (latestStartById.size() > MAX_ENTRIES) {
+      latestStartById.remove(latestStartById.keySet().iterator().next());
     }
   }
 
   /** Remembers a start by its name alone, as another box tells it; returns whether it was new. */
-  boolean rememberStart(String start) {
-    boolean added = starts.add(start);
-    if (starts.size() > KEPT) {
-      starts.remove(starts.iterator().next());
+  boolean addIncarnation(String start) {
+    boolean added = incarnationIds.add(start);
+    if (incarnationIds.size() > MAX_ENTRIES) {
+      incarnationIds.remove(incarnationIds.iterator().next());
     }
     return added;
   }
 
   /** Returns whether a start has departed, or one after it. */
   boolean contains(UpstreamRecord upstream) {
-    Long newest = newestBirthById.get(upstream.id());
-    return newest != null && upstream.born() <= newest || starts.contains(upstream.start());
+    Long newest = latestStartById.get(upstream.id());
+    return newest != null && upstream.startedAtMillis() <= newest
+        || incarnationIds.contains(upstream.incarnationId());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/EvacuatedZones.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/EvacuatedZones.java
@@ -10,34 +10,34 @@
 final class EvacuatedZones {
 
   private final UpstreamChangeLog changes;
-  private ZoneEvacuations held = ZoneEvacuations.UNKNOWN;
+  private ZoneEvacuations current = ZoneEvacuations.UNKNOWN;
 
   EvacuatedZones(UpstreamChangeLog changes) {
     this.changes = changes;
   }
 
-  ZoneEvacuations held() {
-    return held;
+  ZoneEvacuations current() {
+    return current;
   }
 
   boolean contains(UpstreamRecord upstream) {
-    return held.zones().contains(upstream.zone());
+    return current.zones().contains(upstream.zone());
   }
 
   /**
    * Takes on which zones they are, unless something newer is known; returns the zones that take new
    * work again, empty if all is as before.
    */
-  Optional<Set<String>> take(ZoneEvacuations told) {
-    Set<String> before = held.zones();
-    if (!told.isNewerThan(held)) {
+  Optional<Set<String>> update(ZoneEvacuations told) {
+    Set<String> before = current.zones();
+    if (!told.isNewerThan(current)) {
       return Optional.empty();
     }
-    held = told;
+    current = told;
     if (told.zones().equals(before)) {
       return Optional.empty();
     }
-    changes.writeZones(told, before);
+    changes.logEvacuations(told, before);
     Set<String> restored = new HashSet<>(before);
     restored.removeAll(told.zones());
     return Optional.of(restored);
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/KnownUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/KnownUpstreams.java
@@ -18,12 +18,12 @@
   private final UpstreamChangeLog log;
   private final Map<String, UpstreamRecord> byId = new HashMap<>();
   private final DepartedUpstreams departed = new DepartedUpstreams();
-  private final ReturnedUpstreams returned = new ReturnedUpstreams();
+  private final ReappearedUpstreams reappeared = new ReappearedUpstreams();
   private final Set<String> lapsed = new HashSet<>();
-  private final Set<String> announced = new HashSet<>();
-  private final UpstreamNotices notices = new UpstreamNotices();
-  private boolean sourceAway;
-  private boolean doubtTold;
+  private final Set<String> announcedLeavingIds = new HashSet<>();
+  private final PendingUpstreamNotifications notifications = new PendingUpstreamNotifications();
+  private boolean sourceUnavailable;
+  private boolean untrustedByPeer;
   private long revision = -1;
   private long changedAt = -1;
 
@@ -32,7 +32,7 @@
   }
 
   /** Begins a change of the list; lines that are written from now on carry its revision. */
-  void begin(long newRevision) {
+  void beginUpdate(long newRevision) {
     revision = newRevision;
   }
 
@@ -57,7 +57,7 @@
   /** Returns what is known of this start of an upstream, if it is the newest one. */
   Optional<UpstreamRecord> find(UpstreamRecord upstream) {
     return Optional.ofNullable(byId.get(upstream.id()))
-        .filter(known -> known.born() == upstream.born());
+        .filter(known -> known.startedAtMillis() == upstream.startedAtMillis());
   }
 
   /** Removes all but the named ones. */
@@ -66,65 +66,68 @@
   }
 
   /** Takes in a report of a whole reading. */
-  void read(UpstreamRecord upstream) {
-    if (!returned.holdsBack(upstream)) {
+  void putFromSnapshot(UpstreamRecord upstream) {
+    if (!reappeared.withholdIfReappeared(upstream)) {
       put(upstream);
     }
   }
 
   /** Takes in what was just written. */
   void put(UpstreamRecord upstream) {
-    returned.written(upstream.id());
+    reappeared.recordWritten(upstream.id());
     UpstreamRecord before = byId.get(upstream.id());
-    if (before != null && upstream.born() < before.born()) {
+    if (before != null && upstream.startedAtMillis() < before.startedAtMillis()) {
       return;
     }
-    if (before != null && before.born() < upstream.born()) {
+    if (before != null && before.startedAtMillis() < upstream.startedAtMillis()) {
       replace(before);
       before = null;
     }
     if (hasLeft(upstream, before) && !upstream.leaving()) {
       return;
     }
-    take(upstream, before);
+    store(upstream, before);
   }
 
   private boolean hasLeft(UpstreamRecord upstream, @Nullable UpstreamRecord before) {
-    boolean leavingBefore = before != null && before.leaving() && before.born() == upstream.born();
+    boolean leavingBefore =
+        before != null
+            && before.leaving()
+            && before.startedAtMillis() == upstream.startedAtMillis();
     return leavingBefore || departed.contains(upstream);
   }
 
   /** What was sent to the start before is lost with it, also where no connection says so. */
   private void replace(UpstreamRecord before) {
-    write("upstream-replaced", before);
-    departed.remember(before);
+    logChange("upstream-replaced", before);
+    departed.add(before);
     byId.remove(before.id());
     if (!before.leaving()) {
-      notices.ended(before);
+      notifications.addRetired(before);
     }
-    notices.replaced(before);
+    notifications.addReplaced(before);
   }
 
-  private void take(UpstreamRecord upstream, @Nullable UpstreamRecord before) {
+  private void store(UpstreamRecord upstream, @Nullable UpstreamRecord before) {
     lapsed.remove(upstream.id());
-    returned.isThere(upstream);
+    reappeared.recordPresent(upstream);
     byId.put(upstream.id(), upstream);
     if (!upstream.equals(before) || isNewlyCold(upstream, before)) {
       changedAt = revision;
     }
     if (upstream.coldMillis() > 0) {
-      notices.cold(upstream);
+      notifications.addCold(upstream);
     }
     if (before == null) {
-      write("upstream-listed", upstream);
+      logChange("upstream-listed", upstream);
     }
     if (upstream.leaving()) {
-      announced.remove(upstream.start());
+      announcedLeavingIds.remove(upstream.incarnationId());
     }
     if (upstream.leaving() && (before == null || !before.leaving())) {
-      departed.remember(upstream);
-      write("upstream-leaving", upstream);
-      notices.ended(upstream);
+      departed.add(upstream);
+      logChange("upstream-leaving", upstream);
+      notifications.addRetired(upstream);
     }
   }
 
@@ -133,59 +136,59 @@
   }
 
   void remove(String id) {
-    returned.written(id);
+    reappeared.recordWritten(id);
     UpstreamRecord known = byId.get(id);
-    if (isDoubted() && known != null && !known.leaving()) {
-      lapse(known);
+    if (areRemovalsUntrusted() && known != null && !known.leaving()) {
+      markLapsed(known);
     } else {
-      end(id);
+      delete(id);
     }
   }
 
-  private void lapse(UpstreamRecord upstream) {
+  private void markLapsed(UpstreamRecord upstream) {
     if (lapsed.add(upstream.id())) {
       changedAt = revision;
-      write("upstream-lapsed", upstream);
+      logChange("upstream-lapsed", upstream);
     }
   }
 
   /** Entries of upstreams that had gone may be there again without having been written anew. */
-  void distrustReturns() {
-    returned.distrust();
+  void distrustReappearedEntries() {
+    reappeared.startWithholding();
   }
 
   /** Entries that vanish from now on may only have lapsed. */
   void distrustRemovals() {
-    sourceAway = true;
+    sourceUnavailable = true;
   }
 
   /** The same, as another box has noticed it. */
-  void distrustRemovalsAsTold() {
-    doubtTold = true;
+  void distrustRemovalsReportedByPeer() {
+    untrustedByPeer = true;
   }
 
   /** Returns whether this box itself has noticed that entries may only have lapsed. */
-  boolean distrustsRemovals() {
-    return sourceAway;
+  boolean hasDetectedOutage() {
+    return sourceUnavailable;
   }
 
   /** Returns whether entries that are missing may only have lapsed, as noticed or told. */
-  boolean isDoubted() {
-    return sourceAway || doubtTold;
+  boolean areRemovalsUntrusted() {
+    return sourceUnavailable || untrustedByPeer;
   }
 
   /** What is missing now is gone. */
   void trustRemovals() {
-    sourceAway = false;
-    doubtTold = false;
-    List.copyOf(lapsed).forEach(this::end);
-    returned.trust().forEach(this::put);
+    sourceUnavailable = false;
+    untrustedByPeer = false;
+    List.copyOf(lapsed).forEach(this::delete);
+    reappeared.releaseWithheld().forEach(this::put);
   }
 
   /** Ends a start for good, if it is the newest one. */
-  void depart(UpstreamRecord upstream) {
-    departed.remember(upstream);
-    find(upstream).ifPresent(known -> end(known.id()));
+  void markGone(UpstreamRecord upstream) {
+    departed.add(upstream);
+    find(upstream).ifPresent(known -> delete(known.id()));
   }
 
   /**
@@ -195,29 +198,29 @@
    *
    * @return whether it takes no new work from now on
    */
-  boolean announceLeaving(UpstreamRecord upstream) {
-    departed.remember(upstream);
+  boolean recordLeavingAnnouncement(UpstreamRecord upstream) {
+    departed.add(upstream);
     Optional<UpstreamRecord> known = find(upstream).filter(each -> !each.leaving());
-    known.ifPresent(each -> announced.add(each.start()));
-    known.ifPresent(each -> leave(each, "answer"));
+    known.ifPresent(each -> announcedLeavingIds.add(each.incarnationId()));
+    known.ifPresent(each -> markLeaving(each, "answer"));
     return known.isPresent();
   }
 
   /** Takes in that starts have said so to another box; returns whether any of it is new. */
-  boolean toldLeaving(String box, Collection<String> starts) {
-    List<String> fresh = starts.stream().filter(departed::rememberStart).toList();
+  boolean applyPeerLeavingAnnouncements(String box, Collection<String> starts) {
+    List<String> fresh = starts.stream().filter(departed::addIncarnation).toList();
     List<UpstreamRecord> told =
         byId.values().stream()
-            .filter(each -> !each.leaving() && fresh.contains(each.start()))
+            .filter(each -> !each.leaving() && fresh.contains(each.incarnationId()))
             .toList();
-    told.forEach(each -> leave(each, box));
+    told.forEach(each -> markLeaving(each, box));
     return !told.isEmpty();
   }
 
-  private void leave(UpstreamRecord known, String from) {
-    log.writeAnnounced(known, from);
+  private void markLeaving(UpstreamRecord known, String from) {
+    log.logLeavingAnnouncement(known, from);
     byId.put(known.id(), known.asLeaving());
-    notices.ended(known);
+    notifications.addRetired(known);
   }
 
   /**
@@ -225,39 +228,40 @@
    * of them yet.
    */
   List<String> announcedLeaving() {
-    if (!announced.isEmpty()) {
-      announced.retainAll(byId.values().stream().map(UpstreamRecord::start).toList());
+    if (!announcedLeavingIds.isEmpty()) {
+      announcedLeavingIds.retainAll(
+          byId.values().stream().map(UpstreamRecord::incarnationId).toList());
     }
-    return List.copyOf(announced);
+    return List.copyOf(announcedLeavingIds);
   }
 
   /** Ends a start whose entry has vanished, until it is listed again. */
-  void endIfLapsed(UpstreamRecord upstream) {
+  void removeIfLapsed(UpstreamRecord upstream) {
     if (find(upstream).filter(this::isLapsed).isPresent()) {
-      write("upstream-closing", upstream);
-      end(upstream.id());
+      logChange("upstream-closing", upstream);
+      delete(upstream.id());
     }
   }
 
-  private void end(String id) {
+  private void delete(String id) {
     lapsed.remove(id);
     UpstreamRecord before = byId.remove(id);
     if (before != null) {
       changedAt = revision;
     }
     if (before != null && !before.leaving()) {
-      write("upstream-gone", before);
-      returned.gone(before);
-      notices.ended(before);
+      logChange("upstream-gone", before);
+      reappeared.recordGone(before);
+      notifications.addRetired(before);
     }
   }
 
-  private void write(String what, UpstreamRecord upstream) {
-    log.write(what, upstream, revision);
+  private void logChange(String what, UpstreamRecord upstream) {
+    log.logChange(what, upstream, revision);
   }
 
   /** Returns what is to be told once the change is over. */
-  UpstreamNotices notices() {
-    return notices;
+  PendingUpstreamNotifications notifications() {
+    return notifications;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/LeavingStatement.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/LeavingAnnouncement.java
@@ -7,7 +7,7 @@
  * @param text what stood there; empty but for {@link Kind#UNREADABLE}
  * @since 0.5
  */
-public record LeavingStatement(Kind kind, String text) {
+public record LeavingAnnouncement(Kind kind, String text) {
 
   /** What may be said. */
   public enum Kind {
@@ -20,13 +20,13 @@
   }
 
   /** The upstream leaves. */
-  public static final LeavingStatement LEAVES = new LeavingStatement(Kind.LEAVES, "");
+  public static final LeavingAnnouncement LEAVES = new LeavingAnnouncement(Kind.LEAVES, "");
 
   /** The answer says nothing of leaving. */
-  public static final LeavingStatement NOTHING = new LeavingStatement(Kind.NOTHING, "");
+  public static final LeavingAnnouncement NOTHING = new LeavingAnnouncement(Kind.NOTHING, "");
 
   /** Returns that what stood there cannot be read. */
-  public static LeavingStatement unreadable(String text) {
-    return new LeavingStatement(Kind.UNREADABLE, text);
+  public static LeavingAnnouncement unreadable(String text) {
+    return new LeavingAnnouncement(Kind.UNREADABLE, text);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamNotices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/PendingUpstreamNotifications.java
@@ -7,29 +7,29 @@
  * What is to be told of upstreams once a change of the list is over. Each is taken once. Confined
  * to the event loop.
  */
-final class UpstreamNotices {
+final class PendingUpstreamNotifications {
 
-  private final List<UpstreamRecord> ended = new ArrayList<>();
+  private final List<UpstreamRecord> retired = new ArrayList<>();
   private final List<UpstreamRecord> replaced = new ArrayList<>();
   private final List<UpstreamRecord> cold = new ArrayList<>();
 
   /** Notes one that takes no new work any more. */
-  void ended(UpstreamRecord upstream) {
-    ended.add(upstream);
+  void addRetired(UpstreamRecord upstream) {
+    retired.add(upstream);
   }
 
   /** Notes a start after which another has begun. */
-  void replaced(UpstreamRecord upstream) {
+  void addReplaced(UpstreamRecord upstream) {
     replaced.add(upstream);
   }
 
   /** Notes a report that one is cold. */
-  void cold(UpstreamRecord upstream) {
+  void addCold(UpstreamRecord upstream) {
     cold.add(upstream);
   }
 
-  List<UpstreamRecord> takeEnded() {
-    return take(ended);
+  List<UpstreamRecord> takeRetired() {
+    return take(retired);
   }
 
   List<UpstreamRecord> takeReplaced() {
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UnreadableSignals.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UnreadableSignalLog.java
@@ -11,32 +11,32 @@
  *
  * @since 0.5
  */
-public final class UnreadableSignals {
+public final class UnreadableSignalLog {
 
   /** Many more upstreams than say something odd at a time; about 100 kB. */
-  private static final int KEPT = 1_024;
+  private static final int MAX_ENTRIES = 1_024;
 
   private final EventLog events;
   private final String event;
-  private final Map<String, String> textByStart = new LinkedHashMap<>();
+  private final Map<String, String> textByIncarnation = new LinkedHashMap<>();
 
   /**
    * Creates it; nothing was read yet.
    *
    * @param event name of the line
    */
-  public UnreadableSignals(EventLog events, String event) {
+  public UnreadableSignalLog(EventLog events, String event) {
     this.events = events;
     this.event = event;
   }
 
   /** Notes a text that cannot be read. */
-  public void note(UpstreamRecord upstream, String text) {
-    if (Objects.equals(textByStart.put(upstream.start(), text), text)) {
+  public void report(UpstreamRecord upstream, String text) {
+    if (Objects.equals(textByIncarnation.put(upstream.incarnationId(), text), text)) {
       return;
     }
-    if (textByStart.size() > KEPT) {
-      textByStart.remove(textByStart.keySet().iterator().next());
+    if (textByIncarnation.size() > MAX_ENTRIES) {
+      textByIncarnation.remove(textByIncarnation.keySet().iterator().next());
     }
     events
         .problem(event)
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamChangeLog.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamChangeLog.java
@@ -12,11 +12,11 @@
     this.events = events;
   }
 
-  void write(String what, UpstreamRecord upstream, long revision) {
+  void logChange(String what, UpstreamRecord upstream, long revision) {
     events
         .change(what)
         .with("upstream", upstream.id())
-        .with("born", upstream.born())
+        .with("born", upstream.startedAtMillis())
         .with("service", upstream.service())
         .with("address", upstream.address())
         .with("revision", revision)
@@ -24,21 +24,21 @@
   }
 
   /** Writes that an upstream has said that it leaves, in an answer or to another box. */
-  void writeAnnounced(UpstreamRecord upstream, String from) {
+  void logLeavingAnnouncement(UpstreamRecord upstream, String from) {
     events
         .change("upstream-announces-leaving")
         .with("upstream", upstream.id())
-        .with("born", upstream.born())
+        .with("born", upstream.startedAtMillis())
         .with("service", upstream.service())
         .with("from", from)
         .write();
   }
 
-  void listenerFailed(RuntimeException failure) {
+  void logListenerFailure(RuntimeException failure) {
     events.problem("upstream-listener-failed").with("why", String.valueOf(failure)).write();
   }
 
-  void writeZones(ZoneEvacuations now, Set<String> before) {
+  void logEvacuations(ZoneEvacuations now, Set<String> before) {
     events
         .change("zones-evacuated")
         .with("zones", String.join(" ", now.zones()))
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamListeners.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamListeners.java
@@ -11,7 +11,7 @@
  */
 final class UpstreamListeners {
 
-  private final List<Consumer<UpstreamRecord>> ended = new ArrayList<>();
+  private final List<Consumer<UpstreamRecord>> retired = new ArrayList<>();
   private final List<Consumer<UpstreamRecord>> replaced = new ArrayList<>();
   private final List<Consumer<UpstreamRecord>> cold = new ArrayList<>();
   private final List<Consumer<Set<String>>> restored = new ArrayList<>();
@@ -22,8 +22,8 @@
     this.log = log;
   }
 
-  void onEnd(Consumer<UpstreamRecord> listener) {
-    ended.add(listener);
+  void onRetired(Consumer<UpstreamRecord> listener) {
+    retired.add(listener);
   }
 
   void onReplaced(Consumer<UpstreamRecord> listener) {
@@ -42,31 +42,31 @@
     zonesChanged.add(listener);
   }
 
-  void tellEnd(UpstreamRecord upstream) {
-    ended.forEach(listener -> tell(() -> listener.accept(upstream)));
+  void notifyRetired(UpstreamRecord upstream) {
+    retired.forEach(listener -> notifySafely(() -> listener.accept(upstream)));
   }
 
-  void tellReplaced(UpstreamRecord upstream) {
-    replaced.forEach(listener -> tell(() -> listener.accept(upstream)));
+  void notifyReplaced(UpstreamRecord upstream) {
+    replaced.forEach(listener -> notifySafely(() -> listener.accept(upstream)));
   }
 
-  void tellCold(UpstreamRecord upstream) {
-    cold.forEach(listener -> tell(() -> listener.accept(upstream)));
+  void notifyCold(UpstreamRecord upstream) {
+    cold.forEach(listener -> notifySafely(() -> listener.accept(upstream)));
   }
 
   /** Tells of zones that take new work again before it tells that there are other zones now. */
-  void tellZones(Set<String> zonesRestored) {
+  void notifyZonesChanged(Set<String> zonesRestored) {
     if (!zonesRestored.isEmpty()) {
-      restored.forEach(listener -> tell(() -> listener.accept(zonesRestored)));
+      restored.forEach(listener -> notifySafely(() -> listener.accept(zonesRestored)));
     }
-    zonesChanged.forEach(this::tell);
+    zonesChanged.forEach(this::notifySafely);
   }
 
-  private void tell(Runnable listener) {
+  private void notifySafely(Runnable listener) {
     try {
       listener.run();
     } catch (RuntimeException failure) {
-      log.listenerFailed(failure);
+      log.logListenerFailure(failure);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRecord.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRecord.java
@@ -7,8 +7,8 @@
  * so under the same id; it then holds and knows nothing of before.
  *
  * @param id name that it is listed under
- * @param born when it started, in milliseconds since 1970; 0 if that is not told, and then no other
- *     start has its id
+ * @param startedAtMillis when it started, in milliseconds since 1970; 0 if that is not told, and
+ *     then no other start has its id
  * @param service name of its service
  * @param host IP number
  * @param port TCP port
@@ -20,7 +20,7 @@
  */
 public record UpstreamRecord(
     String id,
-    long born,
+    long startedAtMillis,
     String service,
     String host,
     int port,
@@ -39,13 +39,16 @@
    * Returns what names this start, and none before or after it, in all that a box or its peers know
    * of it: load, room, connections, what it was sent. The id alone where no birth is told.
    */
-  public String start() {
-    return born == 0 ? id : id + "*" + Long.toString(born, Character.MAX_RADIX);
+  public String incarnationId() {
+    return startedAtMillis == 0
+        ? id
+        : id + "*" + Long.toString(startedAtMillis, Character.MAX_RADIX);
   }
 
   /** Returns the same start, taking no new work. */
   UpstreamRecord asLeaving() {
-    return new UpstreamRecord(id, born, service, host, port, zone, slots, true, coldMillis);
+    return new UpstreamRecord(
+        id, startedAtMillis, service, host, port, zone, slots, true, coldMillis);
   }
 
   /** Returns host and port. */
@@ -58,7 +61,7 @@
   public boolean equals(@Nullable Object other) {
     return other instanceof UpstreamRecord that
         && id.equals(that.id)
-        && born == that.born
+        && startedAtMillis == that.startedAtMillis
         && service.equals(that.service)
         && host.equals(that.host)
         && port == that.port
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRegistry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRegistry.java
@@ -25,8 +25,8 @@
   private final UpstreamListeners listeners;
   private final KnownUpstreams known;
   private final UpstreamIndex index = new UpstreamIndex();
-  private Runnable onAnnounced = () -> {};
-  private Supplier<ListTrust> trust = () -> ListTrust.UNKNOWN;
+  private Runnable onLeavingAnnounced = () -> {};
+  private Supplier<ListTrust> trustSupplier = () -> ListTrust.UNKNOWN;
 
   /** Creates an empty registry. */
   public UpstreamRegistry(EventLog events) {
@@ -37,8 +37,8 @@
   }
 
   /** Tells a listener of each upstream that takes no new work any more. */
-  public void onEnd(Consumer<UpstreamRecord> listener) {
-    listeners.onEnd(listener);
+  public void onRetired(Consumer<UpstreamRecord> listener) {
+    listeners.onRetired(listener);
   }
 
   /** Tells a listener of each start after which another one has begun under the same id. */
@@ -63,7 +63,7 @@
 
   /** Returns the zones that take no new work. */
   public ZoneEvacuations evacuations() {
-    return evacuated.held();
+    return evacuated.current();
   }
 
   /**
@@ -72,12 +72,12 @@
    *
    * @return whether the zones are others than before
    */
-  public boolean evacuate(ZoneEvacuations told) {
-    Optional<Set<String>> restored = evacuated.take(told);
+  public boolean applyEvacuations(ZoneEvacuations told) {
+    Optional<Set<String>> restored = evacuated.update(told);
     restored.ifPresent(
         zones -> {
           rebuild();
-          listeners.tellZones(zones);
+          listeners.notifyZonesChanged(zones);
         });
     return restored.isPresent();
   }
@@ -119,10 +119,10 @@
 
   /** Returns whether new work may still be sent to an upstream. */
   public boolean isUsable(UpstreamRecord upstream) {
-    return known.find(upstream).filter(this::takesNewWork).isPresent();
+    return known.find(upstream).filter(this::acceptsNewRequests).isPresent();
   }
 
-  private boolean takesNewWork(UpstreamRecord upstream) {
+  private boolean acceptsNewRequests(UpstreamRecord upstream) {
     return !upstream.leaving() && !isEvacuated(upstream);
   }
 
@@ -141,20 +141,20 @@
   /** Takes a whole list on where it is not older than what is held. */
   public void replaceAll(long newRevision, Collection<UpstreamRecord> records) {
     if (newRevision >= known.revision()) {
-      known.begin(newRevision);
+      known.beginUpdate(newRevision);
       known.retain(records.stream().map(UpstreamRecord::id).collect(Collectors.toSet()));
-      records.forEach(known::read);
-      conclude();
+      records.forEach(known::putFromSnapshot);
+      publishChanges();
     }
   }
 
   /** Takes changes on that lead to a revision. */
   public void update(long newRevision, Collection<UpstreamRecord> put, Collection<String> gone) {
     if (newRevision >= known.revision()) {
-      known.begin(newRevision);
+      known.beginUpdate(newRevision);
       put.forEach(known::put);
       gone.forEach(known::remove);
-      conclude();
+      publishChanges();
     }
   }
 
@@ -171,69 +171,69 @@
    * had gone may be there again only for that, and is not used until it is written anew or the list
    * can be trusted.
    */
-  public void distrustReturns() {
-    known.distrustReturns();
+  public void distrustReappearedEntries() {
+    known.distrustReappearedEntries();
   }
 
   /**
    * Notes that another box has noticed that the list's source did not answer: this one may not
    * have, as it seldom reads, and what it is told or reads next lacks entries that only lapsed.
    */
-  public void distrustRemovalsAsTold() {
-    known.distrustRemovalsAsTold();
+  public void distrustRemovalsReportedByPeer() {
+    known.distrustRemovalsReportedByPeer();
   }
 
   /** Returns what this box can say itself of entries that are missing. */
-  public ListTrust trust() {
-    return known.distrustsRemovals() ? ListTrust.DOUBTED : trust.get();
+  public ListTrust listTrust() {
+    return known.hasDetectedOutage() ? ListTrust.DOUBTED : trustSupplier.get();
   }
 
   /** Returns whether entries that are missing may only have lapsed, as noticed or told. */
-  public boolean isDoubted() {
-    return known.isDoubted();
+  public boolean areRemovalsUntrusted() {
+    return known.areRemovalsUntrusted();
   }
 
   /** Sets whether this box reads the list so steadily that it would have noticed an outage. */
-  public void onTrust(Supplier<ListTrust> reading) {
-    trust = reading;
+  public void setTrustSupplier(Supplier<ListTrust> reading) {
+    trustSupplier = reading;
   }
 
   /** Notes that the upstreams have had the time to renew their entries: what is missing is gone. */
   public void trustRemovals() {
     known.trustRemovals();
-    conclude();
+    publishChanges();
   }
 
   /** Notes that an upstream was seen to be gone, for instance since another has its address. */
   public void markGone(UpstreamRecord upstream) {
-    known.depart(upstream);
-    conclude();
+    known.markGone(upstream);
+    publishChanges();
   }
 
   /**
    * Notes that an upstream said in an answer that it leaves: this start takes no new work any more,
    * whatever the list says of it.
    */
-  public void announcesLeaving(UpstreamRecord upstream) {
-    if (known.announceLeaving(upstream)) {
-      conclude();
-      onAnnounced.run();
+  public void recordLeavingAnnouncement(UpstreamRecord upstream) {
+    if (known.recordLeavingAnnouncement(upstream)) {
+      publishChanges();
+      onLeavingAnnounced.run();
     }
   }
 
   /** Runs an action whenever an upstream has said to this box that it leaves, and that is news. */
-  public void onAnnounced(Runnable action) {
-    onAnnounced = action;
+  public void onLeavingAnnounced(Runnable action) {
+    onLeavingAnnounced = action;
   }
 
   /**
    * Takes in the starts that have said to another box that they leave; returns whether any of it is
    * news.
    */
-  public boolean toldLeaving(String box, Collection<String> starts) {
-    boolean news = !starts.isEmpty() && known.toldLeaving(box, starts);
+  public boolean applyPeerLeavingAnnouncements(String box, Collection<String> starts) {
+    boolean news = !starts.isEmpty() && known.applyPeerLeavingAnnouncements(box, starts);
     if (news) {
-      conclude();
+      publishChanges();
     }
     return news;
   }
@@ -242,7 +242,7 @@
    * Returns the starts that have said to this box that they leave, as long as they are listed and
    * the list does not say so.
    */
-  public List<String> leavingAsTheySaid() {
+  public List<String> announcedLeaving() {
     return known.announcedLeaving();
   }
 
@@ -250,10 +250,10 @@
    * Notes that an upstream closes connections as one that leaves does. Others do so at times; one
    * whose entry has vanished as well is out of use until it renews that.
    */
-  public void closesConnections(UpstreamRecord upstream) {
+  public void recordConnectionClose(UpstreamRecord upstream) {
     if (known.isLapsed(upstream)) {
-      known.endIfLapsed(upstream);
-      conclude();
+      known.removeIfLapsed(upstream);
+      publishChanges();
     }
   }
 
@@ -261,14 +261,14 @@
    * Ends a change. Listeners look for other upstreams at once, so that they must not be told before
    * those that have just ended are out of the index.
    */
-  private void conclude() {
+  private void publishChanges() {
     rebuild();
-    known.notices().takeCold().forEach(listeners::tellCold);
-    known.notices().takeEnded().forEach(listeners::tellEnd);
-    known.notices().takeReplaced().forEach(listeners::tellReplaced);
+    known.notifications().takeCold().forEach(listeners::notifyCold);
+    known.notifications().takeRetired().forEach(listeners::notifyRetired);
+    known.notifications().takeReplaced().forEach(listeners::notifyReplaced);
   }
 
   private void rebuild() {
-    index.rebuild(known.all(), this::takesNewWork);
+    index.rebuild(known.all(), this::acceptsNewRequests);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/http/BearerTokens.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/BearerTokens.java
@@ -20,7 +20,7 @@
   public static String digest(HttpServerRequest request) {
     String header = request.requestHeaders().get("Authorization");
     if (header == null || !header.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
-      throw RefusalException.because(RefusalReason.TOKEN_UNKNOWN)
+      throw RefusalException.forReason(RefusalReason.TOKEN_UNKNOWN)
           .detail("Authorization must be given as a bearer token")
           .build();
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/http/RequestBodies.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/RequestBodies.java
@@ -36,7 +36,7 @@
   }
 
   private static RefusalException tooLarge(int maxBytes) {
-    return RefusalException.because(RefusalReason.BODY_TOO_LARGE)
+    return RefusalException.forReason(RefusalReason.BODY_TOO_LARGE)
         .detail("the body must be at most " + maxBytes + " bytes")
         .build();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/BackoffStatement.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/BackoffAnnouncement.java
@@ -11,7 +11,7 @@
  * @param text what stood there; empty but for {@link Kind#UNREADABLE}
  * @since 0.5
  */
-public record BackoffStatement(Kind kind, Duration duration, String text) {
+public record BackoffAnnouncement(Kind kind, Duration duration, String text) {
 
   /** What may be said. */
   public enum Kind {
@@ -24,16 +24,16 @@
   }
 
   /** The answer says nothing of a backoff. */
-  public static final BackoffStatement NOTHING =
-      new BackoffStatement(Kind.NOTHING, Duration.ZERO, "");
+  public static final BackoffAnnouncement NOTHING =
+      new BackoffAnnouncement(Kind.NOTHING, Duration.ZERO, "");
 
   /** Returns that an upstream wants no requests for a while. */
-  public static BackoffStatement requested(Duration duration) {
-    return new BackoffStatement(Kind.REQUESTED, duration, "");
+  public static BackoffAnnouncement requested(Duration duration) {
+    return new BackoffAnnouncement(Kind.REQUESTED, duration, "");
   }
 
   /** Returns that what stood there is no duration. */
-  public static BackoffStatement unreadable(String text) {
-    return new BackoffStatement(Kind.UNREADABLE, Duration.ZERO, text);
+  public static BackoffAnnouncement unreadable(String text) {
+    return new BackoffAnnouncement(Kind.UNREADABLE, Duration.ZERO, text);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/BoxRank.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/BoxRank.java
@@ -4,7 +4,7 @@
  * Where this box stands among those that may be sending, in an order that all of them agree on.
  *
  * @param rank how many come before it
- * @param boxes how many there are, this one included
+ * @param boxCount how many there are, this one included
  * @since 0.4
  */
-public record BoxRank(int rank, int boxes) {}
+public record BoxRank(int rank, int boxCount) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/LimitShare.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/LimitShare.java
@@ -12,28 +12,28 @@
  * limit of 1 a second, 8 at 5, all of 61 from 49 on. The last quarter is for boxes that differ for
  * a moment on who they are, and for requests that are held up on their way.
  *
- * @param perSecond requests a second that it may send
- * @param depth requests that it may send at once after a rest
- * @param firstLevel what its bucket holds when it first has a part: boxes begin one after the
+ * @param requestsPerSecond requests a second that it may send
+ * @param burst requests that it may send at once after a rest
+ * @param initialTokens what its bucket holds when it first has a part: boxes begin one after the
  *     other, so that nothing is sent at once when a limit is heard
  * @since 0.4
  */
-public record LimitShare(double perSecond, double depth, double firstLevel) {
+public record LimitShare(double requestsPerSecond, double burst, double initialTokens) {
 
   /** Part of the limit that is given out; what is left is room for bursts. */
-  private static final double GIVEN_OUT = 0.9;
+  private static final double ALLOCATED_FRACTION = 0.9;
 
   /** Over this time the deployment's rule counts, in seconds. */
   private static final double WINDOW_SECONDS = 4;
 
   /** In each window so much of the limit may come ... */
-  private static final double MOST_OF_LIMIT = 1.5;
+  private static final double LIMIT_FACTOR = 1.5;
 
   /** ... and so many requests more. */
-  private static final double MOST_EXTRA = 5;
+  private static final double EXTRA_REQUESTS = 5;
 
   /** Part of what the rule allows over what is given out that the buckets hold; see above. */
-  private static final double SLACK_USED = 0.75;
+  private static final double SLACK_FRACTION = 0.75;
 
   /**
    * A bucket that holds one request is full, and wastes what runs into it, whenever its box has
@@ -41,40 +41,42 @@
    * second use 0.87 to 0.92 of a limit (0.79 to 0.91 before), with 2 the same; beyond that fewer
    * boxes have a part for nothing.
    */
-  private static final double LEAST_DEPTH = 1.5;
+  private static final double MIN_BURST = 1.5;
 
   /** An upstream that gets nothing could never say that its need is over: one in 10 s at least. */
-  private static final double TRICKLE_PER_SECOND = 0.1;
+  private static final double MIN_REQUESTS_PER_SECOND = 0.1;
 
   /**
    * A box that alone makes all calls of a service passes that on at times, and its successor begins
    * while its own burst still counts.
    */
-  private static final double MOST_ALONE = 2;
+  private static final double MAX_SINGLE_SENDER_BURST = 2;
 
   /** Returns the share of a box that has a place among others, empty if it has none. */
   static Optional<LimitShare> of(double limitPerSecond, BoxRank box) {
     double slack = slack(limitPerSecond);
-    int sharers = Math.min(box.boxes(), Math.max(1, (int) (slack / LEAST_DEPTH)));
+    int sharers = Math.min(box.boxCount(), Math.max(1, (int) (slack / MIN_BURST)));
     if (box.rank() >= sharers) {
       return Optional.empty();
     }
     double last = sharers - 1 - box.rank();
     return Optional.of(
-        new LimitShare(givenOut(limitPerSecond) / sharers, slack / sharers, last / sharers));
+        new LimitShare(allocated(limitPerSecond) / sharers, slack / sharers, last / sharers));
   }
 
   /** Returns the share of a box that sends all requests of a service. */
-  static LimitShare alone(double limitPerSecond) {
-    return new LimitShare(givenOut(limitPerSecond), Math.min(MOST_ALONE, slack(limitPerSecond)), 0);
+  static LimitShare forSingleSender(double limitPerSecond) {
+    return new LimitShare(
+        allocated(limitPerSecond), Math.min(MAX_SINGLE_SENDER_BURST, slack(limitPerSecond)), 0);
   }
 
-  private static double givenOut(double limitPerSecond) {
-    return Math.max(TRICKLE_PER_SECOND, limitPerSecond * GIVEN_OUT);
+  private static double allocated(double limitPerSecond) {
+    return Math.max(MIN_REQUESTS_PER_SECOND, limitPerSecond * ALLOCATED_FRACTION);
   }
 
   private static double slack(double limitPerSecond) {
-    double over = (MOST_OF_LIMIT - GIVEN_OUT) * limitPerSecond * WINDOW_SECONDS + MOST_EXTRA;
-    return over * SLACK_USED;
+    double over =
+        (LIMIT_FACTOR - ALLOCATED_FRACTION) * limitPerSecond * WINDOW_SECONDS + EXTRA_REQUESTS;
+    return over * SLACK_FRACTION;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/SendingRule.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/SendLimiter.java
@@ -9,16 +9,16 @@
  *
  * @since 0.4
  */
-public interface SendingRule {
+public interface SendLimiter {
 
   /** A rule that holds nothing back. */
-  SendingRule NONE = allOf();
+  SendLimiter UNLIMITED = allOf();
 
   /** Returns whether one more request may be sent to an upstream now. */
   boolean admits(UpstreamRecord upstream);
 
   /** Notes that a request goes to an upstream, whether it was admitted or has to go there. */
-  void sent(UpstreamRecord upstream);
+  void recordSent(UpstreamRecord upstream);
 
   /**
    * Returns after how many milliseconds a request is admitted if so many others go before it;
@@ -30,12 +30,12 @@
    * Returns how many requests a second this box may send to an upstream; zero where that is nothing
    * for now, even if it is more later.
    */
-  double perSecond(UpstreamRecord upstream);
+  double requestsPerSecond(UpstreamRecord upstream);
 
   /** Returns the rule that holds back whatever one of several does: the smaller rate. */
-  static SendingRule allOf(SendingRule... rules) {
-    List<SendingRule> all = Arrays.asList(rules);
-    return new SendingRule() {
+  static SendLimiter allOf(SendLimiter... rules) {
+    List<SendLimiter> all = Arrays.asList(rules);
+    return new SendLimiter() {
 
       @Override
       public boolean admits(UpstreamRecord upstream) {
@@ -43,8 +43,8 @@
       }
 
       @Override
-      public void sent(UpstreamRecord upstream) {
-        all.forEach(rule -> rule.sent(upstream));
+      public void recordSent(UpstreamRecord upstream) {
+        all.forEach(rule -> rule.recordSent(upstream));
       }
 
       @Override
@@ -56,9 +56,9 @@
       }
 
       @Override
-      public double perSecond(UpstreamRecord upstream) {
+      public double requestsPerSecond(UpstreamRecord upstream) {
         return all.stream()
-            .mapToDouble(rule -> rule.perSecond(upstream))
+            .mapToDouble(rule -> rule.requestsPerSecond(upstream))
             .min()
             .orElse(Double.POSITIVE_INFINITY);
       }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamBackoffs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamBackoffs.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLog;
 import org.gradeledge.time.MonotonicClock;
@@ -21,96 +21,96 @@
  *
  * @since 0.5
  */
-public final class UpstreamBackoffs implements SendingRule {
+public final class UpstreamBackoffs implements SendLimiter {
 
   /** The longest time that is heeded; an upstream that wants more says so again then. */
-  static final Duration LONGEST = Duration.ofDays(1);
+  static final Duration MAX_BACKOFF = Duration.ofDays(1);
 
   /** After a backoff this long ... */
-  static final Duration RETURN = Duration.ofSeconds(1);
+  static final Duration RAMP_UP = Duration.ofSeconds(1);
 
   /** ... no more requests a second than this go to an upstream, one at a time. */
-  static final double RETURN_PER_SECOND = 10;
+  static final double RAMP_UP_REQUESTS_PER_SECOND = 10;
 
-  private static final double ONE = 1;
-  private static final double NANOS_OF_MILLI = 1e6;
-  private static final double MILLIS_OF_SECOND = 1e3;
+  private static final double RAMP_UP_BURST = 1;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final double MILLIS_PER_SECOND = 1e3;
 
   /** What one start asked for. */
   private static final class Backoff {
 
-    private final TokenBucket returning;
+    private final TokenBucket rampUpBucket;
     private long endNanos;
-    private long heldOff;
-    private boolean ended;
+    private long skipped;
+    private boolean endLogged;
 
     Backoff(long nowNanos, long endNanos) {
-      this.returning = new TokenBucket(ONE, nowNanos);
+      this.rampUpBucket = new TokenBucket(RAMP_UP_BURST, nowNanos);
       this.endNanos = endNanos;
     }
 
-    boolean lasts(long nowNanos) {
+    boolean isActive(long nowNanos) {
       return nowNanos - endNanos < 0;
     }
 
-    boolean isOver(long nowNanos) {
-      return nowNanos - endNanos >= RETURN.toNanos();
+    boolean isRampUpOver(long nowNanos) {
+      return nowNanos - endNanos >= RAMP_UP.toNanos();
     }
 
     /** Returns the bucket of the return, filled until now. */
-    TokenBucket filled(long nowNanos) {
-      returning.fill(RETURN_PER_SECOND, ONE, nowNanos);
-      return returning;
+    TokenBucket refilled(long nowNanos) {
+      rampUpBucket.refill(RAMP_UP_REQUESTS_PER_SECOND, RAMP_UP_BURST, nowNanos);
+      return rampUpBucket;
     }
 
     double millisLeft(long nowNanos) {
-      return (endNanos - nowNanos) / NANOS_OF_MILLI;
+      return (endNanos - nowNanos) / NANOS_PER_MILLI;
     }
   }
 
   private final MonotonicClock clock;
   private final EventLog events;
-  private final UnreadableSignals unreadable;
-  private final Map<String, Backoff> byStart = new HashMap<>();
-  private Consumer<UpstreamRecord> onBegin = upstream -> {};
-  private long heldOff;
+  private final UnreadableSignalLog unreadableSignals;
+  private final Map<String, Backoff> byIncarnation = new HashMap<>();
+  private Consumer<UpstreamRecord> startListener = upstream -> {};
+  private long skipped;
 
   /** Creates it; no upstream backs off. */
   public UpstreamBackoffs(MonotonicClock clock, EventLog events) {
     this.clock = clock;
     this.events = events;
-    this.unreadable = new UnreadableSignals(events, "upstream-backoff-unreadable");
+    this.unreadableSignals = new UnreadableSignalLog(events, "upstream-backoff-unreadable");
   }
 
   /** Runs an action whenever an upstream wants nothing from now on. */
-  public void onBegin(Consumer<UpstreamRecord> action) {
-    onBegin = action;
+  public void onBackoffStarted(Consumer<UpstreamRecord> action) {
+    startListener = action;
   }
 
   /** Takes in what an answer says. */
-  public void answered(UpstreamRecord upstream, BackoffStatement statement) {
+  public void onAnswer(UpstreamRecord upstream, BackoffAnnouncement statement) {
     switch (statement.kind()) {
-      case REQUESTED -> requested(upstream, statement.duration());
-      case UNREADABLE -> unreadable.note(upstream, statement.text());
+      case REQUESTED -> startOrExtend(upstream, statement.duration());
+      case UNREADABLE -> unreadableSignals.report(upstream, statement.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("unknown statement " + statement.kind());
     }
   }
 
-  private void requested(UpstreamRecord upstream, Duration requested) {
-    Duration duration = requested.compareTo(LONGEST) > 0 ? LONGEST : requested;
+  private void startOrExtend(UpstreamRecord upstream, Duration requested) {
+    Duration duration = requested.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : requested;
     if (duration.isZero()) {
       return;
     }
     long now = clock.nanos();
     long end = now + duration.toNanos();
-    Optional<Backoff> before = lasting(upstream, now);
+    Optional<Backoff> before = findActive(upstream, now);
     if (before.isPresent()) {
       before.get().endNanos = later(before.get().endNanos, end);
       return;
     }
-    byStart.values().removeIf(other -> other.isOver(now));
-    byStart.put(upstream.start(), new Backoff(now, end));
+    byIncarnation.values().removeIf(other -> other.isRampUpOver(now));
+    byIncarnation.put(upstream.incarnationId(), new Backoff(now, end));
     events
         .change("upstream-backoff")
         .with("upstream", upstream.id())
@@ -118,7 +118,7 @@
         .with("requested-ms", requested.toMillis())
         .with("ms", duration.toMillis())
         .write();
-    onBegin.accept(upstream);
+    startListener.accept(upstream);
   }
 
   private static long later(long first, long second) {
@@ -132,16 +132,16 @@
   }
 
   private boolean admits(Backoff backoff, long now) {
-    boolean admitted = !backoff.lasts(now) && backoff.filled(now).hasToken();
-    backoff.heldOff += admitted ? 0 : 1;
-    heldOff += admitted ? 0 : 1;
+    boolean admitted = !backoff.isActive(now) && backoff.refilled(now).hasToken();
+    backoff.skipped += admitted ? 0 : 1;
+    skipped += admitted ? 0 : 1;
     return admitted;
   }
 
   @Override
-  public void sent(UpstreamRecord upstream) {
+  public void recordSent(UpstreamRecord upstream) {
     long now = clock.nanos();
-    find(upstream, now).ifPresent(backoff -> backoff.filled(now).take());
+    find(upstream, now).ifPresent(backoff -> backoff.refilled(now).take());
   }
 
   @Override
@@ -153,63 +153,64 @@
   }
 
   private static double millisUntilAdmitted(Backoff backoff, double sentBefore, long now) {
-    return backoff.lasts(now)
-        ? backoff.millisLeft(now) + sentBefore / RETURN_PER_SECOND * MILLIS_OF_SECOND
-        : backoff.filled(now).millisUntilToken(sentBefore);
+    return backoff.isActive(now)
+        ? backoff.millisLeft(now) + sentBefore / RAMP_UP_REQUESTS_PER_SECOND * MILLIS_PER_SECOND
+        : backoff.refilled(now).millisUntilToken(sentBefore);
   }
 
   /** Nothing at all while an upstream backs off. */
   @Override
-  public double perSecond(UpstreamRecord upstream) {
+  public double requestsPerSecond(UpstreamRecord upstream) {
     long now = clock.nanos();
     return find(upstream, now)
-        .map(backoff -> backoff.lasts(now) ? 0 : RETURN_PER_SECOND)
+        .map(backoff -> backoff.isActive(now) ? 0 : RAMP_UP_REQUESTS_PER_SECOND)
         .orElse(Double.POSITIVE_INFINITY);
   }
 
   /** Returns how many upstreams want nothing from this box now. */
-  public long count() {
+  public long activeCount() {
     long now = clock.nanos();
-    return byStart.values().stream().filter(backoff -> backoff.lasts(now)).count();
+    return byIncarnation.values().stream().filter(backoff -> backoff.isActive(now)).count();
   }
 
   /** Returns how many starts are kept, those whose time is over included. */
-  int kept() {
-    return byStart.size();
+  int trackedCount() {
+    return byIncarnation.size();
   }
 
   /** Returns how often an upstream was passed over so far, as it wants nothing for a while. */
-  public long heldOff() {
-    return heldOff;
+  public long skipped() {
+    return skipped;
   }
 
-  private Optional<Backoff> lasting(UpstreamRecord upstream, long now) {
-    return Optional.ofNullable(byStart.get(upstream.start())).filter(each -> each.lasts(now));
+  private Optional<Backoff> findActive(UpstreamRecord upstream, long now) {
+    return Optional.ofNullable(byIncarnation.get(upstream.incarnationId()))
+        .filter(each -> each.isActive(now));
   }
 
   /** Returns the backoff of an upstream, also while its first requests after that go out. */
   private Optional<Backoff> find(UpstreamRecord upstream, long now) {
-    Backoff backoff = byStart.get(upstream.start());
+    Backoff backoff = byIncarnation.get(upstream.incarnationId());
     if (backoff == null) {
       return Optional.empty();
     }
-    if (!backoff.lasts(now) && !backoff.ended) {
-      backoff.ended = true;
-      tellEnd(upstream, backoff);
+    if (!backoff.isActive(now) && !backoff.endLogged) {
+      backoff.endLogged = true;
+      logEnd(upstream, backoff);
     }
-    if (backoff.isOver(now)) {
-      byStart.remove(upstream.start());
+    if (backoff.isRampUpOver(now)) {
+      byIncarnation.remove(upstream.incarnationId());
       return Optional.empty();
     }
     return Optional.of(backoff);
   }
 
-  private void tellEnd(UpstreamRecord upstream, Backoff backoff) {
+  private void logEnd(UpstreamRecord upstream, Backoff backoff) {
     events
         .change("upstream-backoff-ended")
         .with("upstream", upstream.id())
         .with("service", upstream.service())
-        .with("held-off", backoff.heldOff)
+        .with("held-off", backoff.skipped)
         .write();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamLimits.java
@@ -11,7 +11,7 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.event.EventLog;
 import org.gradeledge.time.MonotonicClock;
@@ -30,56 +30,56 @@
 public final class UpstreamLimits {
 
   /** Others still hear of a lifted limit for so long; 25 heartbeats among many boxes. */
-  private static final Duration LIFTED_TOLD = Duration.ofSeconds(10);
+  private static final Duration LIFTED_REPORT_PERIOD = Duration.ofSeconds(10);
 
   private static final double THOUSAND_SECONDS = 1_000;
 
   /** A rate beyond this is as good as none; it keeps sums of rates in bounds. */
-  private static final double MOST_PER_SECOND = 1e9;
+  private static final double MAX_REQUESTS_PER_SECOND = 1e9;
 
   /** An upstream may name another figure in each answer: only larger changes are worth a line. */
-  private static final double LOGGED_CHANGE = 1.2;
+  private static final double MIN_LOGGED_CHANGE_FACTOR = 1.2;
 
-  private static final long NANOS_OF_MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
    * What is known of one start: a rate, or that there is none any more.
    *
-   * @param notedNanos when that was last shown
-   * @param sinceNanos when it was first shown
+   * @param confirmedNanos when that was last shown
+   * @param firstSeenNanos when it was first shown
    */
-  private record Known(long perThousandSeconds, long notedNanos, long sinceNanos) {
+  private record KnownLimit(long requestsPer1000Seconds, long confirmedNanos, long firstSeenNanos) {
 
-    Known(long perThousandSeconds, long notedNanos) {
+    KnownLimit(long perThousandSeconds, long notedNanos) {
       this(perThousandSeconds, notedNanos, notedNanos);
     }
 
-    Known shownAgain(long shownNanos) {
-      return new Known(perThousandSeconds, shownNanos, sinceNanos);
+    KnownLimit confirmedAt(long shownNanos) {
+      return new KnownLimit(requestsPer1000Seconds, shownNanos, firstSeenNanos);
     }
 
     boolean isLimit() {
-      return perThousandSeconds != LimitReport.LIFTED;
+      return requestsPer1000Seconds != LimitReport.LIFTED;
     }
 
-    double perSecond() {
-      return perThousandSeconds / THOUSAND_SECONDS;
+    double requestsPerSecond() {
+      return requestsPer1000Seconds / THOUSAND_SECONDS;
     }
 
-    boolean isFarFrom(Known other) {
-      double smaller = Math.min(perThousandSeconds, other.perThousandSeconds);
-      double larger = Math.max(perThousandSeconds, other.perThousandSeconds);
-      return isLimit() != other.isLimit() || larger > smaller * LOGGED_CHANGE;
+    boolean differsNoticeablyFrom(KnownLimit other) {
+      double smaller = Math.min(requestsPer1000Seconds, other.requestsPer1000Seconds);
+      double larger = Math.max(requestsPer1000Seconds, other.requestsPer1000Seconds);
+      return isLimit() != other.isLimit() || larger > smaller * MIN_LOGGED_CHANGE_FACTOR;
     }
   }
 
   private final MonotonicClock clock;
   private final EventLog events;
-  private final Supplier<Collection<UpstreamRecord>> listed;
-  private final Map<String, Known> byStart = new HashMap<>();
-  private final Map<String, Known> logged = new HashMap<>();
-  private final UnreadableSignals unreadable;
-  private Runnable onNews = () -> {};
+  private final Supplier<Collection<UpstreamRecord>> knownUpstreams;
+  private final Map<String, KnownLimit> byIncarnation = new HashMap<>();
+  private final Map<String, KnownLimit> lastLogged = new HashMap<>();
+  private final UnreadableSignalLog unreadableSignals;
+  private Runnable changeListener = () -> {};
 
   /**
    * Creates it; no limit is known.
@@ -90,26 +90,26 @@
       MonotonicClock clock, EventLog events, Supplier<Collection<UpstreamRecord>> listed) {
     this.clock = clock;
     this.events = events;
-    this.listed = listed;
-    this.unreadable = new UnreadableSignals(events, "upstream-limit-unreadable");
+    this.knownUpstreams = listed;
+    this.unreadableSignals = new UnreadableSignalLog(events, "upstream-limit-unreadable");
   }
 
   /** Runs an action whenever this box itself hears a first limit of an upstream, or its end. */
-  public void onNews(Runnable action) {
-    onNews = action;
+  public void onChange(Runnable action) {
+    changeListener = action;
   }
 
   /** Returns how many requests a second a start takes from all boxes, empty without a limit. */
   public OptionalDouble limitOf(String start) {
-    Known known = byStart.get(start);
+    KnownLimit known = byIncarnation.get(start);
     return known == null || !known.isLimit()
         ? OptionalDouble.empty()
-        : OptionalDouble.of(known.perSecond());
+        : OptionalDouble.of(known.requestsPerSecond());
   }
 
   /** Returns how many starts have a limit. */
-  public long count() {
-    return byStart.values().stream().filter(Known::isLimit).count();
+  public long limitedCount() {
+    return byIncarnation.values().stream().filter(KnownLimit::isLimit).count();
   }
 
   /**
@@ -117,35 +117,35 @@
    *
    * @param sentNanos when its request was sent
    */
-  public void answered(UpstreamRecord upstream, long sentNanos, LimitStatement statement) {
+  public void onAnswer(UpstreamRecord upstream, long sentNanos, LimitAnnouncement statement) {
     switch (statement.kind()) {
-      case NAMED -> named(upstream, statement.perSecond());
-      case NO_LIMIT -> lifted(upstream, sentNanos);
-      case UNREADABLE -> unreadable.note(upstream, statement.text());
+      case NAMED -> applyLimit(upstream, statement.requestsPerSecond());
+      case NO_LIMIT -> liftLimit(upstream, sentNanos);
+      case UNREADABLE -> unreadableSignals.report(upstream, statement.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("unknown statement " + statement.kind());
     }
   }
 
-  private void named(UpstreamRecord upstream, double perSecond) {
-    long rate = Math.round(Math.min(perSecond, MOST_PER_SECOND) * THOUSAND_SECONDS);
-    boolean news = limitOf(upstream.start()).isEmpty();
-    if (put(upstream.start(), new Known(rate, clock.nanos()), "answer") && news) {
-      onNews.run();
+  private void applyLimit(UpstreamRecord upstream, double perSecond) {
+    long rate = Math.round(Math.min(perSecond, MAX_REQUESTS_PER_SECOND) * THOUSAND_SECONDS);
+    boolean news = limitOf(upstream.incarnationId()).isEmpty();
+    if (put(upstream.incarnationId(), new KnownLimit(rate, clock.nanos()), "answer") && news) {
+      changeListener.run();
     }
   }
 
-  private void lifted(UpstreamRecord upstream, long sentNanos) {
-    Known known = byStart.get(upstream.start());
-    if (known == null || sentNanos - known.notedNanos() <= 0) {
+  private void liftLimit(UpstreamRecord upstream, long sentNanos) {
+    KnownLimit known = byIncarnation.get(upstream.incarnationId());
+    if (known == null || sentNanos - known.confirmedNanos() <= 0) {
       return;
     }
     if (known.isLimit()) {
-      put(upstream.start(), new Known(LimitReport.LIFTED, sentNanos), "answer");
-      onNews.run();
+      put(upstream.incarnationId(), new KnownLimit(LimitReport.LIFTED, sentNanos), "answer");
+      changeListener.run();
     } else {
       // Otherwise a word of before, which another box has heard meanwhile, would count as younger.
-      byStart.put(upstream.start(), known.shownAgain(sentNanos));
+      byIncarnation.put(upstream.incarnationId(), known.confirmedAt(sentNanos));
     }
   }
 
@@ -153,46 +153,48 @@
    * Takes in what another box told so many milliseconds ago; returns whether any of it is other
    * than was known.
    */
-  public boolean told(String box, Collection<LimitReport> reports, long ageMillis) {
-    return reports.stream().filter(report -> told(box, report, ageMillis)).count() > 0;
+  public boolean merge(String box, Collection<LimitReport> reports, long ageMillis) {
+    return reports.stream().filter(report -> merge(box, report, ageMillis)).count() > 0;
   }
 
   /**
    * One that says the same changes nothing, not even the age: what goes round between boxes would
    * grow younger by the time that each message takes.
    */
-  private boolean told(String box, LimitReport report, long ageMillis) {
-    long noted = clock.nanos() - (report.ageMillis() + ageMillis) * NANOS_OF_MILLI;
-    Known told = new Known(report.perThousandSeconds(), noted);
-    Known known = byStart.get(report.start());
+  private boolean merge(String box, LimitReport report, long ageMillis) {
+    long noted = clock.nanos() - (report.ageMillis() + ageMillis) * NANOS_PER_MILLI;
+    KnownLimit told = new KnownLimit(report.requestsPer1000Seconds(), noted);
+    KnownLimit known = byIncarnation.get(report.incarnationId());
     boolean news =
         known == null
             ? told.isLimit()
-            : known.perThousandSeconds() != told.perThousandSeconds()
-                && told.notedNanos() - known.notedNanos() > 0;
-    return news && put(report.start(), told, box);
+            : known.requestsPer1000Seconds() != told.requestsPer1000Seconds()
+                && told.confirmedNanos() - known.confirmedNanos() > 0;
+    return news && put(report.incarnationId(), told, box);
   }
 
-  private boolean put(String start, Known now, String from) {
+  private boolean put(String start, KnownLimit now, String from) {
     Optional<UpstreamRecord> upstream =
-        listed.get().stream().filter(each -> each.start().equals(start)).findFirst();
+        knownUpstreams.get().stream()
+            .filter(each -> each.incarnationId().equals(start))
+            .findFirst();
     upstream.ifPresent(
         record -> {
-          byStart.put(start, now);
+          byIncarnation.put(start, now);
           log(record, now, from);
         });
     return upstream.isPresent();
   }
 
-  private void log(UpstreamRecord upstream, Known now, String from) {
-    @Nullable Known before = logged.get(upstream.start());
-    if (before == null || now.isFarFrom(before)) {
-      logged.put(upstream.start(), now);
+  private void log(UpstreamRecord upstream, KnownLimit now, String from) {
+    @Nullable KnownLimit before = lastLogged.get(upstream.incarnationId());
+    if (before == null || now.differsNoticeablyFrom(before)) {
+      lastLogged.put(upstream.incarnationId(), now);
       events
           .change(now.isLimit() ? "upstream-limit" : "upstream-limit-lifted")
           .with("upstream", upstream.id())
           .with("service", upstream.service())
-          .with("in-1000-s", now.perThousandSeconds())
+          .with("in-1000-s", now.requestsPer1000Seconds())
           .with("from", from)
           .write();
     }
@@ -200,24 +202,25 @@
 
   /** Returns what is told to all others; what is known of upstreams that are gone is dropped. */
   public List<LimitReport> reports() {
-    if (byStart.isEmpty()) {
+    if (byIncarnation.isEmpty()) {
       return List.of();
     }
-    Set<String> there = listed.get().stream().map(UpstreamRecord::start).collect(toSet());
-    byStart.keySet().retainAll(there);
-    logged.keySet().retainAll(there);
+    Set<String> there =
+        knownUpstreams.get().stream().map(UpstreamRecord::incarnationId).collect(toSet());
+    byIncarnation.keySet().retainAll(there);
+    lastLogged.keySet().retainAll(there);
     long now = clock.nanos();
-    return byStart.entrySet().stream()
+    return byIncarnation.entrySet().stream()
         .filter(
             entry ->
                 entry.getValue().isLimit()
-                    || now - entry.getValue().sinceNanos() < LIFTED_TOLD.toNanos())
+                    || now - entry.getValue().firstSeenNanos() < LIFTED_REPORT_PERIOD.toNanos())
         .map(
             entry ->
                 new LimitReport(
                     entry.getKey(),
-                    entry.getValue().perThousandSeconds(),
-                    (now - entry.getValue().notedNanos()) / NANOS_OF_MILLI))
+                    entry.getValue().requestsPer1000Seconds(),
+                    (now - entry.getValue().confirmedNanos()) / NANOS_PER_MILLI))
         .toList();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/LimitedSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/UpstreamRateLimiter.java
@@ -16,48 +16,49 @@
  *
  * @since 0.4
  */
-public final class LimitedSending implements SendingRule {
+public final class UpstreamRateLimiter implements SendLimiter {
 
   /** Who else is there is looked at again as often as boxes tell each other. */
-  private static final Duration LOOK_AGAIN = Duration.ofMillis(200);
+  private static final Duration REFRESH_INTERVAL = Duration.ofMillis(200);
 
   /** What this box may send to one start that has a limit. */
-  private static final class Part {
+  private static final class Allocation {
 
     private Optional<LimitShare> share = Optional.empty();
     private Optional<TokenBucket> bucket = Optional.empty();
     private double limit = -1;
-    private long lookedNanos;
+    private long refreshedNanos;
 
-    boolean isOf(double limitNow, long nowNanos) {
-      return limit == limitNow && nowNanos - lookedNanos < LOOK_AGAIN.toNanos();
+    boolean isCurrent(double limitNow, long nowNanos) {
+      return limit == limitNow && nowNanos - refreshedNanos < REFRESH_INTERVAL.toNanos();
     }
 
-    void set(double limitNow, Optional<LimitShare> shareNow, long nowNanos) {
+    void update(double limitNow, Optional<LimitShare> shareNow, long nowNanos) {
       limit = limitNow;
-      lookedNanos = nowNanos;
+      refreshedNanos = nowNanos;
       share = shareNow;
-      bucket = bucket.or(() -> share.map(own -> new TokenBucket(own.firstLevel(), nowNanos)));
+      bucket = bucket.or(() -> share.map(own -> new TokenBucket(own.initialTokens(), nowNanos)));
     }
 
     /** Returns the bucket, filled until now, if there is a share; without one it does not fill. */
-    Optional<TokenBucket> filled(long nowNanos) {
-      bucket.ifPresent(held -> fill(held, nowNanos));
+    Optional<TokenBucket> refilled(long nowNanos) {
+      bucket.ifPresent(held -> refill(held, nowNanos));
       return share.flatMap(own -> bucket);
     }
 
-    private void fill(TokenBucket held, long nowNanos) {
+    private void refill(TokenBucket held, long nowNanos) {
       share.ifPresentOrElse(
-          own -> held.fill(own.perSecond(), own.depth(), nowNanos), () -> held.rest(nowNanos));
+          own -> held.refill(own.requestsPerSecond(), own.burst(), nowNanos),
+          () -> held.skipRefill(nowNanos));
     }
   }
 
   private final MonotonicClock clock;
   private final UpstreamLimits limits;
   private final Function<String, Optional<BoxRank>> rank;
-  private final Predicate<String> oneBoxSends;
-  private final Map<String, Part> byStart = new HashMap<>();
-  private long heldOff;
+  private final Predicate<String> hasSingleSender;
+  private final Map<String, Allocation> allocations = new HashMap<>();
+  private long skipped;
 
   /**
    * Creates it.
@@ -66,7 +67,7 @@
    * @param oneBoxSends whether one box sends all requests of a service, so that whoever sends has
    *     the whole limit
    */
-  public LimitedSending(
+  public UpstreamRateLimiter(
       MonotonicClock clock,
       UpstreamLimits limits,
       Function<String, Optional<BoxRank>> rank,
@@ -74,68 +75,69 @@
     this.clock = clock;
     this.limits = limits;
     this.rank = rank;
-    this.oneBoxSends = oneBoxSends;
+    this.hasSingleSender = oneBoxSends;
   }
 
   @Override
   public boolean admits(UpstreamRecord upstream) {
-    Optional<Part> part = part(upstream);
+    Optional<Allocation> part = allocation(upstream);
     boolean admitted =
-        part.isEmpty() || part.get().filled(clock.nanos()).map(TokenBucket::hasToken).orElse(false);
-    heldOff += admitted ? 0 : 1;
+        part.isEmpty()
+            || part.get().refilled(clock.nanos()).map(TokenBucket::hasToken).orElse(false);
+    skipped += admitted ? 0 : 1;
     return admitted;
   }
 
   @Override
-  public void sent(UpstreamRecord upstream) {
-    part(upstream).flatMap(part -> part.filled(clock.nanos())).ifPresent(TokenBucket::take);
+  public void recordSent(UpstreamRecord upstream) {
+    allocation(upstream).flatMap(part -> part.refilled(clock.nanos())).ifPresent(TokenBucket::take);
   }
 
   @Override
   public double millisUntilAdmitted(UpstreamRecord upstream, double sentBefore) {
-    return part(upstream)
+    return allocation(upstream)
         .map(
             part ->
-                part.filled(clock.nanos())
+                part.refilled(clock.nanos())
                     .map(bucket -> bucket.millisUntilToken(sentBefore))
                     .orElse(Double.POSITIVE_INFINITY))
         .orElse(0.0);
   }
 
   @Override
-  public double perSecond(UpstreamRecord upstream) {
-    return part(upstream)
-        .map(part -> part.share.map(LimitShare::perSecond).orElse(0.0))
+  public double requestsPerSecond(UpstreamRecord upstream) {
+    return allocation(upstream)
+        .map(part -> part.share.map(LimitShare::requestsPerSecond).orElse(0.0))
         .orElse(Double.POSITIVE_INFINITY);
   }
 
   /** Returns how often an upstream was passed over so far, as nothing more may be sent there. */
-  public long heldOff() {
-    return heldOff;
+  public long skipped() {
+    return skipped;
   }
 
-  private Optional<Part> part(UpstreamRecord upstream) {
-    String start = upstream.start();
+  private Optional<Allocation> allocation(UpstreamRecord upstream) {
+    String start = upstream.incarnationId();
     OptionalDouble limit = limits.limitOf(start);
     if (limit.isEmpty()) {
-      byStart.remove(start);
+      allocations.remove(start);
       return Optional.empty();
     }
-    if (!byStart.containsKey(start)) {
-      byStart.keySet().removeIf(other -> limits.limitOf(other).isEmpty());
+    if (!allocations.containsKey(start)) {
+      allocations.keySet().removeIf(other -> limits.limitOf(other).isEmpty());
     }
-    Part part = byStart.computeIfAbsent(start, unknown -> new Part());
+    Allocation part = allocations.computeIfAbsent(start, unknown -> new Allocation());
     long now = clock.nanos();
-    if (!part.isOf(limit.getAsDouble(), now)) {
-      part.filled(now);
-      part.set(limit.getAsDouble(), share(upstream, limit.getAsDouble()), now);
+    if (!part.isCurrent(limit.getAsDouble(), now)) {
+      part.refilled(now);
+      part.update(limit.getAsDouble(), share(upstream, limit.getAsDouble()), now);
     }
     return Optional.of(part);
   }
 
   private Optional<LimitShare> share(UpstreamRecord upstream, double limit) {
-    return oneBoxSends.test(upstream.service())
-        ? Optional.of(LimitShare.alone(limit))
-        : rank.apply(upstream.start()).flatMap(box -> LimitShare.of(limit, box));
+    return hasSingleSender.test(upstream.service())
+        ? Optional.of(LimitShare.forSingleSender(limit))
+        : rank.apply(upstream.incarnationId()).flatMap(box -> LimitShare.of(limit, box));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentExchange.java
@@ -62,7 +62,7 @@
 
   UpstreamList upstreamList() {
     return new UpstreamList(
-        upstreams.revision(), List.copyOf(upstreams.listed()), upstreams.isDoubted());
+        upstreams.revision(), List.copyOf(upstreams.listed()), upstreams.areRemovalsUntrusted());
   }
 
   /** Requests the configuration of a box unless this box has that revision after the delay. */
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/Heartbeat.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.gradeledge.discovery.ZoneEvacuations;
 import org.gradeledge.limit.LimitReport;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
 
 /**
  * State that a box sends to the other boxes periodically.
@@ -39,7 +39,7 @@
     long configurationRevision,
     long upstreamsRevision,
     List<String> aliveBoxes,
-    Map<String, LoadShare> loadShares,
+    Map<String, BoxLoad> loadShares,
     Map<String, List<Long>> backlogMillis,
     Map<String, List<Long>> pendingPieces,
     ZoneEvacuations evacuations,
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/LimitReportFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/LimitReportFormat.java
@@ -17,15 +17,15 @@
     packer.packArrayHeader(reports.size());
     for (LimitReport report : reports) {
       packer.packArrayHeader(FIELDS);
-      packer.packString(report.start());
-      packer.packLong(report.perThousandSeconds());
+      packer.packString(report.incarnationId());
+      packer.packLong(report.requestsPer1000Seconds());
       packer.packLong(report.ageMillis());
     }
   }
 
   static LimitReport read(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(FIELDS);
-    LimitReport report = new LimitReport(reader.text(), reader.number(), reader.number());
+    LimitReport report = new LimitReport(reader.readString(), reader.readLong(), reader.readLong());
     reader.skip(extraFields);
     return report;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/ListTrustTracker.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/ListTrustTracker.java
@@ -56,7 +56,7 @@
    * the heartbeat of the box that noticed the outage.
    */
   void onUnconfirmedList() {
-    if (upstreams.trust() == ListTrust.UNKNOWN) {
+    if (upstreams.listTrust() == ListTrust.UNKNOWN) {
       distrust();
     }
   }
@@ -72,7 +72,7 @@
     boolean distrustedByPeers =
         reportedTrust.containsValue(ListTrust.DOUBTED)
             && !reportedTrust.containsValue(ListTrust.TRUSTED)
-            && upstreams.trust() == ListTrust.UNKNOWN;
+            && upstreams.listTrust() == ListTrust.UNKNOWN;
     if (distrustedByPeers) {
       distrust();
     } else if (distrusted) {
@@ -86,6 +86,6 @@
       distrusted = true;
       heartbeatsSinceDistrust = 0;
     }
-    upstreams.distrustRemovalsAsTold();
+    upstreams.distrustRemovalsReportedByPeer();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshMessages.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshMessages.java
@@ -4,7 +4,7 @@
 import org.gradeledge.batch.StageGroupResult;
 import org.gradeledge.peer.PeerMessageType;
 import org.gradeledge.peer.PeerNetwork;
-import org.gradeledge.quarantine.SuspectNews;
+import org.gradeledge.quarantine.SuspectUpdate;
 
 /** Message types between boxes that relay. */
 abstract class MeshMessages {
@@ -26,8 +26,8 @@
   static final PeerMessageType<StageInputsTaken> STAGE_INPUTS_TAKEN =
       new PeerMessageType<>("stage-inputs-taken", StageInputsTaken.class);
 
-  static final PeerMessageType<SuspectNews> SUSPECTS =
-      new PeerMessageType<>("suspects", SuspectNews.class);
+  static final PeerMessageType<SuspectUpdate> SUSPECTS =
+      new PeerMessageType<>("suspects", SuspectUpdate.class);
 
   private MeshMessages() {}
 
@@ -43,6 +43,6 @@
     network.register(StageCancel.class, new StageCancelFormat());
     network.register(StageFree.class, new StageFreeFormat());
     network.register(StageInputsTaken.class, new StageInputsTakenFormat());
-    network.register(SuspectNews.class, new SuspectsFormat());
+    network.register(SuspectUpdate.class, new SuspectsFormat());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import java.util.Map;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.limit.UpstreamLimits;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 
 /**
  * State that a box exchanges with the other boxes. Confined to the event loop.
@@ -23,8 +23,8 @@
 public record SharedBoxState(
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    LoadBoard upstreamLoads,
-    PiecesToCome pendingPieces,
+    UpstreamLoads upstreamLoads,
+    PendingPieces pendingPieces,
     Quarantine quarantine,
     UpstreamLimits limits) {
 
@@ -43,21 +43,21 @@
         deployments.revision(),
         upstreams.changedAt(),
         List.of(),
-        upstreamLoads.ownShares(),
+        upstreamLoads.ownLoads(),
         backlogMillis,
-        pendingPieces.own(),
+        pendingPieces.ownCounts(),
         upstreams.evacuations(),
         quarantine.digest(),
-        upstreams.trust().code(),
+        upstreams.listTrust().code(),
         sequenceNumber,
         limits.reports(),
-        upstreams.leavingAsTheySaid());
+        upstreams.announcedLeaving());
   }
 
   /** Removes the state that a lost box reported. */
   void removeBox(String box) {
-    upstreamLoads.setPeerShares(box, Map.of());
-    pendingPieces.forget(box);
+    upstreamLoads.setPeerLoads(box, Map.of());
+    pendingPieces.removePeer(box);
   }
 
   /**
@@ -65,10 +65,11 @@
    * reported a limit or a leaving upstream that was not known.
    */
   boolean applyHeartbeat(String box, Heartbeat heartbeat, long ageMillis) {
-    upstreamLoads.setPeerShares(box, heartbeat.loadShares());
-    pendingPieces.told(box, heartbeat.pendingPieces());
-    boolean limitsChanged = limits.told(box, heartbeat.limits(), ageMillis);
-    boolean leavingChanged = upstreams.toldLeaving(box, heartbeat.leavingUpstreams());
-    return upstreams.evacuate(heartbeat.evacuations()) || limitsChanged || leavingChanged;
+    upstreamLoads.setPeerLoads(box, heartbeat.loadShares());
+    pendingPieces.setPeerCounts(box, heartbeat.pendingPieces());
+    boolean limitsChanged = limits.merge(box, heartbeat.limits(), ageMillis);
+    boolean leavingChanged =
+        upstreams.applyPeerLeavingAnnouncements(box, heartbeat.leavingUpstreams());
+    return upstreams.applyEvacuations(heartbeat.evacuations()) || limitsChanged || leavingChanged;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.quarantine.SuspectNews;
+import org.gradeledge.quarantine.SuspectUpdate;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -42,7 +42,7 @@
     this.sender = sender;
     this.loop = loop;
     this.clock = clock;
-    quarantine.onNews(this::scheduleSend);
+    quarantine.onUpdate(this::scheduleSend);
   }
 
   /**
@@ -57,26 +57,26 @@
 
   private void sendPending() {
     sendScheduled = false;
-    broadcast(quarantine.takeNews());
+    broadcast(quarantine.takeUpdate());
   }
 
   /** Merges records of another box, and forwards the new ones where heartbeats are relayed. */
-  void receive(SuspectNews records) {
-    SuspectNews changed = quarantine.merge(records);
+  void receive(SuspectUpdate records) {
+    SuspectUpdate changed = quarantine.merge(records);
     if (routes.usesRelays()) {
       broadcast(changed);
     }
   }
 
-  private void broadcast(SuspectNews records) {
+  private void broadcast(SuspectUpdate records) {
     if (records.isEmpty()) {
       return;
     }
     if (!routes.usesRelays()) {
-      network.tellAll(MeshMessages.SUSPECTS, records);
+      network.sendToAll(MeshMessages.SUSPECTS, records);
       return;
     }
-    network.tellEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, records);
+    network.sendToEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, records);
   }
 
   /** Compares the digest in the heartbeat of a connected box with the own one. */
@@ -88,7 +88,7 @@
     Long last = lastSentNanos.get(box);
     if (last == null || now - last > RESEND_INTERVAL_NANOS) {
       lastSentNanos.put(box, now);
-      network.tell(box, MeshMessages.SUSPECTS, quarantine.all());
+      network.send(box, MeshMessages.SUSPECTS, quarantine.snapshot());
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
@@ -3,49 +3,51 @@
 import java.io.IOException;
 import org.gradeledge.peer.MessageFormat;
 import org.gradeledge.peer.MessageReader;
-import org.gradeledge.quarantine.EndReport;
+import org.gradeledge.quarantine.CrashReport;
 import org.gradeledge.quarantine.RequestFingerprint;
-import org.gradeledge.quarantine.SuspectNews;
 import org.gradeledge.quarantine.SuspectReport;
+import org.gradeledge.quarantine.SuspectUpdate;
 import org.msgpack.core.MessagePacker;
 
-/** Message format of {@link SuspectNews}: arrays. */
-final class SuspectsFormat implements MessageFormat<SuspectNews> {
+/** Message format of {@link SuspectUpdate}: arrays. */
+final class SuspectsFormat implements MessageFormat<SuspectUpdate> {
 
   private static final int FIELDS = 2;
   private static final int REPORT_FIELDS = 5;
   private static final int END_FIELDS = 3;
 
   @Override
-  public void write(MessagePacker packer, SuspectNews records) throws IOException {
+  public void write(MessagePacker packer, SuspectUpdate records) throws IOException {
     packer.packArrayHeader(FIELDS);
     packer.packArrayHeader(records.reports().size());
     for (SuspectReport report : records.reports()) {
       write(packer, report);
     }
-    TextLists.write(packer, records.living());
+    TextLists.write(packer, records.aliveIncarnationIds());
   }
 
   private static void write(MessagePacker packer, SuspectReport report) throws IOException {
     packer.packArrayHeader(REPORT_FIELDS);
     packer.packLong(report.fingerprint().high());
     packer.packLong(report.fingerprint().low());
-    packer.packInt(report.fingerprint().shape());
-    packer.packArrayHeader(report.ends().size());
-    for (EndReport end : report.ends()) {
+    packer.packInt(report.fingerprint().shapeHash());
+    packer.packArrayHeader(report.crashes().size());
+    for (CrashReport end : report.crashes()) {
       packer.packArrayHeader(END_FIELDS);
-      packer.packString(end.start());
+      packer.packString(end.incarnationId());
       packer.packLong(end.ageMillis());
-      packer.packBoolean(end.cleared());
+      packer.packBoolean(end.withdrawn());
     }
-    packer.packBoolean(report.barred());
+    packer.packBoolean(report.quarantined());
   }
 
   @Override
-  public SuspectNews read(MessageReader reader) throws IOException {
+  public SuspectUpdate read(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(FIELDS);
-    SuspectNews records =
-        new SuspectNews(reader.list(SuspectsFormat::readReport), reader.list(MessageReader::text));
+    SuspectUpdate records =
+        new SuspectUpdate(
+            reader.readList(SuspectsFormat::readReport),
+            reader.readList(MessageReader::readString));
     reader.skip(extraFields);
     return records;
   }
@@ -54,16 +56,16 @@
     int extraFields = reader.beginRecord(REPORT_FIELDS);
     SuspectReport report =
         new SuspectReport(
-            new RequestFingerprint(reader.number(), reader.number(), reader.integer()),
-            reader.list(SuspectsFormat::readEnd),
-            reader.flag());
+            new RequestFingerprint(reader.readLong(), reader.readLong(), reader.readInt()),
+            reader.readList(SuspectsFormat::readEnd),
+            reader.readBoolean());
     reader.skip(extraFields);
     return report;
   }
 
-  private static EndReport readEnd(MessageReader reader) throws IOException {
+  private static CrashReport readEnd(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(END_FIELDS);
-    EndReport end = new EndReport(reader.text(), reader.number(), reader.flag());
+    CrashReport end = new CrashReport(reader.readString(), reader.readLong(), reader.readBoolean());
     reader.skip(extraFields);
     return end;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/BoxServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/BoxServices.java
@@ -99,7 +99,7 @@
                 .disableRetry(true),
             settings.limitsOrDefault().answerBytes(),
             metrics,
-            upstream -> upstreams.state(upstream).leaving());
+            upstream -> upstreams.state(upstream).markLeaving());
     this.loadReports = new LoadReportReader(upstreams, protocol);
     this.gate = new ServingGate(membership::isConfirmed);
     this.groupCommit = new GroupCommit(table);
--- a/gradeledge-core/src/main/java/org/gradeledge/node/GracefulShutdown.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/GracefulShutdown.java
@@ -57,7 +57,7 @@
       return;
     }
     started = true;
-    events.change("stop").with("active", server.active()).write();
+    events.change("stop").with("active", server.activeRequests()).write();
     mesh.leave();
     server.closeAfterAnswers();
     scheduleAt(CLOSE_IDLE_AT, server::closeIdle);
@@ -74,7 +74,7 @@
   }
 
   private void awaitActiveRequests(Runnable onCompletion) {
-    if (refusing && server.active() == 0) {
+    if (refusing && server.activeRequests() == 0) {
       onCompletion.run();
     } else {
       loop.schedule(
--- a/gradeledge-core/src/main/java/org/gradeledge/node/MonitoringEndpoints.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/MonitoringEndpoints.java
@@ -49,7 +49,7 @@
             .handle(
                 (request, response) ->
                     response.sendByteArray(
-                        Mono.fromSupplier(relayMetrics::exposition)
+                        Mono.fromSupplier(relayMetrics::scrape)
                             .concatWith(Mono.fromSupplier(boxMetrics::exposition))))
             .bind();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
@@ -83,7 +83,7 @@
    * written in the meantime apply immediately.
    */
   @Override
-  public void onOlderCopy() {
+  public void onBackupRestored() {
     int restore = ++restoreCount;
     awaitingRewrites = true;
     setEffectiveZones(upstreams.evacuations().zones());
@@ -115,7 +115,7 @@
   private void applyEvacuations(long newRevision) {
     revision = newRevision;
     long effectiveRevision = awaitingRewrites ? revision - 1 : revision;
-    if (upstreams.evacuate(new ZoneEvacuations(effectiveRevision, effectiveZones))) {
+    if (upstreams.applyEvacuations(new ZoneEvacuations(effectiveRevision, effectiveZones))) {
       evacuationListener.run();
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
@@ -5,7 +5,7 @@
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.follow.FollowPace;
+import org.gradeledge.follow.PollingIntervals;
 import org.gradeledge.follow.TableFollower;
 import org.gradeledge.follow.TableListener;
 import org.gradeledge.mesh.BoxMesh;
@@ -88,7 +88,7 @@
             loop,
             clock,
             events,
-            new FollowPace(
+            new PollingIntervals(
                 this::configurationWait, () -> CONFIGURATION_PAUSE, () -> NON_READER_MAX_BACKOFF));
     UpstreamTableListener listener =
         new UpstreamTableListener(
@@ -107,7 +107,7 @@
             loop,
             clock,
             events,
-            new FollowPace(() -> Duration.ZERO, this::upstreamPause, this::upstreamBackoff));
+            new PollingIntervals(() -> Duration.ZERO, this::upstreamPause, this::upstreamBackoff));
     this.verdicts =
         new TableFollower(
             "verdicts",
@@ -116,9 +116,9 @@
             loop,
             clock,
             events,
-            new FollowPace(this::verdictWait, this::verdictPause, () -> VERDICT_MAX_BACKOFF));
-    listener.setReadAction(upstreams::lookNow);
-    mesh.onNewUpstreamList(upstreams::lookNow);
+            new PollingIntervals(this::verdictWait, this::verdictPause, () -> VERDICT_MAX_BACKOFF));
+    listener.setReadAction(upstreams::pollNow);
+    mesh.onNewUpstreamList(upstreams::pollNow);
     mesh.onListConfirmed(listener::onListConfirmed);
   }
 
@@ -130,9 +130,9 @@
 
   /** Reads all tables again after the machine was suspended. */
   void readAllAgain() {
-    configurations.wokeUp();
-    upstreams.wokeUp();
-    verdicts.wokeUp();
+    configurations.onMachineResume();
+    upstreams.onMachineResume();
+    verdicts.onMachineResume();
   }
 
   private Duration verdictWait() {
--- a/gradeledge-core/src/main/java/org/gradeledge/node/QuarantineVerdictStore.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/QuarantineVerdictStore.java
@@ -17,10 +17,10 @@
 import org.gradeledge.follow.TableRow;
 import org.gradeledge.follow.WritableTable;
 import org.gradeledge.quarantine.Quarantine;
+import org.gradeledge.quarantine.QuarantineTrials;
+import org.gradeledge.quarantine.QuarantineVerdict;
 import org.gradeledge.quarantine.RequestFingerprint;
-import org.gradeledge.quarantine.SuspectNews;
-import org.gradeledge.quarantine.Trials;
-import org.gradeledge.quarantine.Verdict;
+import org.gradeledge.quarantine.SuspectUpdate;
 import reactor.core.publisher.Mono;
 
 /**
@@ -29,7 +29,7 @@
  *
  * <p>Confined to the event loop.
  */
-final class QuarantineVerdictStore implements TableListener, Trials {
+final class QuarantineVerdictStore implements TableListener, QuarantineTrials {
 
   /** Delay after which other assigned boxes write a verdict that its box has not written. */
   private static final long FALLBACK_WRITE_MILLIS = 2_000;
@@ -47,7 +47,7 @@
   private final RestoredRowCleaner restoredRowCleaner;
 
   /** Verdicts in force, to be written again if the table loses them. */
-  private final Map<RequestFingerprint, Verdict> verdicts = new HashMap<>();
+  private final Map<RequestFingerprint, QuarantineVerdict> verdicts = new HashMap<>();
 
   private boolean backupRestored;
 
@@ -82,7 +82,7 @@
    * removed are removed again.
    */
   @Override
-  public void onOlderCopy() {
+  public void onBackupRestored() {
     backupRestored = true;
   }
 
@@ -139,7 +139,7 @@
   private boolean isQuarantined(String key) {
     return VerdictRow.fingerprintOfTrial(key)
         .or(() -> RequestFingerprint.parse(key))
-        .filter(quarantine::bars)
+        .filter(quarantine::isQuarantined)
         .isPresent();
   }
 
@@ -161,15 +161,15 @@
   private void mergeVerdict(VerdictRow row) {
     trials.setQuarantinedAt(row.fingerprint(), row.quarantinedAtMillis());
     quarantine.merge(
-        new SuspectNews(List.of(row.toReport(timeOfDayMillis.getAsLong())), List.of()));
+        new SuspectUpdate(List.of(row.toReport(timeOfDayMillis.getAsLong())), List.of()));
   }
 
   private void withdrawVerdict(String key) {
     keys.remove(key);
-    RequestFingerprint.parse(key).ifPresent(quarantine::lift);
+    RequestFingerprint.parse(key).ifPresent(quarantine::withdrawCrashes);
   }
 
-  private void onVerdict(Verdict verdict) {
+  private void onVerdict(QuarantineVerdict verdict) {
     verdicts.put(verdict.fingerprint(), verdict);
     keys.onQuarantined(verdict.fingerprint());
     restoredRowCleaner.onQuarantined(verdict.fingerprint());
@@ -178,31 +178,31 @@
     events
         .change("request-held-back")
         .with("fingerprint", verdict.fingerprint().toString())
-        .with("upstreams", String.join(",", verdict.starts()))
-        .with("seen", verdict.decidedHere() ? "here" : "told")
+        .with("upstreams", String.join(",", verdict.incarnationIds()))
+        .with("seen", verdict.decidedLocally() ? "here" : "told")
         .write();
-    scheduleWrite(verdict, verdict.decidedHere() ? 0 : FALLBACK_WRITE_MILLIS);
+    scheduleWrite(verdict, verdict.decidedLocally() ? 0 : FALLBACK_WRITE_MILLIS);
   }
 
-  private void scheduleWrite(Verdict verdict, long delayMillis) {
+  private void scheduleWrite(QuarantineVerdict verdict, long delayMillis) {
     loop.schedule(() -> writeUnlessStored(verdict), delayMillis, TimeUnit.MILLISECONDS);
   }
 
   /**
    * Writes a verdict unless it is stored or withdrawn, and retries until the table is available.
    */
-  private void writeUnlessStored(Verdict verdict) {
+  private void writeUnlessStored(QuarantineVerdict verdict) {
     RequestFingerprint fingerprint = verdict.fingerprint();
-    if (keys.isStored(fingerprint.toString()) || !quarantine.bars(fingerprint)) {
+    if (keys.isStored(fingerprint.toString()) || !quarantine.isQuarantined(fingerprint)) {
       return;
     }
-    if (!verdict.decidedHere() && !isWriter.getAsBoolean()) {
+    if (!verdict.decidedLocally() && !isWriter.getAsBoolean()) {
       scheduleWrite(verdict, FALLBACK_WRITE_MILLIS);
       return;
     }
     long quarantinedAt = trials.quarantinedAt(fingerprint);
     table
-        .create(new VerdictRow(fingerprint, verdict.starts(), quarantinedAt).toTableRow())
+        .create(new VerdictRow(fingerprint, verdict.incarnationIds(), quarantinedAt).toTableRow())
         .subscribe(
             created -> loop.execute(() -> keys.addWritten(fingerprint.toString())),
             failure ->
@@ -229,7 +229,7 @@
   private void onRelease(RequestFingerprint fingerprint) {
     verdicts.remove(fingerprint);
     events.change("request-let-go").with("fingerprint", fingerprint.toString()).write();
-    if (quarantine.endsUnder(fingerprint) == 0) {
+    if (quarantine.crashCount(fingerprint) == 0) {
       removeRows(fingerprint);
     }
   }
@@ -249,12 +249,12 @@
   }
 
   @Override
-  public Optional<Duration> untilNext(RequestFingerprint fingerprint) {
-    return trials.untilNext(fingerprint);
+  public Optional<Duration> timeUntilNext(RequestFingerprint fingerprint) {
+    return trials.timeUntilNext(fingerprint);
   }
 
   @Override
-  public Mono<Boolean> take(RequestFingerprint fingerprint) {
-    return trials.take(fingerprint);
+  public Mono<Boolean> claim(RequestFingerprint fingerprint) {
+    return trials.claim(fingerprint);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.batch.BatchCoordinator;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.batch.StageWorkClient;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.PooledUpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.Deployment;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.deployment.ServiceDefinition;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.mesh.BoxMesh;
 import org.gradeledge.mesh.SharedBoxState;
 import org.gradeledge.metrics.BoxMetrics;
@@ -31,9 +31,9 @@
 import org.gradeledge.relay.RelayServices;
 import org.gradeledge.retry.RetryBudget;
 import org.gradeledge.selection.LeastLoadedChooser;
-import org.gradeledge.selection.LoadBoard;
 import org.gradeledge.selection.PrefixAffinityChooser;
 import org.gradeledge.selection.UpstreamChooser;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.ClockJump;
 import org.gradeledge.time.MonotonicClock;
 import org.gradeledge.time.SuspensionAwareClock;
@@ -61,7 +61,7 @@
   private final EventLog events;
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final PiecesToCome pieces = new PiecesToCome();
+  private final PendingPieces pieces = new PendingPieces();
   private final BoxMesh mesh;
   private final RelayMetrics metrics = new RelayMetrics();
   private final BoxMetrics boxMetrics = new BoxMetrics();
@@ -78,10 +78,10 @@
     this.loops = loops;
     this.events = events;
     this.loop = loops.onClient(false).next();
-    SuspensionAwareClock clock = SuspensionAwareClock.ofMachine();
+    SuspensionAwareClock clock = SuspensionAwareClock.systemClock();
     this.deployments = new DeploymentRegistry(adapters.deploymentReader(), events);
     this.upstreams = new UpstreamRegistry(events);
-    LoadBoard load = new LoadBoard(clock, events);
+    UpstreamLoads load = new UpstreamLoads(clock, events);
     Quarantine quarantine = new Quarantine(clock);
     SendLimiters limiters = new SendLimiters(clock, events, upstreams, this::findService);
     this.mesh =
@@ -92,20 +92,20 @@
     this.followers = newFollowers(adapters, verdicts, clock);
     RetryBudget budget = newRetryBudget(clock);
     PooledUpstreamCaller caller = new PooledUpstreamCaller(loop, this::connectionLimit, clock);
-    upstreams.onEnd(caller::end);
-    upstreams.onReplaced(caller::breakOff);
+    upstreams.onRetired(caller::retire);
+    upstreams.onReplaced(caller::abort);
     limiters.handleSignals(caller, adapters.signalReader(), mesh);
-    LimitedSending rateLimiter = limiters.rateLimit(mesh);
+    UpstreamRateLimiter rateLimiter = limiters.rateLimit(mesh);
     limiters.registerMetrics(metrics, rateLimiter);
-    upstreams.onEnd(load::forget);
+    upstreams.onRetired(load::remove);
     BatchCoordinator coordinator =
         BatchCoordinator.builder()
             .box(peerName(settings), loop, clock)
             .upstreams(upstreams, name -> findService(name).flatMap(ServiceDefinition::batchLimits))
             .calls(caller, adapters.stageProtocol())
-            .beliefs(load, budget, events)
-            .toCome(pieces)
-            .sending(SendingRule.allOf(rateLimiter, limiters.backoffs()))
+            .loadAndRetries(load, budget, events)
+            .pendingPieces(pieces)
+            .sendingRule(SendLimiter.allOf(rateLimiter, limiters.backoffs()))
             .build();
     StageWorkClient stageWork = mesh.stageWorkClient(coordinator);
     RelayServices services =
@@ -117,10 +117,10 @@
             upstreams,
             load,
             newChooser(load),
-            SendingRule.allOf(limiters.coldStart(this::boxCount), rateLimiter, limiters.backoffs()),
+            SendLimiter.allOf(limiters.coldStart(this::boxCount), rateLimiter, limiters.backoffs()),
             budget,
             caller,
-            new UpstreamEnds(caller, upstreams::hasLeft),
+            new LivenessChecker(caller, upstreams::hasLeft),
             quarantine,
             verdicts,
             adapters.relayProtocol(),
@@ -141,19 +141,19 @@
   private void onClockJump(ClockJump jump, PooledUpstreamCaller caller) {
     events
         .change(jump.isSuspension() ? "suspended" : "time-of-day-set")
-        .with("ms", jump.timeOfDay().toMillis())
+        .with("ms", jump.wallClockShift().toMillis())
         .write();
     if (jump.isSuspension()) {
       metrics.suspended();
-      handler.wokeUp();
+      handler.expireOverdue();
     }
     if (jump.mayBeSuspension()) {
-      caller.closeResting();
+      caller.closeIdle();
       followers.readAllAgain();
     }
   }
 
-  private UpstreamChooser newChooser(LoadBoard loads) {
+  private UpstreamChooser newChooser(UpstreamLoads loads) {
     return new PrefixAffinityChooser(
         loads, new LeastLoadedChooser(loads, new Random()), this::kvCacheTokens);
   }
@@ -230,7 +230,7 @@
     CountDownLatch stopped = new CountDownLatch(1);
     loop.execute(() -> stop.start(stopped::countDown));
     stopped.await(settings.gracePeriod().toMillis(), TimeUnit.MILLISECONDS);
-    events.change("stopped").with("active", server.active()).write();
+    events.change("stopped").with("active", server.activeRequests()).write();
     events.drain(200);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/node/SendLimiters.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/SendLimiters.java
@@ -8,18 +8,18 @@
 import org.gradeledge.connection.SignalReader;
 import org.gradeledge.connection.UpstreamSignals;
 import org.gradeledge.deployment.ServiceDefinition;
-import org.gradeledge.discovery.LeavingStatement;
-import org.gradeledge.discovery.UnreadableSignals;
+import org.gradeledge.discovery.LeavingAnnouncement;
+import org.gradeledge.discovery.UnreadableSignalLog;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.LimitedSending;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.limit.UpstreamBackoffs;
 import org.gradeledge.limit.UpstreamLimits;
+import org.gradeledge.limit.UpstreamRateLimiter;
 import org.gradeledge.mesh.BoxMesh;
 import org.gradeledge.relay.RelayMetrics;
-import org.gradeledge.selection.ColdUpstreams;
+import org.gradeledge.selection.ColdStartLimiter;
 import org.gradeledge.time.MonotonicClock;
 
 /**
@@ -33,7 +33,7 @@
   private final Function<String, Optional<ServiceDefinition>> services;
   private final UpstreamLimits limits;
   private final UpstreamBackoffs backoffs;
-  private final UnreadableSignals unreadableLeavingSignals;
+  private final UnreadableSignalLog unreadableLeavingSignals;
 
   SendLimiters(
       MonotonicClock clock,
@@ -45,7 +45,7 @@
     this.services = services;
     this.limits = new UpstreamLimits(clock, events, upstreams::all);
     this.backoffs = new UpstreamBackoffs(clock, events);
-    this.unreadableLeavingSignals = new UnreadableSignals(events, "upstream-leaving-unreadable");
+    this.unreadableLeavingSignals = new UnreadableSignalLog(events, "upstream-leaving-unreadable");
   }
 
   /** Returns the rate limits announced by upstreams. */
@@ -54,47 +54,47 @@
   }
 
   /** Registers metrics of announced limits, backoffs and leaving upstreams. */
-  void registerMetrics(RelayMetrics metrics, LimitedSending rateLimiter) {
-    metrics.watchLimits(limits::count, rateLimiter::heldOff);
-    metrics.watchSignals(
-        () -> upstreams.leavingAsTheySaid().size(), backoffs::count, backoffs::heldOff);
+  void registerMetrics(RelayMetrics metrics, UpstreamRateLimiter rateLimiter) {
+    metrics.registerLimits(limits::limitedCount, rateLimiter::skipped);
+    metrics.registerSignals(
+        () -> upstreams.announcedLeaving().size(), backoffs::activeCount, backoffs::skipped);
   }
 
   /** Applies the signals in all answers and has the mesh announce changes immediately. */
   void handleSignals(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
-    caller.onAnswer(
+    caller.onResponse(
         (upstream, head) -> {
           UpstreamSignals signals =
               reader.read(head.request().uri(), head.status(), head.headers());
-          limits.answered(upstream, head.sentNanos(), signals.limit());
-          backoffs.answered(upstream, signals.backoff());
+          limits.onAnswer(upstream, head.sentAtNanos(), signals.limit());
+          backoffs.onAnswer(upstream, signals.backoff());
           applyLeavingSignal(upstream, signals.leaving());
-          if (head.closes()) {
-            upstreams.closesConnections(upstream);
+          if (head.closesConnection()) {
+            upstreams.recordConnectionClose(upstream);
           }
         });
-    limits.onNews(mesh::announceNow);
-    upstreams.onAnnounced(mesh::announceNow);
-    backoffs.onBegin(caller::holdOff);
+    limits.onChange(mesh::announceNow);
+    upstreams.onLeavingAnnounced(mesh::announceNow);
+    backoffs.onBackoffStarted(caller::backOff);
   }
 
-  private void applyLeavingSignal(UpstreamRecord upstream, LeavingStatement signal) {
+  private void applyLeavingSignal(UpstreamRecord upstream, LeavingAnnouncement signal) {
     switch (signal.kind()) {
-      case LEAVES -> upstreams.announcesLeaving(upstream);
-      case UNREADABLE -> unreadableLeavingSignals.note(upstream, signal.text());
+      case LEAVES -> upstreams.recordLeavingAnnouncement(upstream);
+      case UNREADABLE -> unreadableLeavingSignals.report(upstream, signal.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("Unknown leaving signal: " + signal.kind());
     }
   }
 
   /** Returns the limiter for upstreams that requested a backoff. */
-  SendingRule backoffs() {
+  SendLimiter backoffs() {
     return backoffs;
   }
 
   /** Creates the limiter that enforces the rate limits announced by upstreams. */
-  LimitedSending rateLimit(BoxMesh mesh) {
-    return new LimitedSending(
+  UpstreamRateLimiter rateLimit(BoxMesh mesh) {
+    return new UpstreamRateLimiter(
         clock,
         limits,
         mesh::rank,
@@ -107,16 +107,16 @@
    *
    * @param boxCount number of known boxes including this one
    */
-  SendingRule coldStart(IntSupplier boxCount) {
-    ColdUpstreams limiter =
-        new ColdUpstreams(
+  SendLimiter coldStart(IntSupplier boxCount) {
+    ColdStartLimiter limiter =
+        new ColdStartLimiter(
             clock,
             new Random(),
             boxCount,
             service -> services.apply(service).flatMap(ServiceDefinition::coldStart));
-    upstreams.onCold(limiter::told);
-    upstreams.onRestored(zones -> limiter.restored(upstreams.inZones(zones)));
-    upstreams.onEnd(limiter::forget);
+    upstreams.onCold(limiter::onColdAnnounced);
+    upstreams.onRestored(zones -> limiter.onRestored(upstreams.inZones(zones)));
+    upstreams.onRetired(limiter::remove);
     return limiter;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/TableBackedTrials.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/TableBackedTrials.java
@@ -12,15 +12,15 @@
 import org.gradeledge.event.EventLog;
 import org.gradeledge.follow.TableRow;
 import org.gradeledge.follow.WritableTable;
+import org.gradeledge.quarantine.QuarantineTrials;
 import org.gradeledge.quarantine.RequestFingerprint;
-import org.gradeledge.quarantine.Trials;
 import reactor.core.publisher.Mono;
 
 /**
  * Schedules trials of quarantined requests. A box claims a trial by creating its row in the
  * platform's table, so that only one box runs it. Confined to the event loop.
  */
-final class TableBackedTrials implements Trials {
+final class TableBackedTrials implements QuarantineTrials {
 
   /** Delay of each trial after the verdict. */
   static final List<Duration> TRIAL_DELAYS = List.of(Duration.ofMinutes(10), Duration.ofHours(2));
@@ -70,7 +70,7 @@
   }
 
   @Override
-  public Optional<Duration> untilNext(RequestFingerprint fingerprint) {
+  public Optional<Duration> timeUntilNext(RequestFingerprint fingerprint) {
     Long quarantinedAt = quarantinedAtMillis.get(fingerprint);
     int used = keys.usedTrials(fingerprint);
     if (quarantinedAt == null || used == TRIAL_DELAYS.size()) {
@@ -81,7 +81,7 @@
   }
 
   @Override
-  public Mono<Boolean> take(RequestFingerprint fingerprint) {
+  public Mono<Boolean> claim(RequestFingerprint fingerprint) {
     String key = VerdictRow.trialKey(fingerprint, keys.usedTrials(fingerprint) + 1);
     keys.addWritten(key);
     return table
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
@@ -60,7 +60,7 @@
     this.changeListener = changeListener;
     this.loop = loop;
     this.readContinuity = new ReadContinuityTracker(clock);
-    upstreams.onTrust(readContinuity::trust);
+    upstreams.setTrustSupplier(readContinuity::trust);
     this.renewalMillis =
         Math.min(
             RENEWAL_TIME.toMillis(), (long) (maxLeavingDelay.toMillis() * SHARE_OF_LEAVING_DELAY));
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public void onAway() {
+  public void onUnavailable() {
     outageCount++;
     awaitingConfirmation = false;
     upstreams.distrustRemovals();
@@ -102,14 +102,14 @@
 
   /** Treats a restored backup like an outage: live upstreams write their rows again. */
   @Override
-  public void onOlderCopy() {
-    onAway();
-    upstreams.distrustReturns();
-    onBack();
+  public void onBackupRestored() {
+    onUnavailable();
+    upstreams.distrustReappearedEntries();
+    onAvailableAgain();
   }
 
   @Override
-  public void onBack() {
+  public void onAvailableAgain() {
     int outage = outageCount;
     loop.schedule(() -> confirmRemovalsAfter(outage), renewalMillis, TimeUnit.MILLISECONDS);
   }
@@ -134,17 +134,17 @@
    * confirms them after its own delay.
    */
   void onListConfirmed() {
-    if (upstreams.trust() != ListTrust.DOUBTED) {
+    if (upstreams.listTrust() != ListTrust.DOUBTED) {
       confirmRemovals();
     }
   }
 
   @Override
-  public void onAnswered() {
+  public void onAnswerApplied() {
     readContinuity.recordAnswer();
     if (awaitingConfirmation) {
       awaitingConfirmation = false;
-      boolean distrusted = upstreams.trust() == ListTrust.DOUBTED;
+      boolean distrusted = upstreams.listTrust() == ListTrust.DOUBTED;
       notifyIfChanged(upstreams::trustRemovals);
       if (distrusted) {
         changeListener.run();
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRow.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRow.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.gradeledge.document.JsonTrees;
 import org.gradeledge.follow.TableRow;
-import org.gradeledge.quarantine.EndReport;
+import org.gradeledge.quarantine.CrashReport;
 import org.gradeledge.quarantine.RequestFingerprint;
 import org.gradeledge.quarantine.SuspectReport;
 
@@ -72,8 +72,8 @@
   /** Returns a suspect report with the content of the row. */
   SuspectReport toReport(long nowMillis) {
     long age = Math.max(0, nowMillis - quarantinedAtMillis);
-    List<EndReport> crashes =
-        incarnationIds.stream().map(id -> new EndReport(id, age, false)).toList();
+    List<CrashReport> crashes =
+        incarnationIds.stream().map(id -> new CrashReport(id, age, false)).toList();
     return new SuspectReport(fingerprint, crashes, true);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorRoutes.java
@@ -115,7 +115,7 @@
     RefusalException refusal =
         e instanceof RefusalException known
             ? known
-            : RefusalException.because(
+            : RefusalException.forReason(
                     e instanceof PlatformException
                         ? RefusalReason.TABLE_UNAVAILABLE
                         : RefusalReason.INTERNAL)
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorTokens.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorTokens.java
@@ -27,7 +27,7 @@
       }
     }
     if (found.isEmpty()) {
-      throw RefusalException.because(RefusalReason.TOKEN_UNKNOWN)
+      throw RefusalException.forReason(RefusalReason.TOKEN_UNKNOWN)
           .detail("the bearer token must be an operator's")
           .build();
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/Quarantine.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/Quarantine.java
@@ -27,143 +27,149 @@
 public final class Quarantine {
 
   /** So many ends hold a request back: what the deployment allows before it counts retries. */
-  public static final int ENDS_OF_VERDICT = 3;
+  public static final int CRASHES_TO_QUARANTINE = 3;
 
   /**
    * So many ends that no other request explains keep up a verdict that was reached before: two
    * guilty ones may have run together once.
    */
-  private static final int ENDS_TO_STAND = 2;
+  private static final int CRASHES_TO_STAY_QUARANTINED = 2;
 
   /** What an upstream sent before its end may be read so much later, at a box that is behind. */
-  static final Duration LATE_BYTES = Duration.ofSeconds(1);
+  static final Duration MAX_READ_DELAY = Duration.ofSeconds(1);
 
   private final MonotonicClock clock;
-  private final Suspects suspects;
-  private final Set<RequestFingerprint> untold = new LinkedHashSet<>();
-  private final Set<String> untoldLiving = new LinkedHashSet<>();
-  private Runnable onNews = () -> {};
-  private final List<Consumer<Verdict>> verdictListeners = new ArrayList<>();
-  private Consumer<RequestFingerprint> onRelease = released -> {};
+  private final SuspectRegistry suspects;
+  private final Set<RequestFingerprint> pendingFingerprints = new LinkedHashSet<>();
+  private final Set<String> pendingAliveIncarnationIds = new LinkedHashSet<>();
+  private Runnable updateListener = () -> {};
+  private final List<Consumer<QuarantineVerdict>> verdictListeners = new ArrayList<>();
+  private Consumer<RequestFingerprint> releaseListener = released -> {};
 
   /** Creates one that knows of no request. */
   public Quarantine(MonotonicClock clock) {
     this.clock = clock;
-    this.suspects = new Suspects(clock.nanos());
+    this.suspects = new SuspectRegistry(clock.nanos());
   }
 
-  /** Sets who hears that there is something to be told; see {@link #takeNews}. */
-  public void onNews(Runnable listener) {
-    onNews = listener;
+  /** Sets who hears that there is something to be told; see {@link #takeUpdate}. */
+  public void onUpdate(Runnable listener) {
+    updateListener = listener;
   }
 
   /** Tells a listener of each request that is held back from then on. */
-  public void onVerdict(Consumer<Verdict> listener) {
+  public void onVerdict(Consumer<QuarantineVerdict> listener) {
     verdictListeners.add(listener);
   }
 
   /** Sets who hears that a request is not held back any more. */
   public void onRelease(Consumer<RequestFingerprint> listener) {
-    onRelease = listener;
+    releaseListener = listener;
   }
 
   /** Returns whether anything that counts is known of any request of a shape. */
-  public boolean knowsShape(int shape) {
-    return suspects.hasShape(shape);
+  public boolean hasShapeHash(int shape) {
+    return suspects.hasShapeHash(shape);
   }
 
   /** Returns whether a request must be sent to no upstream. */
-  public boolean bars(RequestFingerprint fingerprint) {
-    return suspects.find(fingerprint).filter(Suspicion::isBarred).isPresent();
+  public boolean isQuarantined(RequestFingerprint fingerprint) {
+    return suspects.find(fingerprint).filter(Suspect::isQuarantined).isPresent();
   }
 
   /** Returns how many upstreams have ended under a request since it was last cleared. */
-  public int endsUnder(RequestFingerprint fingerprint) {
-    return suspects.find(fingerprint).map(found -> suspects.ends(found).size()).orElse(0);
+  public int crashCount(RequestFingerprint fingerprint) {
+    return suspects.find(fingerprint).map(found -> suspects.countedCrashes(found).size()).orElse(0);
   }
 
   /** Returns the requests that are held back. */
-  public List<RequestFingerprint> barred() {
-    return suspects.all().stream().filter(Suspicion::isBarred).map(Suspicion::fingerprint).toList();
+  public List<RequestFingerprint> quarantined() {
+    return suspects.all().stream()
+        .filter(Suspect::isQuarantined)
+        .map(Suspect::fingerprint)
+        .toList();
   }
 
   /** Notes that an upstream ended while a request was on it. */
-  public void endedUnder(RequestFingerprint fingerprint, String start) {
-    if (suspects.ended(fingerprint, start, clock.nanos())) {
-      judge(true);
-      tell(Set.of(fingerprint));
+  public void recordCrash(RequestFingerprint fingerprint, String start) {
+    if (suspects.recordCrash(fingerprint, start, clock.nanos())) {
+      evaluate(true);
+      publish(Set.of(fingerprint));
     }
   }
 
   /** Notes that a request was answered whole: it does not end who runs it. */
-  public void answered(RequestFingerprint fingerprint) {
-    if (endsUnder(fingerprint) > 0) {
-      lift(fingerprint);
+  public void recordSuccess(RequestFingerprint fingerprint) {
+    if (crashCount(fingerprint) > 0) {
+      withdrawCrashes(fingerprint);
     }
   }
 
   /** Forgets what has ended under a request so far. */
-  public void lift(RequestFingerprint fingerprint) {
-    if (suspects.clearAll(fingerprint)) {
-      judge(true);
-      tell(Set.of(fingerprint));
+  public void withdrawCrashes(RequestFingerprint fingerprint) {
+    if (suspects.withdrawAll(fingerprint)) {
+      evaluate(true);
+      publish(Set.of(fingerprint));
     }
   }
 
   /** Notes that an upstream has sent something: a box that took it to have ended was wrong. */
-  public void heardFrom(String start) {
-    if (suspects.endedBefore(start, clock.nanos() - LATE_BYTES.toNanos())) {
-      suspects.deny(start);
-      judge(true);
-      untoldLiving.add(start);
-      tell(suspects.under(start));
+  public void recordAlive(String start) {
+    if (suspects.hasCrashedBefore(start, clock.nanos() - MAX_READ_DELAY.toNanos())) {
+      suspects.refute(start);
+      evaluate(true);
+      pendingAliveIncarnationIds.add(start);
+      publish(suspects.requestsAffectedBy(start));
     }
   }
 
   /** Takes in what another box or the platform's store has told; returns what of it was new. */
-  public SuspectNews merge(SuspectNews news) {
+  public SuspectUpdate merge(SuspectUpdate news) {
     long now = clock.nanos();
-    List<String> newlyLiving = news.living().stream().filter(suspects::deny).toList();
+    List<String> newlyLiving =
+        news.aliveIncarnationIds().stream().filter(suspects::refute).toList();
     Set<RequestFingerprint> changed = new LinkedHashSet<>();
     for (SuspectReport report : news.reports()) {
-      if (take(report, now)) {
+      if (apply(report, now)) {
         changed.add(report.fingerprint());
       }
     }
-    changed.addAll(judge(false));
-    return new SuspectNews(suspects.reports(changed, now), newlyLiving);
+    changed.addAll(evaluate(false));
+    return new SuspectUpdate(suspects.reports(changed, now), newlyLiving);
   }
 
   /** Returns what this box has learned by itself since this was asked last. */
-  public SuspectNews takeNews() {
-    SuspectNews news =
-        new SuspectNews(suspects.reports(untold, clock.nanos()), List.copyOf(untoldLiving));
-    untold.clear();
-    untoldLiving.clear();
+  public SuspectUpdate takeUpdate() {
+    SuspectUpdate news =
+        new SuspectUpdate(
+            suspects.reports(pendingFingerprints, clock.nanos()),
+            List.copyOf(pendingAliveIncarnationIds));
+    pendingFingerprints.clear();
+    pendingAliveIncarnationIds.clear();
     return news;
   }
 
-  private void tell(Collection<RequestFingerprint> changed) {
-    untold.addAll(changed);
-    onNews.run();
+  private void publish(Collection<RequestFingerprint> changed) {
+    pendingFingerprints.addAll(changed);
+    updateListener.run();
   }
 
-  private boolean take(SuspectReport report, long now) {
+  private boolean apply(SuspectReport report, long now) {
     boolean changed = false;
-    for (EndReport end : report.ends()) {
+    for (CrashReport end : report.crashes()) {
       long nanos = now - TimeUnit.MILLISECONDS.toNanos(Math.max(0, end.ageMillis()));
-      changed |= suspects.ended(report.fingerprint(), end.start(), nanos);
-      changed |= end.cleared() && suspects.clear(report.fingerprint(), end.start());
+      changed |= suspects.recordCrash(report.fingerprint(), end.incarnationId(), nanos);
+      changed |= end.withdrawn() && suspects.withdraw(report.fingerprint(), end.incarnationId());
     }
-    if (report.barred()) {
-      suspects.find(report.fingerprint()).ifPresent(Suspicion::setToldBarred);
+    if (report.quarantined()) {
+      suspects.find(report.fingerprint()).ifPresent(Suspect::setReportedQuarantined);
     }
     return changed;
   }
 
   /** Returns all that is known. */
-  public SuspectNews all() {
-    return suspects.news(clock.nanos());
+  public SuspectUpdate snapshot() {
+    return suspects.snapshot(clock.nanos());
   }
 
   /** Returns a number that is the same at boxes that know the same; 0 where nothing is known. */
@@ -176,34 +182,36 @@
    * ended go first, as they explain ends that others are not blamed for. A verdict stands until the
    * request is cleared, the ends are denied, or others explain nearly all of them.
    */
-  private List<RequestFingerprint> judge(boolean here) {
-    suspects.forgetNowAndThen(clock.nanos());
+  private List<RequestFingerprint> evaluate(boolean here) {
+    suspects.evictIfDue(clock.nanos());
     List<RequestFingerprint> changed = new ArrayList<>();
     Set<String> explained = new HashSet<>();
-    for (Suspicion suspicion : suspects.candidates()) {
-      List<String> ends = suspects.ends(suspicion);
+    for (Suspect suspicion : suspects.candidates()) {
+      List<String> ends = suspects.countedCrashes(suspicion);
       long blamed = ends.stream().filter(start -> !explained.contains(start)).count();
       boolean stands =
-          suspicion.isToldBarred() && ends.size() >= ENDS_OF_VERDICT && blamed >= ENDS_TO_STAND;
-      if (suspicion.judged(stands || blamed >= ENDS_OF_VERDICT)) {
+          suspicion.isReportedQuarantined()
+              && ends.size() >= CRASHES_TO_QUARANTINE
+              && blamed >= CRASHES_TO_STAY_QUARANTINED;
+      if (suspicion.updateVerdict(stands || blamed >= CRASHES_TO_QUARANTINE)) {
         changed.add(suspicion.fingerprint());
-        tellChange(suspicion, ends, here);
+        notifyListeners(suspicion, ends, here);
       }
-      if (suspicion.isBarred()) {
+      if (suspicion.isQuarantined()) {
         explained.addAll(ends);
       }
     }
     return changed;
   }
 
-  private void tellChange(Suspicion suspicion, List<String> ends, boolean here) {
-    if (suspicion.isBarred()) {
+  private void notifyListeners(Suspect suspicion, List<String> ends, boolean here) {
+    if (suspicion.isQuarantined()) {
       long now = clock.nanos();
-      long age = TimeUnit.NANOSECONDS.toMillis(suspicion.newestAgeNanos(now));
-      Verdict verdict = new Verdict(suspicion.fingerprint(), ends, age, here);
+      long age = TimeUnit.NANOSECONDS.toMillis(suspicion.latestCrashAgeNanos(now));
+      QuarantineVerdict verdict = new QuarantineVerdict(suspicion.fingerprint(), ends, age, here);
       verdictListeners.forEach(listener -> listener.accept(verdict));
     } else {
-      onRelease.accept(suspicion.fingerprint());
+      releaseListener.accept(suspicion.fingerprint());
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/Trials.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/QuarantineTrials.java
@@ -10,14 +10,14 @@
  *
  * @since 0.3
  */
-public interface Trials {
+public interface QuarantineTrials {
 
   /** Returns how long until the next trial of a request, zero if it is due, empty if none is. */
-  Optional<Duration> untilNext(RequestFingerprint fingerprint);
+  Optional<Duration> timeUntilNext(RequestFingerprint fingerprint);
 
   /**
    * Asks for the trial that is due; the value tells whether this box, and no other, may send the
    * request once.
    */
-  Mono<Boolean> take(RequestFingerprint fingerprint);
+  Mono<Boolean> claim(RequestFingerprint fingerprint);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/RequestFingerprint.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/RequestFingerprint.java
@@ -7,10 +7,10 @@
  *
  * @param high first half of a digest that nobody can find a second request for
  * @param low second half
- * @param shape what is known of a request without looking at its body
+ * @param shapeHash what is known of a request without looking at its body
  * @since 0.3
  */
-public record RequestFingerprint(long high, long low, int shape) {
+public record RequestFingerprint(long high, long low, int shapeHash) {
 
   /** Signs of the text form: three numbers in hexadecimal. */
   private static final int TEXT_LENGTH = 40;
@@ -34,7 +34,7 @@
   public String toString() {
     return padded(Long.toHexString(high), 16)
         + padded(Long.toHexString(low), 16)
-        + padded(Integer.toHexString(shape), 8);
+        + padded(Integer.toHexString(shapeHash), 8);
   }
 
   private static String padded(String digits, int length) {
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/RequestIdentity.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/RequestIdentity.java
@@ -23,23 +23,23 @@
    * Returns what can be told at next to no cost. Requests of different shapes are different, so
    * that a body need only be looked at where something of its shape is known.
    */
-  public int shape() {
+  public int shapeHash() {
     return (host.hashCode() * 31 + uri.hashCode()) * 31 + body.length;
   }
 
   /** Returns the fingerprint; the body is read whole. */
   public RequestFingerprint fingerprint() {
     MessageDigest digest = newDigest();
-    add(digest, account);
-    add(digest, method);
-    add(digest, host);
-    add(digest, uri);
+    update(digest, account);
+    update(digest, method);
+    update(digest, host);
+    update(digest, uri);
     ByteBuffer bytes = ByteBuffer.wrap(digest.digest(body));
-    return new RequestFingerprint(bytes.getLong(), bytes.getLong(), shape());
+    return new RequestFingerprint(bytes.getLong(), bytes.getLong(), shapeHash());
   }
 
   /** The length goes first, so that no two lists of texts give the same bytes. */
-  private static void add(MessageDigest digest, String text) {
+  private static void update(MessageDigest digest, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
     digest.update(bytes);
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/Suspicion.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/Suspect.java
@@ -12,15 +12,15 @@
  * back: a start ends only once. So nothing depends on the order in which boxes hear of them, which
  * no moments that they tell each other would give. Confined to the event loop.
  */
-final class Suspicion {
+final class Suspect {
 
   private final RequestFingerprint fingerprint;
-  private final Map<String, Long> endNanos = new HashMap<>();
-  private final Set<String> cleared = new HashSet<>();
-  private boolean barred;
-  private boolean toldBarred;
+  private final Map<String, Long> crashNanos = new HashMap<>();
+  private final Set<String> withdrawn = new HashSet<>();
+  private boolean quarantined;
+  private boolean reportedQuarantined;
 
-  Suspicion(RequestFingerprint fingerprint) {
+  Suspect(RequestFingerprint fingerprint) {
     this.fingerprint = fingerprint;
   }
 
@@ -28,71 +28,71 @@
     return fingerprint;
   }
 
-  boolean isBarred() {
-    return barred;
+  boolean isQuarantined() {
+    return quarantined;
   }
 
   /** Notes that a box holds it back. */
-  void setToldBarred() {
-    toldBarred = true;
+  void setReportedQuarantined() {
+    reportedQuarantined = true;
   }
 
   /** Returns whether it was held back here or elsewhere when this was last looked at. */
-  boolean isToldBarred() {
-    return toldBarred;
+  boolean isReportedQuarantined() {
+    return reportedQuarantined;
   }
 
   /** Takes the verdict on; returns whether it is another one than before. */
-  boolean judged(boolean now) {
-    boolean changed = now != barred;
-    barred = now;
-    toldBarred = now;
+  boolean updateVerdict(boolean now) {
+    boolean changed = now != quarantined;
+    quarantined = now;
+    reportedQuarantined = now;
     return changed;
   }
 
   /** Notes that an upstream ended under the request; returns whether that is new. */
-  boolean ended(String start, long nanos) {
-    return endNanos.putIfAbsent(start, nanos) == null;
+  boolean recordCrash(String start, long nanos) {
+    return crashNanos.putIfAbsent(start, nanos) == null;
   }
 
   /** Notes that an end does not count any more; returns whether that is new. */
-  boolean clear(String start) {
-    return cleared.add(start);
+  boolean withdraw(String start) {
+    return withdrawn.add(start);
   }
 
   /** Notes that no end that is known counts any more; returns whether one did. */
-  boolean clearAll() {
-    return cleared.addAll(endNanos.keySet());
+  boolean withdrawAll() {
+    return withdrawn.addAll(crashNanos.keySet());
   }
 
   /** Returns the upstreams whose end counts against the request. */
-  List<String> ends(Set<String> living) {
-    return endNanos.keySet().stream()
-        .filter(start -> !cleared.contains(start) && !living.contains(start))
+  List<String> countedCrashes(Set<String> living) {
+    return crashNanos.keySet().stream()
+        .filter(start -> !withdrawn.contains(start) && !living.contains(start))
         .sorted()
         .toList();
   }
 
   /** Returns all upstreams that are said to have ended under the request. */
-  Set<String> starts() {
-    return endNanos.keySet();
+  Set<String> crashedIncarnationIds() {
+    return crashNanos.keySet();
   }
 
   /** Returns how long ago the last end was. */
-  long newestAgeNanos(long now) {
-    return endNanos.values().stream().mapToLong(nanos -> now - nanos).min().orElse(0);
+  long latestCrashAgeNanos(long now) {
+    return crashNanos.values().stream().mapToLong(nanos -> now - nanos).min().orElse(0);
   }
 
-  SuspectReport report(long now) {
-    List<EndReport> ends =
-        endNanos.entrySet().stream()
+  SuspectReport toReport(long now) {
+    List<CrashReport> ends =
+        crashNanos.entrySet().stream()
             .map(
                 end ->
-                    new EndReport(
+                    new CrashReport(
                         end.getKey(),
                         TimeUnit.NANOSECONDS.toMillis(now - end.getValue()),
-                        cleared.contains(end.getKey())))
+                        withdrawn.contains(end.getKey())))
             .toList();
-    return new SuspectReport(fingerprint, ends, barred);
+    return new SuspectReport(fingerprint, ends, quarantined);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectNews.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/quarantine/SuspectUpdate.java
@@ -7,19 +7,20 @@
  * and any number of times.
  *
  * @param reports what is known of requests
- * @param living starts of upstreams that were heard after somebody took them to have ended
+ * @param aliveIncarnationIds starts of upstreams that were heard after somebody took them to have
+ *     ended
  * @since 0.3
  */
-public record SuspectNews(List<SuspectReport> reports, List<String> living) {
+public record SuspectUpdate(List<SuspectReport> reports, List<String> aliveIncarnationIds) {
 
   /** Copies the lists. */
-  public SuspectNews {
+  public SuspectUpdate {
     reports = List.copyOf(reports);
-    living = List.copyOf(living);
+    aliveIncarnationIds = List.copyOf(aliveIncarnationIds);
   }
 
   /** Returns whether it says nothing. */
   public boolean isEmpty() {
-    return reports.isEmpty() && living.isEmpty();
+    return reports.isEmpty() && aliveIncarnationIds.isEmpty();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
@@ -26,7 +26,7 @@
   }
 
   /** Returns after how many milliseconds its answer is worth nothing. */
-  long limitMillis() {
+  long timeoutMillis() {
     return Math.min(request.deadlineMillis().orElse(Long.MAX_VALUE), route.timeoutMillis());
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
@@ -2,56 +2,56 @@
 
 import io.netty.channel.EventLoop;
 import org.gradeledge.batch.StageWorkClient;
+import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.UpstreamCaller;
-import org.gradeledge.connection.UpstreamEnds;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.quarantine.Trials;
+import org.gradeledge.quarantine.QuarantineTrials;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
 import org.gradeledge.selection.UpstreamChooser;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 
 /**
  * What all requests of a box share.
  *
  * @param zone availability zone of the box
- * @param loop where all of it happens
+ * @param eventLoop where all of it happens
  * @param clock monotonic clock
  * @param deployments configuration in force
  * @param upstreams upstreams that are known
- * @param board their load and health
+ * @param loads their load and health
  * @param chooser chooses among them
- * @param sending tells which of them takes one more request of this box now
- * @param budget what may be sent again
- * @param caller sends requests to them
- * @param ends tells whether one that broke a call off has ended
+ * @param sendingRule tells which of them takes one more request of this box now
+ * @param retryBudget what may be sent again
+ * @param upstreamCaller sends requests to them
+ * @param crashDetector tells whether one that broke a call off has ended
  * @param quarantine holds back requests that end upstreams
  * @param trials tells when one that is held back is tried once more
  * @param protocol how requests look on the wire
- * @param stages has stage work done
+ * @param stageWorkClient has stage work done
  * @param metrics counts
  * @param events log
  * @since 0.2
  */
 public record RelayServices(
     String zone,
-    EventLoop loop,
+    EventLoop eventLoop,
     MonotonicClock clock,
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    LoadBoard board,
+    UpstreamLoads loads,
     UpstreamChooser chooser,
-    SendingRule sending,
-    RetryBudget budget,
-    UpstreamCaller caller,
-    UpstreamEnds ends,
+    SendLimiter sendingRule,
+    RetryBudget retryBudget,
+    UpstreamCaller upstreamCaller,
+    LivenessChecker crashDetector,
     Quarantine quarantine,
-    Trials trials,
+    QuarantineTrials trials,
     RelayProtocol protocol,
-    StageWorkClient stages,
+    StageWorkClient stageWorkClient,
     RelayMetrics metrics,
     EventLog events) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/request/AtMostOnceRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/AtMostOnceRunner.java
@@ -38,7 +38,7 @@
             request.pipeline(), context.account().name(), request.idempotencyKey().orElse(""));
     return claims
         .claim(key, request.bodyDigest(), context.file().retention())
-        .timeout(context.deadline().left())
+        .timeout(context.deadline().remaining())
         .onErrorMap(TimeoutException.class, e -> tooLate(e))
         .flatMapMany(outcome -> afterClaim(outcome, work));
   }
@@ -56,7 +56,7 @@
             : RefusalReason.KEY_IN_USE;
     Verdict verdict = reason == RefusalReason.KEY_IN_USE ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
     return Flux.error(
-        RefusalException.because(reason)
+        RefusalException.forReason(reason)
             .verdict(verdict)
             .detail("the idempotency key was used before")
             .build());
@@ -85,14 +85,14 @@
 
   private Flux<AnswerEvent> releaseIfNotRun(Claim claim, RefusalException e) {
     Mono<Void> release =
-        e.verdict().allowsRepeat()
+        e.verdict().allowsRetry()
             ? claims.release(claim).timeout(RECORD_LIMIT).onErrorComplete()
             : Mono.empty();
     return release.thenMany(Flux.error(e));
   }
 
   private static RefusalException tooLate(TimeoutException e) {
-    return RefusalException.because(RefusalReason.DEADLINE_PASSED)
+    return RefusalException.forReason(RefusalReason.DEADLINE_PASSED)
         .detail("the claim of the idempotency key was not written in time")
         .cause(e)
         .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/request/CallerChecks.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/CallerChecks.java
@@ -22,7 +22,7 @@
       }
     }
     if (found == null) {
-      throw RefusalException.because(RefusalReason.TOKEN_UNKNOWN)
+      throw RefusalException.forReason(RefusalReason.TOKEN_UNKNOWN)
           .detail("the bearer token must be one of this pipeline's client accounts")
           .build();
     }
@@ -33,7 +33,7 @@
   static Duration deadline(AccountDefinition account, CallerRequest request) {
     long asked = request.deadlineMs().orElse(account.deadlineMs());
     if (asked < 1 || asked > account.deadlineMs()) {
-      throw RefusalException.because(RefusalReason.DEADLINE_INVALID)
+      throw RefusalException.forReason(RefusalReason.DEADLINE_INVALID)
           .detail("the deadline must be from 1 to " + account.deadlineMs() + " ms")
           .build();
     }
@@ -43,7 +43,7 @@
   /** Requires a key where a stage must not be repeated. */
   static void idempotencyKey(PipelineFile file, CallerRequest request) {
     if (file.runsAtMostOnce() && request.idempotencyKey().isEmpty()) {
-      throw RefusalException.because(RefusalReason.IDEMPOTENCY_KEY_MISSING)
+      throw RefusalException.forReason(RefusalReason.IDEMPOTENCY_KEY_MISSING)
           .detail("a stage of this pipeline runs at most once: Idempotency-Key must be given")
           .build();
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestProgress.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestProgress.java
@@ -21,11 +21,11 @@
   /** Notes that a call ended and whether it may have run. */
   synchronized void callEnded(Verdict verdict) {
     open--;
-    settled = settled.and(verdict);
+    settled = settled.combine(verdict);
   }
 
   synchronized Verdict verdict() {
-    return open > 0 ? settled.and(Verdict.MAY_HAVE_RUN) : settled;
+    return open > 0 ? settled.combine(Verdict.MAY_HAVE_RUN) : settled;
   }
 
   synchronized String stage() {
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -94,7 +94,7 @@
     Duration limit = CallerChecks.deadline(account, request);
     CallerChecks.idempotencyKey(version.file(), request);
     PipelineLimits stageLimits = limits.pipeline(version.file());
-    stageLimits.checkReachable(version.file(), account, limit);
+    stageLimits.checkDeadline(version.file(), account, limit);
     RequestContext context =
         new RequestContext(
             request,
@@ -104,7 +104,7 @@
             stageLimits,
             new RequestProgress());
     var accountLimiter = limits.account(version.file(), account);
-    accountLimiter.enter(account);
+    accountLimiter.acquire(account);
     gate.started();
     Flux<AnswerEvent> answer =
         (request.idempotencyKey().isPresent()
@@ -112,7 +112,7 @@
                 : runBounded(context))
             .doFinally(
                 signal -> {
-                  accountLimiter.leave();
+                  accountLimiter.release();
                   gate.ended();
                 });
     return request.idempotencyKey().isPresent() ? detached(answer) : answer;
@@ -137,7 +137,7 @@
   }
 
   private static Flux<AnswerEvent> failAtDeadline(RequestContext context) {
-    return Mono.delay(context.deadline().left())
+    return Mono.delay(context.deadline().remaining())
         .<AnswerEvent>flatMap(tick -> Mono.error(new TimeoutException()))
         .flux();
   }
@@ -145,13 +145,13 @@
   private static RefusalException explain(RequestContext context, Throwable e) {
     RequestProgress progress = context.progress();
     if (e instanceof RefusalException refusal) {
-      return refusal.alsoCovering(progress.verdict());
+      return refusal.withEarlierVerdict(progress.verdict());
     }
     boolean late = e instanceof TimeoutException;
     if (!late) {
       Logger.error(e, "request failed: id={}", context.request().requestId());
     }
-    return RefusalException.because(late ? RefusalReason.DEADLINE_PASSED : RefusalReason.INTERNAL)
+    return RefusalException.forReason(late ? RefusalReason.DEADLINE_PASSED : RefusalReason.INTERNAL)
         .verdict(progress.verdict())
         .stage(progress.stage().isEmpty() ? null : progress.stage())
         .cause(e)
--- a/gradeledge-core/src/main/java/org/gradeledge/request/ServingGate.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/ServingGate.java
@@ -37,10 +37,10 @@
   public void checkOpen() {
     RefusalReason reason = closedBecause;
     if (reason != null) {
-      throw RefusalException.because(reason).detail("this box is stopping").build();
+      throw RefusalException.forReason(reason).detail("this box is stopping").build();
     }
     if (!membership.holds()) {
-      throw RefusalException.because(RefusalReason.MEMBERSHIP_UNCONFIRMED)
+      throw RefusalException.forReason(RefusalReason.MEMBERSHIP_UNCONFIRMED)
           .detail("nobody has confirmed lately that this box is a member")
           .build();
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.TimeoutException;
-import org.gradeledge.admission.RetryBudget;
+import org.gradeledge.admission.RetryTokenBucket;
 import org.gradeledge.admission.StageTicket;
 import org.gradeledge.configuration.StageDefinition;
 import org.gradeledge.metrics.AttemptResult;
@@ -44,7 +44,7 @@
   private final UpstreamProtocol protocol;
   private final BoxMetrics metrics;
   private final MonotonicClock clock;
-  private final RetryBudget budget = new RetryBudget();
+  private final RetryTokenBucket budget = new RetryTokenBucket();
 
   StageRunner(Router router, UpstreamProtocol protocol, BoxMetrics metrics, MonotonicClock clock) {
     this.router = router;
@@ -57,7 +57,7 @@
   Flux<UpstreamEvent> run(RequestContext context, int stageIndex, JsonNode input) {
     return Flux.defer(
         () -> {
-          budget.firstAttempt(context.file().retryShare());
+          budget.recordFirstAttempt(context.file().retryShare());
           return new Run(context, stageIndex, input).attempt();
         });
   }
@@ -94,11 +94,11 @@
       return new StageTicket(
           context.account(),
           context.deadline(),
-          context.limits().neededToStart(rest, context.account()));
+          context.limits().minimumTimeToStart(rest, context.account()));
     }
 
     private Flux<UpstreamEvent> dispatch() {
-      if (context.deadline().passed()) {
+      if (context.deadline().hasPassed()) {
         return Flux.error(refusal(RefusalReason.DEADLINE_PASSED, Verdict.NOT_RUN, null));
       }
       return router
@@ -110,7 +110,7 @@
     private Flux<UpstreamEvent> call(UpstreamState upstream) {
       attempts++;
       tried.add(upstream.definition().id());
-      upstream.started();
+      upstream.recordCallStarted();
       context.progress().callStarted();
       CallEnd end = new CallEnd(upstream, clock.nanos());
       return withinAttemptLimit(protocol.call(upstreamCall(upstream)))
@@ -125,7 +125,7 @@
      * that a frozen upstream is found out and another one asked while there is time.
      */
     private Flux<UpstreamEvent> withinAttemptLimit(Flux<UpstreamEvent> events) {
-      Duration slow = context.limits().times(stage).slow();
+      Duration slow = context.limits().latencies(stage).percentile99();
       if (!stage.repeatable() || slow.isZero()) {
         return events;
       }
@@ -149,24 +149,24 @@
           attempts,
           upstream.definition(),
           input,
-          context.deadline().left(),
+          context.deadline().remaining(),
           stage.repeatable() ? "" : context.request().idempotencyKey().orElse(""),
           lastOffset < 0 ? OptionalLong.empty() : OptionalLong.of(lastOffset));
     }
 
     private Flux<UpstreamEvent> againOrRefuse(UpstreamException e) {
-      boolean harmless = stage.repeatable() || e.verdict().allowsRepeat();
+      boolean harmless = stage.repeatable() || e.verdict().allowsRetry();
       boolean again =
           harmless
               && attempts < MOST_ATTEMPTS
-              && !context.deadline().passed()
-              && budget.takeExtra();
+              && !context.deadline().hasPassed()
+              && budget.tryAcquire();
       return again ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
     }
 
     private RefusalException refusal(
         RefusalReason reason, Verdict verdict, @Nullable Throwable cause) {
-      return RefusalException.because(reason)
+      return RefusalException.forReason(reason)
           .verdict(verdict)
           .stage(stage.name())
           .detail(cause == null ? null : cause.getMessage())
@@ -207,11 +207,11 @@
         long nanos = clock.nanos() - startNanos;
         switch (result) {
           case USED -> {
-            upstream.succeeded(nanos);
-            context.limits().limiter(stage).completed(nanos);
+            upstream.recordCallSucceeded(nanos);
+            context.limits().limiter(stage).recordCompletion(nanos);
           }
-          case FAILED -> upstream.failed();
-          default -> upstream.cancelled();
+          case FAILED -> upstream.recordCallFailed();
+          default -> upstream.recordCallCancelled();
         }
         metrics
             .costs()
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/Router.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/Router.java
@@ -16,7 +16,7 @@
  */
 public final class Router {
 
-  private static final int FLOOR_DIVISOR = 2;
+  private static final int MIN_HEALTHY_DIVISOR = 2;
 
   private final UpstreamDirectory directory;
   private final RoutingStrategy strategy;
@@ -49,6 +49,6 @@
 
   private static List<UpstreamState> withoutEjected(List<UpstreamState> staying) {
     List<UpstreamState> healthy = staying.stream().filter(state -> !state.isEjected()).toList();
-    return healthy.size() * FLOOR_DIVISOR >= staying.size() ? healthy : staying;
+    return healthy.size() * MIN_HEALTHY_DIVISOR >= staying.size() ? healthy : staying;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/TwoChoicesRouting.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/TwoChoicesRouting.java
@@ -42,7 +42,7 @@
   }
 
   private static double occupancy(UpstreamState state) {
-    double calls = 1 + state.inFlight() + state.othersInFlight(REPORT_HALF_LIFE);
+    double calls = 1 + state.inFlight() + state.otherBoxesInFlight(REPORT_HALF_LIFE);
     return calls / state.definition().slots();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamDirectory.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamDirectory.java
@@ -32,12 +32,12 @@
 
   /** Takes over the upstreams that are in force; states of all others are dropped. */
   public void retain(List<UpstreamDefinition> definitions) {
-    definitions.forEach(definition -> state(definition).redefine(definition));
+    definitions.forEach(definition -> state(definition).updateDefinition(definition));
     states.keySet().retainAll(definitions.stream().map(UpstreamDefinition::address).toList());
   }
 
   /** Returns the state of the upstream at an address, if it is known. */
-  public Optional<UpstreamState> at(String host, int port) {
+  public Optional<UpstreamState> findByAddress(String host, int port) {
     return Optional.ofNullable(states.get(new InetSocketAddress(host, port)));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/routing/UpstreamState.java
@@ -20,21 +20,22 @@
 public final class UpstreamState {
 
   private static final int FAILURES_TO_EJECT = 3;
-  private static final Duration FIRST_EJECTION = Duration.ofSeconds(1);
-  private static final int LONGEST_EJECTION_DOUBLINGS = 5;
-  private static final double LATENCY_WEIGHT = 0.1;
+  private static final Duration INITIAL_EJECTION = Duration.ofSeconds(1);
+  private static final int MAX_EJECTION_DOUBLINGS = 5;
+  private static final double LATENCY_SMOOTHING_FACTOR = 0.1;
 
-  private record Reported(LoadReport report, int ownInFlight, long atNanos) {}
+  private record ReceivedReport(LoadReport report, int ownInFlight, long receivedAtNanos) {}
 
-  private record Leave(long incarnation) {}
+  private record LeavingIncarnation(long incarnation) {}
 
   private volatile UpstreamDefinition definition;
   private final MonotonicClock clock;
   private final AtomicInteger inFlight = new AtomicInteger();
   private final AtomicInteger consecutiveFailures = new AtomicInteger();
   private final AtomicInteger ejections = new AtomicInteger();
-  private final AtomicReference<@Nullable Reported> reported = new AtomicReference<>();
-  private final AtomicReference<@Nullable Leave> leave = new AtomicReference<>();
+  private final AtomicReference<@Nullable ReceivedReport> latestReport = new AtomicReference<>();
+  private final AtomicReference<@Nullable LeavingIncarnation> latestLeaving =
+      new AtomicReference<>();
   private volatile boolean listedLeaving;
   private volatile long ejectedUntilNanos;
   private volatile boolean ejected;
@@ -50,73 +51,75 @@
     return definition;
   }
 
-  void redefine(UpstreamDefinition value) {
+  void updateDefinition(UpstreamDefinition value) {
     definition = value;
   }
 
   /** Notes that a call starts. */
-  public void started() {
+  public void recordCallStarted() {
     inFlight.incrementAndGet();
   }
 
   /** Notes that a call ended with a usable answer after some time. */
-  public void succeeded(long nanos) {
+  public void recordCallSucceeded(long nanos) {
     inFlight.decrementAndGet();
     consecutiveFailures.set(0);
     ejections.set(0);
     ejected = false;
     latencyNanos =
-        latencyNanos == 0 ? nanos : latencyNanos + LATENCY_WEIGHT * (nanos - latencyNanos);
+        latencyNanos == 0
+            ? nanos
+            : latencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - latencyNanos);
   }
 
   /** Notes that a call failed through the upstream's fault; several in a row eject it. */
-  public void failed() {
+  public void recordCallFailed() {
     inFlight.decrementAndGet();
     if (consecutiveFailures.incrementAndGet() >= FAILURES_TO_EJECT) {
-      int doublings = Math.min(ejections.getAndIncrement(), LONGEST_EJECTION_DOUBLINGS);
-      ejectedUntilNanos = clock.nanos() + (FIRST_EJECTION.toNanos() << doublings);
+      int doublings = Math.min(ejections.getAndIncrement(), MAX_EJECTION_DOUBLINGS);
+      ejectedUntilNanos = clock.nanos() + (INITIAL_EJECTION.toNanos() << doublings);
       ejected = true;
     }
   }
 
   /** Notes that a call was cancelled, which says nothing of the upstream. */
-  public void cancelled() {
+  public void recordCallCancelled() {
     inFlight.decrementAndGet();
   }
 
   /** Takes in a report unless a newer one is known. An explicit leave outlives older reports. */
-  public void report(LoadReport report) {
-    Reported next = new Reported(report, inFlight.get(), clock.nanos());
-    Reported kept =
-        reported.accumulateAndGet(
+  public void applyReport(LoadReport report) {
+    ReceivedReport next = new ReceivedReport(report, inFlight.get(), clock.nanos());
+    ReceivedReport kept =
+        latestReport.accumulateAndGet(
             next,
             (old, given) -> old == null || given.report().isAfter(old.report()) ? given : old);
     if (kept == next && report.leaving()) {
-      leaving(report.incarnation());
+      markLeaving(report.incarnation());
     }
   }
 
   /** Notes that the upstream leaves; holds until it starts anew. */
-  public void leaving() {
-    leaving(knownIncarnation());
+  public void markLeaving() {
+    markLeaving(latestIncarnation());
   }
 
   /** Notes whether the platform's list says that it leaves; follows the list either way. */
-  public void listedLeaving(boolean value) {
+  public void setListedLeaving(boolean value) {
     listedLeaving = value;
   }
 
   /** Notes that a given incarnation of the upstream leaves. */
-  public void leaving(long incarnation) {
-    leave.accumulateAndGet(
-        new Leave(incarnation),
+  public void markLeaving(long incarnation) {
+    latestLeaving.accumulateAndGet(
+        new LeavingIncarnation(incarnation),
         (old, given) -> old == null || given.incarnation() > old.incarnation() ? given : old);
   }
 
   /** Returns the incarnation that said that it leaves, if the newest one did. */
   public OptionalLong leavingIncarnation() {
-    Leave current = leave.get();
-    return current != null && current.incarnation() >= knownIncarnation()
+    LeavingIncarnation current = latestLeaving.get();
+    return current != null && current.incarnation() >= latestIncarnation()
         ? OptionalLong.of(current.incarnation())
         : OptionalLong.empty();
   }
@@ -127,8 +130,8 @@
   }
 
   /** Returns the newest incarnation heard of, 0 for none. */
-  public long knownIncarnation() {
-    Reported last = reported.get();
+  public long latestIncarnation() {
+    ReceivedReport last = latestReport.get();
     return last == null ? 0 : last.report().incarnation();
   }
 
@@ -153,13 +156,13 @@
    *
    * @param halfLife age at which a report counts half
    */
-  public double othersInFlight(Duration halfLife) {
-    Reported last = reported.get();
+  public double otherBoxesInFlight(Duration halfLife) {
+    ReceivedReport last = latestReport.get();
     if (last == null) {
       return 0;
     }
     int total = last.report().inFlight() + last.report().queued();
-    double age = (double) (clock.nanos() - last.atNanos()) / halfLife.toNanos();
+    double age = (double) (clock.nanos() - last.receivedAtNanos()) / halfLife.toNanos();
     return Math.max(0, total - last.ownInFlight()) * Math.pow(0.5, age);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/ColdUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/ColdStartLimiter.java
@@ -10,7 +10,7 @@
 import java.util.random.RandomGenerator;
 import org.gradeledge.deployment.ColdStart;
 import org.gradeledge.discovery.UpstreamRecord;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.limit.TokenBucket;
 import org.gradeledge.time.MonotonicClock;
 
@@ -26,7 +26,7 @@
  *
  * @since 0.3
  */
-public final class ColdUpstreams implements SendingRule {
+public final class ColdStartLimiter implements SendLimiter {
 
   /**
    * Part of what a cold upstream bears that the boxes take together. Requests of many boxes that do
@@ -34,13 +34,13 @@
    * take twice as much: with a mean of 3.4 in a second 16 or more, which a limit of 6.7 a second
    * with the usual slack refuses, come once in a million; with twice that mean once in 600.
    */
-  private static final double PART_USED = 0.25;
+  private static final double USED_FRACTION = 0.25;
 
   /** By then a box that has started hears the others. */
-  private static final Duration HEARING = Duration.ofSeconds(3);
+  private static final Duration PEER_DISCOVERY_TIME = Duration.ofSeconds(3);
 
-  private static final double WHOLE = 1;
-  private static final double NANOS_OF_MILLI = 1e6;
+  private static final double MAX_TOKENS = 1;
+  private static final double NANOS_PER_MILLI = 1e6;
 
   /** What one box may still send to one cold upstream. */
   private static final class Allowance {
@@ -56,11 +56,11 @@
 
   private final MonotonicClock clock;
   private final RandomGenerator random;
-  private final IntSupplier boxes;
-  private final Function<String, Optional<ColdStart>> limits;
-  private final Map<String, Allowance> cold = new HashMap<>();
-  private final long startNanos;
-  private int mostBoxes = 1;
+  private final IntSupplier boxCount;
+  private final Function<String, Optional<ColdStart>> coldStartLimits;
+  private final Map<String, Allowance> allowances = new HashMap<>();
+  private final long createdNanos;
+  private int maxBoxCount = 1;
 
   /**
    * Creates it without any cold upstream.
@@ -68,41 +68,41 @@
    * @param boxes how many boxes are heard, this one included
    * @param limits what an upstream of a service bears
    */
-  public ColdUpstreams(
+  public ColdStartLimiter(
       MonotonicClock clock,
       RandomGenerator random,
       IntSupplier boxes,
       Function<String, Optional<ColdStart>> limits) {
     this.clock = clock;
     this.random = random;
-    this.boxes = boxes;
-    this.limits = limits;
-    this.startNanos = clock.nanos();
+    this.boxCount = boxes;
+    this.coldStartLimits = limits;
+    this.createdNanos = clock.nanos();
   }
 
   /** Notes that an upstream said for how long it is cold. */
-  public void told(UpstreamRecord upstream) {
-    extend(upstream.start(), Duration.ofMillis(upstream.coldMillis()));
+  public void onColdAnnounced(UpstreamRecord upstream) {
+    extend(upstream.incarnationId(), Duration.ofMillis(upstream.coldMillis()));
   }
 
   /** Takes upstreams that were out of use as if they had just started. */
-  public void restored(Collection<UpstreamRecord> upstreams) {
+  public void onRestored(Collection<UpstreamRecord> upstreams) {
     upstreams.forEach(
         upstream ->
-            limits
+            coldStartLimits
                 .apply(upstream.service())
-                .ifPresent(limit -> extend(upstream.start(), limit.duration())));
+                .ifPresent(limit -> extend(upstream.incarnationId(), limit.duration())));
   }
 
   /** Forgets an upstream that is gone. */
-  public void forget(UpstreamRecord upstream) {
-    cold.remove(upstream.start());
+  public void remove(UpstreamRecord upstream) {
+    allowances.remove(upstream.incarnationId());
   }
 
   private void extend(String start, Duration lasts) {
     long now = clock.nanos();
     Allowance allowance =
-        cold.computeIfAbsent(start, key -> new Allowance(now, random.nextDouble()));
+        allowances.computeIfAbsent(start, key -> new Allowance(now, random.nextDouble()));
     if (now + lasts.toNanos() - allowance.endNanos > 0) {
       allowance.endNanos = now + lasts.toNanos();
     }
@@ -110,52 +110,55 @@
 
   @Override
   public boolean admits(UpstreamRecord upstream) {
-    return filled(upstream).map(bucket -> bucket.hasToken() && millisOfHearing() <= 0).orElse(true);
+    return refilledBucket(upstream)
+        .map(bucket -> bucket.hasToken() && peerDiscoveryMillisLeft() <= 0)
+        .orElse(true);
   }
 
   @Override
-  public void sent(UpstreamRecord upstream) {
-    Optional.ofNullable(cold.get(upstream.start())).ifPresent(allowance -> allowance.bucket.take());
+  public void recordSent(UpstreamRecord upstream) {
+    Optional.ofNullable(allowances.get(upstream.incarnationId()))
+        .ifPresent(allowance -> allowance.bucket.take());
   }
 
   @Override
   public double millisUntilAdmitted(UpstreamRecord upstream, double sentBefore) {
-    return filled(upstream)
-        .map(bucket -> Math.max(bucket.millisUntilToken(sentBefore), millisOfHearing()))
+    return refilledBucket(upstream)
+        .map(bucket -> Math.max(bucket.millisUntilToken(sentBefore), peerDiscoveryMillisLeft()))
         .orElse(0.0);
   }
 
   @Override
-  public double perSecond(UpstreamRecord upstream) {
-    return filled(upstream)
-        .flatMap(bucket -> limits.apply(upstream.service()))
-        .map(this::share)
+  public double requestsPerSecond(UpstreamRecord upstream) {
+    return refilledBucket(upstream)
+        .flatMap(bucket -> coldStartLimits.apply(upstream.service()))
+        .map(this::shareOfLimit)
         .orElse(Double.POSITIVE_INFINITY);
   }
 
   /** Returns how much longer this box has to listen who else is there. */
-  private double millisOfHearing() {
-    return (HEARING.toNanos() - (clock.nanos() - startNanos)) / NANOS_OF_MILLI;
+  private double peerDiscoveryMillisLeft() {
+    return (PEER_DISCOVERY_TIME.toNanos() - (clock.nanos() - createdNanos)) / NANOS_PER_MILLI;
   }
 
   /** Returns what this box may still send to an upstream, empty where that is not cold. */
-  private Optional<TokenBucket> filled(UpstreamRecord upstream) {
-    Allowance allowance = cold.get(upstream.start());
+  private Optional<TokenBucket> refilledBucket(UpstreamRecord upstream) {
+    Allowance allowance = allowances.get(upstream.incarnationId());
     if (allowance == null) {
       return Optional.empty();
     }
     long now = clock.nanos();
-    Optional<ColdStart> limit = limits.apply(upstream.service());
+    Optional<ColdStart> limit = coldStartLimits.apply(upstream.service());
     if (limit.isEmpty() || now - allowance.endNanos >= 0) {
-      cold.remove(upstream.start());
+      allowances.remove(upstream.incarnationId());
       return Optional.empty();
     }
-    allowance.bucket.fill(share(limit.get()), WHOLE, now);
+    allowance.bucket.refill(shareOfLimit(limit.get()), MAX_TOKENS, now);
     return Optional.of(allowance.bucket);
   }
 
-  private double share(ColdStart limit) {
-    mostBoxes = Math.max(mostBoxes, boxes.getAsInt());
-    return limit.requestsPerSecond() * PART_USED / mostBoxes;
+  private double shareOfLimit(ColdStart limit) {
+    maxBoxCount = Math.max(maxBoxCount, boxCount.getAsInt());
+    return limit.requestsPerSecond() * USED_FRACTION / maxBoxCount;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/LeastLoadedChooser.java
@@ -14,16 +14,16 @@
  */
 public final class LeastLoadedChooser implements UpstreamChooser {
 
-  private static final double NOTHING_KNOWN_MILLIS = 10;
-  private static final double OTHER_ZONE = 1.1;
+  private static final double DEFAULT_LATENCY_MILLIS = 10;
+  private static final double OTHER_ZONE_FACTOR = 1.1;
   private static final double NOISE = 0.2;
 
-  private final LoadBoard board;
+  private final UpstreamLoads loads;
   private final RandomGenerator random;
 
   /** Creates the chooser. */
-  public LeastLoadedChooser(LoadBoard board, RandomGenerator random) {
-    this.board = board;
+  public LeastLoadedChooser(UpstreamLoads board, RandomGenerator random) {
+    this.loads = board;
     this.random = random;
   }
 
@@ -31,8 +31,8 @@
   public Optional<UpstreamRecord> choose(List<UpstreamRecord> candidates, Demand demand) {
     record Scored(UpstreamRecord upstream, double score) {}
 
-    List<UpstreamRecord> preferred = board.preferred(candidates);
-    double unknown = fastestMillis(preferred);
+    List<UpstreamRecord> preferred = loads.preferred(candidates);
+    double unknown = lowestLatencyMillis(preferred);
     return preferred.stream()
         .map(each -> new Scored(each, score(each, demand, unknown)))
         .min(Comparator.comparingDouble(Scored::score))
@@ -40,21 +40,21 @@
   }
 
   /** One that was never used counts as fast as the fastest, so that it is tried. */
-  private double fastestMillis(List<UpstreamRecord> upstreams) {
+  private double lowestLatencyMillis(List<UpstreamRecord> upstreams) {
     return upstreams.stream()
-        .mapToDouble(each -> board.load(each.start()).latencyMillis())
+        .mapToDouble(each -> loads.load(each.incarnationId()).latencyMillis())
         .filter(millis -> millis > 0)
         .min()
-        .orElse(NOTHING_KNOWN_MILLIS);
+        .orElse(DEFAULT_LATENCY_MILLIS);
   }
 
   private double score(UpstreamRecord upstream, Demand demand, double unknownMillis) {
-    UpstreamLoad load = board.load(upstream.start());
+    UpstreamLoad load = loads.load(upstream.incarnationId());
     int slots = Math.max(1, upstream.slots());
-    double queue = 1 + (double) load.totalRunning() / slots;
-    double full = load.totalRunning() >= slots ? 1 + load.totalRunning() - slots : 1;
-    double zone = upstream.zone().equals(demand.zone()) ? 1 : OTHER_ZONE;
+    double queue = 1 + (double) load.totalInFlight() / slots;
+    double full = load.totalInFlight() >= slots ? 1 + load.totalInFlight() - slots : 1;
+    double zone = upstream.zone().equals(demand.preferredZone()) ? 1 : OTHER_ZONE_FACTOR;
     double noise = 1 + NOISE * random.nextDouble();
-    return load.cost(unknownMillis) * queue * full * zone * noise;
+    return load.expectedMillis(unknownMillis) * queue * full * zone * noise;
   }
 }
