--- a/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/PrefixAffinityChooser.java
@@ -20,23 +20,23 @@
    * instead of 1.4 a third fewer shared tokens are read again, and prompts start no later: while
    * stage work binds, generating upstreams have places free.
    */
-  private static final double MOST_OF_MEAN = 2.0;
+  private static final double MAX_LOAD_FACTOR = 2.0;
 
-  private static final double MOST_OF_MEMORY = 0.85;
+  private static final double MAX_MEMORY_FRACTION = 0.85;
 
   /** Bytes between zones that are worth as much as one token that is not read again. */
-  private static final long BYTES_OF_TOKEN = 4_000;
+  private static final long CROSS_ZONE_BYTES_PER_TOKEN = 4_000;
 
-  private static final Comparator<Candidate> FIRST_IN_RANK =
+  private static final Comparator<Candidate> HIGHEST_WEIGHT =
       Comparator.comparingLong(Candidate::weight).reversed();
   private static final Comparator<Candidate> LEAST_LOADED =
-      Comparator.comparingLong(Candidate::tokens);
+      Comparator.comparingLong(Candidate::usedMemoryTokens);
 
   /** An upstream with its rank for one prompt part and what is under way there. */
-  private record Candidate(UpstreamRecord upstream, long weight, long tokens) {}
+  private record Candidate(UpstreamRecord upstream, long weight, long usedMemoryTokens) {}
 
-  private final LoadBoard board;
-  private final UpstreamChooser withoutAffinity;
+  private final UpstreamLoads loads;
+  private final UpstreamChooser fallback;
   private final ToLongFunction<UpstreamRecord> memoryTokens;
 
   /**
@@ -46,49 +46,53 @@
    * @param memoryTokens tokens that an upstream has memory for, zero if not known
    */
   public PrefixAffinityChooser(
-      LoadBoard board,
+      UpstreamLoads board,
       UpstreamChooser withoutAffinity,
       ToLongFunction<UpstreamRecord> memoryTokens) {
-    this.board = board;
-    this.withoutAffinity = withoutAffinity;
+    this.loads = board;
+    this.fallback = withoutAffinity;
     this.memoryTokens = memoryTokens;
   }
 
   @Override
   public Optional<UpstreamRecord> choose(List<UpstreamRecord> candidates, Demand demand) {
-    if (demand.affinity().isEmpty() || candidates.isEmpty()) {
-      return withoutAffinity.choose(candidates, demand);
+    if (demand.affinityKey().isEmpty() || candidates.isEmpty()) {
+      return fallback.choose(candidates, demand);
     }
-    String key = demand.affinity().get();
+    String key = demand.affinityKey().get();
     List<Candidate> known =
-        inZoneIfWorth(board.preferred(candidates), demand).stream()
+        restrictToZoneIfCheaper(loads.preferred(candidates), demand).stream()
             .map(each -> candidate(each, key))
             .toList();
-    double mean = known.stream().mapToLong(Candidate::tokens).average().orElse(0);
-    double bound = (mean + demand.tokens()) * MOST_OF_MEAN;
+    double mean = known.stream().mapToLong(Candidate::usedMemoryTokens).average().orElse(0);
+    double bound = (mean + demand.memoryTokens()) * MAX_LOAD_FACTOR;
     return known.stream()
-        .filter(each -> each.tokens() + demand.tokens() <= Math.min(bound, memory(each.upstream())))
-        .min(FIRST_IN_RANK)
-        .or(() -> known.stream().min(LEAST_LOADED.thenComparing(FIRST_IN_RANK)))
+        .filter(
+            each ->
+                each.usedMemoryTokens() + demand.memoryTokens()
+                    <= Math.min(bound, usableMemory(each.upstream())))
+        .min(HIGHEST_WEIGHT)
+        .or(() -> known.stream().min(LEAST_LOADED.thenComparing(HIGHEST_WEIGHT)))
         .map(Candidate::upstream);
   }
 
   private Candidate candidate(UpstreamRecord upstream, String key) {
     long weight = RendezvousHash.weight(key, upstream.id());
-    return new Candidate(upstream, weight, board.load(upstream.start()).totalTokens());
+    return new Candidate(upstream, weight, loads.load(upstream.incarnationId()).totalMemory());
   }
 
-  private static List<UpstreamRecord> inZoneIfWorth(List<UpstreamRecord> all, Demand demand) {
-    if (demand.zoneBytes() <= demand.sharedTokens() * BYTES_OF_TOKEN) {
+  private static List<UpstreamRecord> restrictToZoneIfCheaper(
+      List<UpstreamRecord> all, Demand demand) {
+    if (demand.crossZoneBytes() <= demand.sharedPromptTokens() * CROSS_ZONE_BYTES_PER_TOKEN) {
       return all;
     }
     List<UpstreamRecord> near =
-        all.stream().filter(each -> each.zone().equals(demand.zone())).toList();
+        all.stream().filter(each -> each.zone().equals(demand.preferredZone())).toList();
     return near.isEmpty() ? all : near;
   }
 
-  private double memory(UpstreamRecord upstream) {
+  private double usableMemory(UpstreamRecord upstream) {
     long tokens = memoryTokens.applyAsLong(upstream);
-    return tokens == 0 ? Double.MAX_VALUE : tokens * MOST_OF_MEMORY;
+    return tokens == 0 ? Double.MAX_VALUE : tokens * MAX_MEMORY_FRACTION;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/RendezvousHash.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/RendezvousHash.java
@@ -12,8 +12,8 @@
  */
 public abstract class RendezvousHash {
 
-  private static final long MIX_1 = 0xff51afd7ed558ccdL;
-  private static final long MIX_2 = 0xc4ceb9fe1a85ec53L;
+  private static final long MULTIPLIER_1 = 0xff51afd7ed558ccdL;
+  private static final long MULTIPLIER_2 = 0xc4ceb9fe1a85ec53L;
 
   private RendezvousHash() {}
 
@@ -34,8 +34,8 @@
   }
 
   private static long mix(long value) {
-    long mixed = (value ^ value >>> 33) * MIX_1;
-    mixed = (mixed ^ mixed >>> 33) * MIX_2;
+    long mixed = (value ^ value >>> 33) * MULTIPLIER_1;
+    mixed = (mixed ^ mixed >>> 33) * MULTIPLIER_2;
     return mixed ^ mixed >>> 33;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoad.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/UpstreamLoad.java
@@ -7,50 +7,50 @@
 /** What the box knows of one upstream's load and health. Confined to the event loop. */
 final class UpstreamLoad {
 
-  private static final double SMOOTHING = 0.2;
-  private static final double FAILURE_COST = 4;
-  private static final int FAILURES_TO_SUSPECT = 3;
-  private static final long FIRST_PAUSE_MILLIS = 500;
-  private static final long LONGEST_PAUSE_MILLIS = 4_000;
-
-  private final Map<String, LoadShare> ofPeers = new HashMap<>();
-  private int peersRunning;
-  private long peersTokens;
-  private int running;
-  private long tokens;
+  private static final double SMOOTHING_FACTOR = 0.2;
+  private static final double FAILURE_WEIGHT = 4;
+  private static final int FAILURES_TO_AVOID = 3;
+  private static final long INITIAL_AVOIDANCE_MILLIS = 500;
+  private static final long MAX_AVOIDANCE_MILLIS = 4_000;
+
+  private final Map<String, BoxLoad> loadByPeer = new HashMap<>();
+  private int inFlightAtPeers;
+  private long memoryAtPeers;
+  private int inFlight;
+  private long memory;
   private double latencyMillis;
-  private double failureShare;
-  private int failuresInARow;
-  private long pauseMillis = FIRST_PAUSE_MILLIS;
+  private double failureRate;
+  private int consecutiveFailures;
+  private long avoidanceMillis = INITIAL_AVOIDANCE_MILLIS;
   private long avoidedUntilNanos = Long.MIN_VALUE;
-  private long heardNanos;
+  private long lastActivityNanos;
 
-  void started(long demandedTokens) {
-    running++;
-    tokens += demandedTokens;
+  void recordStart(long demandedTokens) {
+    inFlight++;
+    memory += demandedTokens;
   }
 
-  void ended(long demandedTokens) {
-    running--;
-    tokens -= demandedTokens;
+  void recordEnd(long demandedTokens) {
+    inFlight--;
+    memory -= demandedTokens;
   }
 
-  void succeeded(double millis) {
-    failuresInARow = 0;
-    pauseMillis = FIRST_PAUSE_MILLIS;
-    failureShare *= 1 - SMOOTHING;
-    latencyMillis += latencyMillis == 0 ? millis : SMOOTHING * (millis - latencyMillis);
+  void recordSuccess(double millis) {
+    consecutiveFailures = 0;
+    avoidanceMillis = INITIAL_AVOIDANCE_MILLIS;
+    failureRate *= 1 - SMOOTHING_FACTOR;
+    latencyMillis += latencyMillis == 0 ? millis : SMOOTHING_FACTOR * (millis - latencyMillis);
   }
 
   /** Counts a failure; returns whether the upstream is avoided from now on. */
-  boolean failed(boolean certain, long nowNanos) {
-    failuresInARow++;
-    failureShare += SMOOTHING * (1 - failureShare);
-    if (!certain && failuresInARow < FAILURES_TO_SUSPECT) {
+  boolean recordFailure(boolean certain, long nowNanos) {
+    consecutiveFailures++;
+    failureRate += SMOOTHING_FACTOR * (1 - failureRate);
+    if (!certain && consecutiveFailures < FAILURES_TO_AVOID) {
       return false;
     }
-    avoidFor(pauseMillis, nowNanos);
-    pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, pauseMillis * 2);
+    avoidFor(avoidanceMillis, nowNanos);
+    avoidanceMillis = Math.min(MAX_AVOIDANCE_MILLIS, avoidanceMillis * 2);
     return true;
   }
 
@@ -58,58 +58,58 @@
     avoidedUntilNanos = Math.max(avoidedUntilNanos, nowNanos + millis * 1_000_000);
   }
 
-  boolean avoided(long nowNanos) {
+  boolean isAvoided(long nowNanos) {
     return avoidedUntilNanos != Long.MIN_VALUE && nowNanos - avoidedUntilNanos < 0;
   }
 
-  void heard(long nowNanos) {
-    heardNanos = nowNanos;
+  void recordActivity(long nowNanos) {
+    lastActivityNanos = nowNanos;
   }
 
   long silentMillis(long nowNanos) {
-    return (nowNanos - heardNanos) / 1_000_000;
+    return (nowNanos - lastActivityNanos) / 1_000_000;
   }
 
-  void setShare(String box, LoadShare share) {
-    countOut(ofPeers.put(box, share));
-    peersRunning += share.running();
-    peersTokens += share.tokens();
+  void setPeerLoad(String box, BoxLoad share) {
+    subtract(loadByPeer.put(box, share));
+    inFlightAtPeers += share.inFlight();
+    memoryAtPeers += share.memory();
   }
 
-  void dropShare(String box) {
-    countOut(ofPeers.remove(box));
+  void removePeerLoad(String box) {
+    subtract(loadByPeer.remove(box));
   }
 
-  private void countOut(@Nullable LoadShare share) {
+  private void subtract(@Nullable BoxLoad share) {
     if (share != null) {
-      peersRunning -= share.running();
-      peersTokens -= share.tokens();
+      inFlightAtPeers -= share.inFlight();
+      memoryAtPeers -= share.memory();
     }
   }
 
-  LoadShare own() {
-    return new LoadShare(running, tokens);
+  BoxLoad ownLoad() {
+    return new BoxLoad(inFlight, memory);
   }
 
   /** Counts memory that is taken although no request is under way, or given back. */
-  void hold(long demandedTokens) {
-    tokens = Math.max(0, tokens + demandedTokens);
+  void adjustMemory(long demandedTokens) {
+    memory = Math.max(0, memory + demandedTokens);
   }
 
-  int peersRunning() {
-    return peersRunning;
+  int inFlightAtPeers() {
+    return inFlightAtPeers;
   }
 
-  long peersTokens() {
-    return peersTokens;
+  long memoryAtPeers() {
+    return memoryAtPeers;
   }
 
-  int totalRunning() {
-    return running + peersRunning();
+  int totalInFlight() {
+    return inFlight + inFlightAtPeers();
   }
 
-  long totalTokens() {
-    return tokens + peersTokens();
+  long totalMemory() {
+    return memory + memoryAtPeers();
   }
 
   /** Returns the usual time of a request there, zero if none was measured. */
@@ -118,8 +118,8 @@
   }
 
   /** Returns about how long a request takes there, failures counted as slowness. */
-  double cost(double unknownMillis) {
+  double expectedMillis(double unknownMillis) {
     double latency = latencyMillis == 0 ? unknownMillis : latencyMillis;
-    return latency * (1 + FAILURE_COST * failureShare);
+    return latency * (1 + FAILURE_WEIGHT * failureRate);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
@@ -13,7 +13,7 @@
  */
 public final class LoadReportReader {
 
-  private static final int AT_A_TIME = 16;
+  private static final int MAX_CONCURRENT_READS = 16;
 
   private final UpstreamDirectory upstreams;
   private final UpstreamProtocol protocol;
@@ -26,10 +26,14 @@
 
   /** Asks all upstreams; those that do not answer keep their last report. */
   public Mono<Void> readAll() {
-    return Flux.fromIterable(upstreams.all()).flatMap(this::readOne, AT_A_TIME).then();
+    return Flux.fromIterable(upstreams.all()).flatMap(this::readOne, MAX_CONCURRENT_READS).then();
   }
 
   private Mono<Void> readOne(UpstreamState state) {
-    return protocol.load(state.definition()).doOnNext(state::report).onErrorComplete().then();
+    return protocol
+        .fetchLoadReport(state.definition())
+        .doOnNext(state::applyReport)
+        .onErrorComplete()
+        .then();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/BoundedBytes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/BoundedBytes.java
@@ -8,18 +8,18 @@
 final class BoundedBytes {
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-  private final int bound;
+  private final int maxBytes;
 
   BoundedBytes(int bound) {
-    this.bound = bound;
+    this.maxBytes = bound;
   }
 
   void append(byte[] bytes) {
-    if (out.size() + bytes.length > bound) {
+    if (out.size() + bytes.length > maxBytes) {
       throw new UpstreamException(
           Verdict.MAY_HAVE_RUN,
           RefusalReason.UPSTREAM_FAILED,
-          "an answer must be at most " + bound + " bytes",
+          "an answer must be at most " + maxBytes + " bytes",
           null);
     }
     out.writeBytes(bytes);
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/HttpUpstreamProtocol.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/HttpUpstreamProtocol.java
@@ -28,12 +28,12 @@
 public final class HttpUpstreamProtocol implements UpstreamProtocol {
 
   private static final int OK = 200;
-  private static final Duration LOAD_LIMIT = Duration.ofSeconds(1);
+  private static final Duration LOAD_REPORT_TIMEOUT = Duration.ofSeconds(1);
 
   private final HttpClient client;
   private final int maxAnswerBytes;
   private final BoxMetrics metrics;
-  private final LeavingListener leaving;
+  private final LeavingListener leavingListener;
 
   /**
    * Creates the protocol.
@@ -47,7 +47,7 @@
     this.client = client;
     this.maxAnswerBytes = maxAnswerBytes;
     this.metrics = metrics;
-    this.leaving = leaving;
+    this.leavingListener = leaving;
   }
 
   @Override
@@ -55,12 +55,13 @@
     return Flux.defer(
         () -> {
           AtomicBoolean handedOver = new AtomicBoolean();
-          return send(call, handedOver).onErrorMap(e -> explain(call, handedOver.get(), e));
+          return send(call, handedOver)
+              .onErrorMap(e -> toUpstreamException(call, handedOver.get(), e));
         });
   }
 
   private Flux<UpstreamEvent> send(UpstreamCall call, AtomicBoolean handedOver) {
-    StageShape shape = StageShape.of(call.stage().kind());
+    StageMessageFormat shape = StageMessageFormat.of(call.stage().kind());
     byte[] body = encode(shape.body(call));
     return client
         .headers(headers -> addHeaders(headers, call))
@@ -72,12 +73,15 @@
   }
 
   private Flux<UpstreamEvent> receive(
-      UpstreamCall call, StageShape shape, HttpClientResponse response, ByteBufFlux content) {
+      UpstreamCall call,
+      StageMessageFormat shape,
+      HttpClientResponse response,
+      ByteBufFlux content) {
     HttpHeaders headers = response.responseHeaders();
     if (headers.contains(UpstreamHeaders.LEAVING, "true", true)) {
-      leaving.leaving(call.upstream());
+      leavingListener.onLeaving(call.upstream());
     }
-    if (!answers(call, headers)) {
+    if (!matchesCall(call, headers)) {
       metrics.droppedAnswer(call.upstream().id());
       return Flux.error(
           failure(
@@ -87,14 +91,14 @@
               null));
     }
     if (response.status().code() != OK) {
-      return Flux.error(refusedByUpstream(call, response));
+      return Flux.error(toRefusal(call, response));
     }
     return call.stage().kind().streams()
         ? CompletionStream.read(call, content)
         : readWhole(shape, content).flux();
   }
 
-  private Mono<UpstreamEvent> readWhole(StageShape shape, ByteBufFlux content) {
+  private Mono<UpstreamEvent> readWhole(StageMessageFormat shape, ByteBufFlux content) {
     return content
         .asByteArray()
         .collect(() -> new BoundedBytes(maxAnswerBytes), BoundedBytes::append)
@@ -103,19 +107,19 @@
               JsonNode answer = decode(bytes.toByteArray());
               JsonNode usage = answer.path("usage");
               return new UpstreamEvent.Answer(
-                  shape.output(answer),
+                  shape.extractOutput(answer),
                   usage.path("prompt_tokens").asLong(),
                   usage.path("completion_tokens").asLong());
             });
   }
 
   @Override
-  public Mono<LoadReport> load(UpstreamDefinition upstream) {
+  public Mono<LoadReport> fetchLoadReport(UpstreamDefinition upstream) {
     return client
         .get()
         .uri(uri(upstream, "/v1/load"))
         .responseSingle((response, content) -> content.asByteArray())
-        .timeout(LOAD_LIMIT)
+        .timeout(LOAD_REPORT_TIMEOUT)
         .map(bytes -> decode(bytes, LoadReport.class))
         .onErrorMap(
             e ->
@@ -138,14 +142,13 @@
     call.resumeAfter().ifPresent(offset -> headers.set(UpstreamHeaders.LAST_EVENT_ID, offset));
   }
 
-  private static boolean answers(UpstreamCall call, HttpHeaders headers) {
+  private static boolean matchesCall(UpstreamCall call, HttpHeaders headers) {
     return call.requestId().equals(headers.get(UpstreamHeaders.REQUEST_ID))
         && call.stage().name().equals(headers.get(UpstreamHeaders.STAGE))
         && String.valueOf(call.attempt()).equals(headers.get(UpstreamHeaders.ATTEMPT));
   }
 
-  private static UpstreamException refusedByUpstream(
-      UpstreamCall call, HttpClientResponse response) {
+  private static UpstreamException toRefusal(UpstreamCall call, HttpClientResponse response) {
     String said = response.responseHeaders().get(UpstreamHeaders.VERDICT);
     boolean trusted = call.upstream().tellsWhetherItRan();
     Verdict verdict =
@@ -154,7 +157,8 @@
     return failure(verdict, RefusalReason.UPSTREAM_FAILED, message, null);
   }
 
-  private static UpstreamException explain(UpstreamCall call, boolean handedOver, Throwable e) {
+  private static UpstreamException toUpstreamException(
+      UpstreamCall call, boolean handedOver, Throwable e) {
     if (e instanceof UpstreamException known) {
       return known;
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/LeavingListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/LeavingListener.java
@@ -11,5 +11,5 @@
 public interface LeavingListener {
 
   /** Called on an event loop; must not block. */
-  void leaving(UpstreamDefinition upstream);
+  void onLeaving(UpstreamDefinition upstream);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/StageShape.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/StageMessageFormat.java
@@ -9,83 +9,83 @@
 import org.gradeledge.configuration.StageKind;
 
 /** The HTTP path and JSON bodies of each stage kind, after the OpenAI-compatible shapes. */
-enum StageShape {
+enum StageMessageFormat {
   ENCODE("/v1/embeddings") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.set(
           "input", JsonNodeFactory.instance.arrayNode().add(call.input().path("text").asText()));
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
+    JsonNode extractOutput(JsonNode answer) {
       return object("vector", answer.path("data").path(0).path("embedding"));
     }
   },
   RETRIEVE("/v1/retrieve") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.put("query", call.input().path("text").asText());
       body.set("vector", call.input().path("vector"));
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
+    JsonNode extractOutput(JsonNode answer) {
       return object("documents", answer.path("documents"));
     }
   },
   RERANK("/v1/rerank") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.put("query", call.input().path("text").asText());
       body.set("documents", call.input().path("documents"));
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
+    JsonNode extractOutput(JsonNode answer) {
       return object("documents", answer.path("results"));
     }
   },
   GENERATE("/v1/completions") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.put("prompt", prompt(call.input()));
       body.put("max_tokens", call.stage().tokenLimit());
       body.put("stream", true);
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
+    JsonNode extractOutput(JsonNode answer) {
       return JsonNodeFactory.instance.objectNode();
     }
   },
   SERVICE("/") {
     @Override
-    void fill(ObjectNode body, UpstreamCall call) {
+    void fillBody(ObjectNode body, UpstreamCall call) {
       body.setAll((ObjectNode) call.input().deepCopy());
     }
 
     @Override
-    JsonNode output(JsonNode answer) {
+    JsonNode extractOutput(JsonNode answer) {
       return answer;
     }
   };
 
   private final String path;
 
-  StageShape(String path) {
+  StageMessageFormat(String path) {
     this.path = path;
   }
 
-  static StageShape of(StageKind kind) {
+  static StageMessageFormat of(StageKind kind) {
     return valueOf(kind.name());
   }
 
   /** Adds what the kind needs to the body of a call. */
-  abstract void fill(ObjectNode body, UpstreamCall call);
+  abstract void fillBody(ObjectNode body, UpstreamCall call);
 
   /** Returns the stage's output from the upstream's answer. */
-  abstract JsonNode output(JsonNode answer);
+  abstract JsonNode extractOutput(JsonNode answer);
 
   String path(UpstreamCall call) {
     return call.stage().path().orElse(path);
@@ -93,7 +93,7 @@
 
   ObjectNode body(UpstreamCall call) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
-    fill(body, call);
+    fillBody(body, call);
     call.stage().model().ifPresent(model -> body.put("model", model));
     call.stage().adapter().ifPresent(adapter -> body.put("adapter", adapter));
     call.stage().modelVersion().ifPresent(version -> body.put("model_version", version));
--- a/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamProtocol.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/upstream/UpstreamProtocol.java
@@ -19,5 +19,5 @@
   Flux<UpstreamEvent> call(UpstreamCall call);
 
   /** Asks an upstream for its load; fails with {@link UpstreamException}. */
-  Mono<LoadReport> load(UpstreamDefinition upstream);
+  Mono<LoadReport> fetchLoadReport(UpstreamDefinition upstream);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/verdict/RefusalException.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/verdict/RefusalException.java
@@ -7,7 +7,7 @@
 /**
  * A request that gets no result: its verdict, reason, stage and when to come back.
  *
- * <p>Immutable. Built by {@link #because(RefusalReason)}; the verdict is {@link Verdict#NOT_RUN}
+ * <p>Immutable. Built by {@link #forReason(RefusalReason)}; the verdict is {@link Verdict#NOT_RUN}
  * unless another is set.
  *
  * @since 0.1
@@ -27,13 +27,13 @@
     this.reason = builder.reason;
     this.stage = Optional.ofNullable(builder.stage);
     this.retryAfter =
-        reason.worthRetrying()
+        reason.isRetryable()
             ? Optional.of(builder.retryAfter == null ? DEFAULT_RETRY_AFTER : builder.retryAfter)
             : Optional.empty();
   }
 
   /** Starts a refusal for the given reason. */
-  public static Builder because(RefusalReason reason) {
+  public static Builder forReason(RefusalReason reason) {
     return new Builder(reason);
   }
 
@@ -58,9 +58,9 @@
   }
 
   /** Returns a copy whose verdict also covers what had run before. */
-  public RefusalException alsoCovering(Verdict earlier) {
-    return because(reason)
-        .verdict(verdict.and(earlier))
+  public RefusalException withEarlierVerdict(Verdict earlier) {
+    return forReason(reason)
+        .verdict(verdict.combine(earlier))
         .stage(stage.orElse(null))
         .detail(getMessage())
         .retryAfter(retryAfter.orElse(null))
--- a/gradeledge-core/src/main/java/org/gradeledge/verdict/RefusalReason.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/verdict/RefusalReason.java
@@ -32,11 +32,11 @@
   INTERNAL(500, false);
 
   private final int httpStatus;
-  private final boolean worthRetrying;
+  private final boolean retryable;
 
   RefusalReason(int httpStatus, boolean worthRetrying) {
     this.httpStatus = httpStatus;
-    this.worthRetrying = worthRetrying;
+    this.retryable = worthRetrying;
   }
 
   /** Returns the HTTP status that goes with this reason. */
@@ -45,8 +45,8 @@
   }
 
   /** Returns whether the same request may succeed later, so that Retry-After is given. */
-  public boolean worthRetrying() {
-    return worthRetrying;
+  public boolean isRetryable() {
+    return retryable;
   }
 
   /** Returns the name used in answers, metrics and logs. */
--- a/gradeledge-core/src/main/java/org/gradeledge/verdict/Verdict.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/verdict/Verdict.java
@@ -12,21 +12,21 @@
   /** No stage call was handed to a connection, or the upstream itself said that it did not run. */
   NOT_RUN("not-run") {
     @Override
-    public boolean allowsRepeat() {
+    public boolean allowsRetry() {
       return true;
     }
   },
   /** A stage call was handed over and its effect is not known. */
   MAY_HAVE_RUN("may-have-run") {
     @Override
-    public boolean allowsRepeat() {
+    public boolean allowsRetry() {
       return false;
     }
   },
   /** The work was done and its result is known. */
   COMPLETED("completed") {
     @Override
-    public boolean allowsRepeat() {
+    public boolean allowsRetry() {
       return false;
     }
   };
@@ -38,7 +38,7 @@
   }
 
   /** Returns whether doing the work again cannot do it twice. */
-  public abstract boolean allowsRepeat();
+  public abstract boolean allowsRetry();
 
   /** Returns the name used in answers and headers. */
   public String wireName() {
@@ -46,7 +46,7 @@
   }
 
   /** Returns the verdict for work of which this is one part and {@code other} another part. */
-  public Verdict and(Verdict other) {
+  public Verdict combine(Verdict other) {
     return compareTo(other) >= 0 ? this : other;
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
@@ -17,8 +17,8 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.selection.LoadBoard;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -32,7 +32,8 @@
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final LoadBoard board = new LoadBoard(MonotonicClock.system(), EventLogs.silent());
+  private final UpstreamLoads board =
+      new UpstreamLoads(MonotonicClock.system(), EventLogs.silent());
   private final BlockingQueue<StageGroupResult> results = new LinkedBlockingQueue<>();
   private volatile long keptMillis = 60_000;
   private final BatchCoordinator coordinator = newCoordinator(100);
@@ -46,12 +47,12 @@
   void piecesOfSeveralRequestsShareACallWhileTheUpstreamIsBusy() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.group("a", 1));
-    FakeUpstreamCaller.Call first = caller.next();
+    FakeUpstreamCaller.Call first = caller.nextCall();
     submit(StageGroups.group("b", 2));
     submit(StageGroups.group("c", 2));
 
     answer(first, "10.0.0.1:1/a0");
-    FakeUpstreamCaller.Call second = caller.next();
+    FakeUpstreamCaller.Call second = caller.nextCall();
 
     assertThat(first.body()).isEqualTo("a:0");
     assertThat(second.body()).isEqualTo("b:0 b:1 c:0 c:1");
@@ -61,8 +62,8 @@
   void aGroupEndsWithAllItsResultsInTheirOrder() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.group("a", 6));
-    answer(caller.next(), "10.0.0.1:1/0 10.0.0.1:1/1 10.0.0.1:1/2 10.0.0.1:1/3");
-    answer(caller.next(), "10.0.0.1:1/4 10.0.0.1:1/5");
+    answer(caller.nextCall(), "10.0.0.1:1/0 10.0.0.1:1/1 10.0.0.1:1/2 10.0.0.1:1/3");
+    answer(caller.nextCall(), "10.0.0.1:1/4 10.0.0.1:1/5");
 
     StageGroupResult result = results.poll(10, TimeUnit.SECONDS);
 
@@ -75,10 +76,10 @@
   void aCallThatBreaksOffIsMadeAgainByAnotherUpstream() throws Exception {
     list(upstream("u1", 1, "zone"), upstream("u2", 2, "zone"));
     submit(StageGroups.group("a", 2));
-    FakeUpstreamCaller.Call first = caller.next();
+    FakeUpstreamCaller.Call first = caller.nextCall();
     loop.submit(() -> first.fail(CallFailure.NOT_CONNECTED)).sync();
 
-    FakeUpstreamCaller.Call second = caller.next();
+    FakeUpstreamCaller.Call second = caller.nextCall();
 
     assertThat(second.target()).isNotEqualTo(first.target());
     assertThat(second.body()).isEqualTo(first.body());
@@ -89,7 +90,7 @@
     BatchCoordinator poor = newCoordinator(0);
     list(upstream("u1", 1, "zone"));
     loop.submit(() -> poor.submit(StageGroups.group("a", 1), results::add)).sync();
-    FakeUpstreamCaller.Call call = caller.next();
+    FakeUpstreamCaller.Call call = caller.nextCall();
     loop.submit(() -> call.fail(CallFailure.BROKEN)).sync();
 
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.FAILED);
@@ -99,10 +100,10 @@
   void anInputThatIsGoneEndsTheGroupAndGivesItsOtherResultsUp() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.group("a", 2));
-    answer(caller.next(), "10.0.0.1:1/0 gone");
+    answer(caller.nextCall(), "10.0.0.1:1/0 gone");
 
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.GONE);
-    FakeUpstreamCaller.Call free = caller.next();
+    FakeUpstreamCaller.Call free = caller.nextCall();
     assertThat(free.uri()).isEqualTo("/free");
     assertThat(free.body()).isEqualTo("10.0.0.1:1/0");
   }
@@ -111,52 +112,52 @@
   void noCallIsMadeBeforeThereIsRoomForItsResults() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.large("a", 1, ROOM / 2));
-    answer(caller.next(), "10.0.0.1:1/a");
+    answer(caller.nextCall(), "10.0.0.1:1/a");
     submit(StageGroups.large("b", 1, ROOM / 2));
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
-    loop.submit(() -> coordinator.free(List.of("10.0.0.1:1/a"))).sync();
-    FakeUpstreamCaller.Call free = caller.next();
-    assertThat(caller.isQuiet()).isTrue();
+    loop.submit(() -> coordinator.release(List.of("10.0.0.1:1/a"))).sync();
+    FakeUpstreamCaller.Call free = caller.nextCall();
+    assertThat(caller.hasNoCalls()).isTrue();
     answer(free, "");
 
-    assertThat(caller.next().body()).isEqualTo("b:0");
+    assertThat(caller.nextCall().body()).isEqualTo("b:0");
   }
 
   @Test
   void anUpstreamThatAnotherBoxStillCallsIsLeftAloneUntilThatEnds() throws Exception {
     list(upstream("u1", 1, "zone"));
-    peerHas("u1", new LoadShare(1, 0));
+    peerHas("u1", new BoxLoad(1, 0));
     submit(StageGroups.group("a", 1));
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
-    peerHas("u1", new LoadShare(0, 0));
+    peerHas("u1", new BoxLoad(0, 0));
     submit(StageGroups.group("b", 1));
 
-    assertThat(caller.next().body()).isEqualTo("a:0 b:0");
+    assertThat(caller.nextCall().body()).isEqualTo("a:0 b:0");
   }
 
   @Test
   void roomThatResultsOfAnotherBoxTakeCounts() throws Exception {
     list(upstream("u1", 1, "zone"), upstream("u2", 2, "zone"));
-    peerHas("u1", new LoadShare(0, ROOM / 2));
+    peerHas("u1", new BoxLoad(0, ROOM / 2));
     submit(StageGroups.large("a", 1, ROOM / 2));
 
-    assertThat(caller.next().target().id()).isEqualTo("u2");
+    assertThat(caller.nextCall().target().id()).isEqualTo("u2");
   }
 
   @Test
   void roomThatResultsTakeIsToldUntilTheyAreGivenUp() throws Exception {
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.large("a", 1, 100));
-    answer(caller.next(), "10.0.0.1:1/a");
-    assertThat(loop.submit(board::ownShares).get()).containsEntry("u1", new LoadShare(0, 100));
+    answer(caller.nextCall(), "10.0.0.1:1/a");
+    assertThat(loop.submit(board::ownLoads).get()).containsEntry("u1", new BoxLoad(0, 100));
 
-    loop.submit(() -> coordinator.free(List.of("10.0.0.1:1/a"))).sync();
-    answer(caller.next(), "");
+    loop.submit(() -> coordinator.release(List.of("10.0.0.1:1/a"))).sync();
+    answer(caller.nextCall(), "");
 
-    assertThat(loop.submit(board::ownShares).get()).isEmpty();
+    assertThat(loop.submit(board::ownLoads).get()).isEmpty();
   }
 
   @Test
@@ -164,10 +165,10 @@
     list(upstream("u1", 1, "zone"));
     keptMillis = 50;
     submit(StageGroups.large("a", 1, 100));
-    answer(caller.next(), "10.0.0.1:1/a");
+    answer(caller.nextCall(), "10.0.0.1:1/a");
     results.take();
 
-    while (!loop.submit(board::ownShares).get().isEmpty()) {
+    while (!loop.submit(board::ownLoads).get().isEmpty()) {
       loop.submit(coordinator::backlogMillis).sync();
     }
   }
@@ -176,10 +177,10 @@
   void anUpstreamThatSaysItHasNoRoomIsNotAskedAgainAtOnce() throws Exception {
     list(upstream("u1", 1, "zone"), upstream("u2", 2, "zone"));
     submit(StageGroups.large("a", 1, 100));
-    FakeUpstreamCaller.Call first = caller.next();
+    FakeUpstreamCaller.Call first = caller.nextCall();
     answer(first, "no_room");
 
-    assertThat(caller.next().target()).isNotEqualTo(first.target());
+    assertThat(caller.nextCall().target()).isNotEqualTo(first.target());
   }
 
   @Test
@@ -187,7 +188,7 @@
     list(upstream("u1", 1, "zone-1"), upstream("u2", 2, "zone-2"));
     for (int i = 0; i < 5; i++) {
       submit(StageGroups.inZone("a" + i, "zone-2", 1, 60_000));
-      FakeUpstreamCaller.Call call = caller.next();
+      FakeUpstreamCaller.Call call = caller.nextCall();
       assertThat(call.target().zone()).isEqualTo("zone-2");
       answer(call, "10.0.0.2:2/" + i);
     }
@@ -197,20 +198,20 @@
   void piecesThatWaitedLongEnoughTakeAnyZone() throws Exception {
     list(upstream("u1", 1, "zone-1"), upstream("u2", 2, "zone-2"));
     submit(StageGroups.inZone("a", "zone-2", 1, 1_500));
-    caller.next();
+    caller.nextCall();
     submit(StageGroups.inZone("b", "zone-2", 1, 1_500));
 
-    assertThat(caller.next().target().zone()).isEqualTo("zone-1");
+    assertThat(caller.nextCall().target().zone()).isEqualTo("zone-1");
   }
 
   @Test
   void piecesWithLargeInputsThatMayBeMadeAnywhereAreMadeTogether() throws Exception {
     list(upstream("u1", 1, "zone-1"), upstream("u2", 2, "zone-2"));
     submit(StageGroups.inZone("a", "", 6, 60_000));
-    FakeUpstreamCaller.Call first = caller.next();
+    FakeUpstreamCaller.Call first = caller.nextCall();
     answer(first, "10.0.0.1:1/0 10.0.0.1:1/1 10.0.0.1:1/2 10.0.0.1:1/3");
 
-    assertThat(caller.next().target()).isEqualTo(first.target());
+    assertThat(caller.nextCall().target()).isEqualTo(first.target());
   }
 
   @Test
@@ -247,8 +248,8 @@
     loop.submit(() -> upstreams.replaceAll(1, List.of(records))).sync();
   }
 
-  private void peerHas(String upstream, LoadShare share) throws InterruptedException {
-    loop.submit(() -> board.setPeerShares("peer", Map.of(upstream, share))).sync();
+  private void peerHas(String upstream, BoxLoad share) throws InterruptedException {
+    loop.submit(() -> board.setPeerLoads("peer", Map.of(upstream, share))).sync();
   }
 
   private void submit(StageGroup group) throws InterruptedException {
@@ -256,7 +257,7 @@
   }
 
   private void answer(FakeUpstreamCaller.Call call, String body) throws InterruptedException {
-    loop.submit(() -> call.answer(200, body)).sync();
+    loop.submit(() -> call.respond(200, body)).sync();
   }
 
   private static UpstreamRecord upstream(String id, int number, String zone) {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/CoordinatorFixture.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/CoordinatorFixture.java
@@ -9,18 +9,18 @@
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 
 /** What tests build a coordinator from; all services have one set of limits. */
 record CoordinatorFixture(
-    EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller, LoadBoard board) {
+    EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller, UpstreamLoads board) {
 
   private static final double MANY_RETRIES = 100;
 
   /** Creates one whose box knows of no load. */
   CoordinatorFixture(EventLoop loop, UpstreamRegistry upstreams, FakeUpstreamCaller caller) {
-    this(loop, upstreams, caller, new LoadBoard(MonotonicClock.system(), EventLogs.silent()));
+    this(loop, upstreams, caller, new UpstreamLoads(MonotonicClock.system(), EventLogs.silent()));
   }
 
   /** Returns a coordinator whose limits may change, and which may make calls again. */
@@ -35,7 +35,7 @@
         .box("box", loop, clock)
         .upstreams(upstreams, service -> limits.get())
         .calls(caller, new FakeStageProtocol())
-        .beliefs(
+        .loadAndRetries(
             board,
             new RetryBudget(clock, 0, allowance, Duration.ofSeconds(10), () -> 1),
             EventLogs.silent())
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/CrashingPiecesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/CrashingPiecesTests.java
@@ -72,7 +72,7 @@
         .sync();
 
     while (loop.submit(() -> results.size()).get() < 5) {
-      serve(caller.next());
+      serve(caller.nextCall());
     }
 
     assertThat(lost).hasSizeLessThanOrEqualTo(MOST_ENDED);
@@ -104,7 +104,7 @@
     if (pieces.stream().noneMatch(piece -> piece.startsWith(GUILTY))) {
       String handles =
           pieces.stream().map(piece -> "10.0.0.1:1/" + piece).collect(Collectors.joining(" "));
-      loop.submit(() -> call.answer(200, handles)).sync();
+      loop.submit(() -> call.respond(200, handles)).sync();
       return;
     }
     lost.add(pieces);
@@ -113,7 +113,7 @@
             () -> {
               upstreams.update(1 + lost.size(), living, List.of());
               call.fail(CallFailure.BROKEN);
-              caller.answerProbes();
+              caller.completeProbes();
             })
         .sync();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/InputsTakenTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/InputsFetchedTests.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class InputsTakenTests {
+class InputsFetchedTests {
 
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
@@ -38,15 +38,15 @@
     loop.submit(() -> upstreams.replaceAll(1, List.of(upstream))).sync();
     loop.submit(() -> coordinator.submit(withInputs(3), new Recorder())).sync();
 
-    FakeUpstreamCaller.Call first = caller.next();
-    loop.submit(first::sent).sync();
-    loop.submit(() -> first.answer(200, "10.0.0.1:1/0 10.0.0.1:1/1")).sync();
-    FakeUpstreamCaller.Call second = caller.next();
+    FakeUpstreamCaller.Call first = caller.nextCall();
+    loop.submit(first::notifySent).sync();
+    loop.submit(() -> first.respond(200, "10.0.0.1:1/0 10.0.0.1:1/1")).sync();
+    FakeUpstreamCaller.Call second = caller.nextCall();
     assertThat(heard).isEmpty();
-    loop.submit(second::sent).sync();
+    loop.submit(second::notifySent).sync();
 
     assertThat(heard.poll(10, TimeUnit.SECONDS)).isEqualTo("inputs taken");
-    loop.submit(() -> second.answer(200, "10.0.0.1:1/2")).sync();
+    loop.submit(() -> second.respond(200, "10.0.0.1:1/2")).sync();
     assertThat(heard.poll(10, TimeUnit.SECONDS)).isEqualTo("MADE");
   }
 
@@ -57,9 +57,9 @@
     loop.submit(() -> upstreams.replaceAll(1, List.of(upstream))).sync();
     loop.submit(() -> coordinator.submit(StageGroups.group("a", 1), new Recorder())).sync();
 
-    FakeUpstreamCaller.Call call = caller.next();
-    loop.submit(call::sent).sync();
-    loop.submit(() -> call.answer(200, "10.0.0.1:1/0")).sync();
+    FakeUpstreamCaller.Call call = caller.nextCall();
+    loop.submit(call::notifySent).sync();
+    loop.submit(() -> call.respond(200, "10.0.0.1:1/0")).sync();
 
     assertThat(heard).containsExactly("MADE");
   }
@@ -67,12 +67,12 @@
   private final class Recorder implements StageWorkListener {
 
     @Override
-    public void ended(StageGroupResult result) {
+    public void onEnd(StageGroupResult result) {
       heard.add(result.outcome().name());
     }
 
     @Override
-    public void inputsTaken() {
+    public void onInputsFetched() {
       heard.add("inputs taken");
     }
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
@@ -34,7 +34,7 @@
 class LeavingUpstreamTests {
 
   /** The ways in which a box learns that an upstream takes no new work. */
-  enum End {
+  enum Removal {
     SAYS_THAT_IT_LEAVES(list -> list.update(2, List.of(upstream(true)), List.of())),
     ENTRY_VANISHES(list -> list.update(2, List.of(), List.of("u1"))),
     MISSING_FROM_A_WHOLE_LIST(list -> list.replaceAll(2, List.of())),
@@ -48,7 +48,7 @@
 
     private final Consumer<UpstreamRegistry> news;
 
-    End(Consumer<UpstreamRegistry> news) {
+    Removal(Consumer<UpstreamRegistry> news) {
       this.news = news;
     }
   }
@@ -67,16 +67,16 @@
 
   @ParameterizedTest
   @EnumSource
-  void whatWaitsIsNotGivenToAnUpstreamThatHasJustEnded(End end) throws Exception {
+  void whatWaitsIsNotGivenToAnUpstreamThatHasJustEnded(Removal end) throws Exception {
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
     submit("under-way");
-    assertThat(caller.next().body()).isEqualTo("under-way:0");
+    assertThat(caller.nextCall().body()).isEqualTo("under-way:0");
     submit("waiting");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     onLoop(() -> end.news.accept(upstreams));
 
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   @Test
@@ -84,15 +84,15 @@
     UpstreamRecord other = new UpstreamRecord("u2", "service", "10.0.0.2", 2, "zone", 1, false);
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
     submit("under-way");
-    caller.next();
+    caller.nextCall();
     submit("waiting");
 
     onLoop(() -> upstreams.update(2, List.of(upstream(true), other), List.of()));
 
-    FakeUpstreamCaller.Call call = caller.next();
+    FakeUpstreamCaller.Call call = caller.nextCall();
     assertThat(call.target()).isEqualTo(other);
     assertThat(call.body()).isEqualTo("waiting:0");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   private void submit(String request) throws InterruptedException {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
@@ -16,9 +16,9 @@
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.limit.SendingRule;
+import org.gradeledge.limit.SendLimiter;
 import org.gradeledge.retry.RetryBudget;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
@@ -30,7 +30,7 @@
   private static final BatchLimits LIMITS = new BatchLimits(1, 4, 200, 10, 1_000, 60_000);
 
   /** Admits what a test says, and counts what is sent. */
-  private static final class HandMadeRule implements SendingRule {
+  private static final class ManualSendingRule implements SendLimiter {
 
     private final Map<String, Integer> left = new HashMap<>();
     private double perSecond = Double.POSITIVE_INFINITY;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void sent(UpstreamRecord upstream) {
+    public void recordSent(UpstreamRecord upstream) {
       left.computeIfPresent(upstream.id(), (id, count) -> count - 1);
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public double perSecond(UpstreamRecord upstream) {
+    public double requestsPerSecond(UpstreamRecord upstream) {
       return nothingNow.contains(upstream.id()) ? 0 : perSecond;
     }
   }
@@ -63,17 +63,17 @@
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final HandMadeRule rule = new HandMadeRule();
+  private final ManualSendingRule rule = new ManualSendingRule();
   private final BatchCoordinator coordinator =
       BatchCoordinator.builder()
           .box("box", channel.eventLoop(), clock)
           .upstreams(upstreams, service -> Optional.of(LIMITS))
           .calls(caller, new FakeStageProtocol())
-          .beliefs(
-              new LoadBoard(clock, EventLogs.silent()),
+          .loadAndRetries(
+              new UpstreamLoads(clock, EventLogs.silent()),
               new RetryBudget(clock, 0, 10, Duration.ofSeconds(10), () -> 1),
               EventLogs.silent())
-          .sending(rule)
+          .sendingRule(rule)
           .build();
 
   LimitedBatchUpstreamTests() {
@@ -87,7 +87,7 @@
 
     coordinator.submit(StageGroups.group("a", 2), result -> {});
 
-    assertThat(caller.next().target()).isEqualTo(SECOND);
+    assertThat(caller.nextCall().target()).isEqualTo(SECOND);
   }
 
   @Test
@@ -96,12 +96,12 @@
     rule.left.put(FIRST.id(), 0);
     coordinator.submit(StageGroups.group("a", 2), result -> {});
     pass(300);
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     rule.left.put(FIRST.id(), 1);
     pass(50);
 
-    assertThat(caller.next().target()).isEqualTo(FIRST);
+    assertThat(caller.nextCall().target()).isEqualTo(FIRST);
     assertThat(rule.left).containsEntry(FIRST.id(), 0);
   }
 
@@ -109,17 +109,17 @@
   void releasesWaitAndGoTogether() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST));
     rule.left.put(FIRST.id(), 0);
-    coordinator.free(List.of("10.0.0.1:1/x"));
+    coordinator.release(List.of("10.0.0.1:1/x"));
     pass(150);
-    coordinator.free(List.of("10.0.0.1:1/y"));
+    coordinator.release(List.of("10.0.0.1:1/y"));
     pass(150);
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     rule.left.put(FIRST.id(), 1);
     pass(150);
 
-    assertThat(caller.next().body().split(" ")).containsExactly("10.0.0.1:1/x", "10.0.0.1:1/y");
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.nextCall().body().split(" ")).containsExactly("10.0.0.1:1/x", "10.0.0.1:1/y");
+    assertThat(caller.hasNoCalls()).isTrue();
     assertThat(rule.left).containsEntry(FIRST.id(), 0);
   }
 
@@ -128,13 +128,13 @@
   void releasesToOthersDoNotWaitForOneThatTakesNoneNow() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
     rule.left.put(FIRST.id(), 0);
-    coordinator.free(List.of("10.0.0.1:1/x"));
+    coordinator.release(List.of("10.0.0.1:1/x"));
     pass(20);
 
-    coordinator.free(List.of("10.0.0.1:2/y"));
+    coordinator.release(List.of("10.0.0.1:2/y"));
     pass(10);
 
-    assertThat(caller.next().target()).isEqualTo(SECOND);
+    assertThat(caller.nextCall().target()).isEqualTo(SECOND);
   }
 
   // Guards against releases that gather without end for one that takes none for a long time.
@@ -143,13 +143,13 @@
     upstreams.replaceAll(1, List.of(FIRST));
     rule.left.put(FIRST.id(), 0);
     rule.wait = 60_000;
-    coordinator.free(List.of("10.0.0.1:1/x"));
+    coordinator.release(List.of("10.0.0.1:1/x"));
     pass(150);
 
     rule.left.put(FIRST.id(), 1);
     pass(150);
 
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/RemovedServiceTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/RemovedServiceTests.java
@@ -41,14 +41,14 @@
     UpstreamRecord upstream = new UpstreamRecord("u1", "service", "10.0.0.1", 1, "zone", 1, false);
     loop.submit(() -> upstreams.replaceAll(1, List.of(upstream))).sync();
     submit("a");
-    FakeUpstreamCaller.Call call = caller.next();
+    FakeUpstreamCaller.Call call = caller.nextCall();
 
     limits = Optional.empty();
-    loop.submit(() -> call.answer(503, "")).sync();
+    loop.submit(() -> call.respond(503, "")).sync();
     limits = before;
     submit("b");
 
-    assertThat(caller.next().body()).isEqualTo("a:0 b:0");
+    assertThat(caller.nextCall().body()).isEqualTo("a:0 b:0");
   }
 
   @Test
@@ -57,10 +57,10 @@
     loop.submit(() -> upstreams.replaceAll(1, List.of(upstream))).sync();
     BlockingQueue<StageGroupResult> results = new LinkedBlockingQueue<>();
     loop.submit(() -> coordinator.submit(StageGroups.group("a", 1), results::add)).sync();
-    FakeUpstreamCaller.Call call = caller.next();
+    FakeUpstreamCaller.Call call = caller.nextCall();
 
     limits = Optional.empty();
-    loop.submit(() -> call.answer(200, "10.0.0.1:1/a")).sync();
+    loop.submit(() -> call.respond(200, "10.0.0.1:1/a")).sync();
 
     assertThat(results.take().handles()).containsExactly("10.0.0.1:1/a");
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/RestartedMakerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/RestartedBatchUpstreamTests.java
@@ -20,7 +20,7 @@
 
 /** An upstream that makes results starts again under its id, at its address, and holds nothing. */
 @Timeout(30)
-class RestartedMakerTests {
+class RestartedBatchUpstreamTests {
 
   private static final long ROOM = 1_000;
 
@@ -41,15 +41,15 @@
   void resultsOfTheStartBeforeTakeNoRoomOfTheNext() throws Exception {
     onLoop(() -> upstreams.replaceAll(1, List.of(start(1))));
     submit("a");
-    answer(caller.next(), "10.0.0.1:1/a");
+    answer(caller.nextCall(), "10.0.0.1:1/a");
     submit("waits-for-room");
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
-    assertThat(caller.isQuiet()).isTrue();
+    assertThat(caller.hasNoCalls()).isTrue();
 
     onLoop(() -> upstreams.update(2, List.of(start(2)), List.of()));
 
-    FakeUpstreamCaller.Call call = caller.next();
-    assertThat(call.target().born()).isEqualTo(2);
+    FakeUpstreamCaller.Call call = caller.nextCall();
+    assertThat(call.target().startedAtMillis()).isEqualTo(2);
     assertThat(call.body()).isEqualTo("waits-for-room:0");
   }
 
@@ -57,16 +57,16 @@
   void theNextStartIsNotAskedToGiveUpResultsOfTheOneBefore() throws Exception {
     onLoop(() -> upstreams.replaceAll(1, List.of(start(1))));
     submit("a");
-    answer(caller.next(), "10.0.0.1:1/a");
+    answer(caller.nextCall(), "10.0.0.1:1/a");
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
     onLoop(() -> upstreams.update(2, List.of(start(2)), List.of()));
     submit("b");
-    answer(caller.next(), "10.0.0.1:1/b");
+    answer(caller.nextCall(), "10.0.0.1:1/b");
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
 
-    onLoop(() -> coordinator.free(List.of("10.0.0.1:1/a", "10.0.0.1:1/b")));
+    onLoop(() -> coordinator.release(List.of("10.0.0.1:1/a", "10.0.0.1:1/b")));
 
-    assertThat(caller.next().body()).isEqualTo("10.0.0.1:1/b");
+    assertThat(caller.nextCall().body()).isEqualTo("10.0.0.1:1/b");
   }
 
   private void submit(String request) throws InterruptedException {
@@ -74,7 +74,7 @@
   }
 
   private void answer(FakeUpstreamCaller.Call call, String body) throws InterruptedException {
-    onLoop(() -> call.answer(200, body));
+    onLoop(() -> call.respond(200, body));
   }
 
   private void onLoop(Runnable action) throws InterruptedException {
--- a/gradeledge-core/src/test/java/org/gradeledge/connection/FakeUpstreamCaller.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/connection/FakeUpstreamCaller.java
@@ -18,7 +18,7 @@
 public final class FakeUpstreamCaller implements UpstreamCaller {
 
   /** A call as it was made. */
-  public static final class Call implements UpstreamCall {
+  public static final class Call implements CancellableCall {
 
     private final UpstreamRecord target;
     private final OutgoingRequest request;
@@ -47,17 +47,17 @@
     }
 
     /** Returns whether it was given up. */
-    public boolean cancelled() {
+    public boolean isCancelled() {
       return cancelled;
     }
 
     /** Says that it was handed to an open connection; must be called on the event loop. */
-    public void sent() {
+    public void notifySent() {
       listener.onSent();
     }
 
     /** Answers it; must be called on the event loop. */
-    public void answer(int status, String body) {
+    public void respond(int status, String body) {
       listener.onHead(status, new DefaultHttpHeaders());
       listener.onContent(Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
       listener.onComplete();
@@ -75,12 +75,13 @@
   }
 
   private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
-  private final Map<String, UpstreamProof> proofs = new ConcurrentHashMap<>();
-  private final Queue<Runnable> waitingProofs = new ConcurrentLinkedQueue<>();
+  private final Map<String, LivenessResult> probeResults = new ConcurrentHashMap<>();
+  private final Queue<Runnable> pendingProbes = new ConcurrentLinkedQueue<>();
   private final Collection<UpstreamRecord> probed = new ConcurrentLinkedQueue<>();
 
   @Override
-  public UpstreamCall call(UpstreamRecord target, OutgoingRequest request, CallListener listener) {
+  public CancellableCall call(
+      UpstreamRecord target, OutgoingRequest request, CallListener listener) {
     Call call = new Call(target, request, listener);
     calls.add(call);
     return call;
@@ -88,36 +89,37 @@
 
   /** Does nothing, as there are no connections. */
   @Override
-  public void forget(UpstreamRecord target) {}
+  public void discardConnections(UpstreamRecord target) {}
 
   /** Does nothing, as there are no connections. */
   @Override
-  public void end(UpstreamRecord target) {}
+  public void retire(UpstreamRecord target) {}
 
   /** Does nothing, as there are no connections. */
   @Override
-  public void holdOff(UpstreamRecord target) {}
+  public void backOff(UpstreamRecord target) {}
 
   /** Does nothing, as there are no connections. */
   @Override
-  public void breakOff(UpstreamRecord target) {}
+  public void abort(UpstreamRecord target) {}
 
   /** Answers with what the test has set for the upstream; refused where it set nothing. */
   @Override
-  public void probe(UpstreamRecord target, Consumer<UpstreamProof> listener) {
+  public void probe(UpstreamRecord target, Consumer<LivenessResult> listener) {
     probed.add(target);
-    UpstreamProof proof = proofs.getOrDefault(target.start(), UpstreamProof.REFUSED);
-    waitingProofs.add(() -> listener.accept(proof));
+    LivenessResult proof =
+        probeResults.getOrDefault(target.incarnationId(), LivenessResult.REFUSED);
+    pendingProbes.add(() -> listener.accept(proof));
   }
 
   /** Sets what a probe of an upstream shows. */
-  public void setProof(UpstreamRecord target, UpstreamProof proof) {
-    proofs.put(target.start(), proof);
+  public void setProbeResult(UpstreamRecord target, LivenessResult proof) {
+    probeResults.put(target.incarnationId(), proof);
   }
 
   /** Answers all probes; must be called on the event loop. */
-  public void answerProbes() {
-    for (Runnable proof = waitingProofs.poll(); proof != null; proof = waitingProofs.poll()) {
+  public void completeProbes() {
+    for (Runnable proof = pendingProbes.poll(); proof != null; proof = pendingProbes.poll()) {
       proof.run();
     }
   }
@@ -128,7 +130,7 @@
   }
 
   /** Returns the next call, waiting for it. */
-  public Call next() throws InterruptedException {
+  public Call nextCall() throws InterruptedException {
     Call call = calls.poll(10, TimeUnit.SECONDS);
     if (call == null) {
       throw new AssertionError("no call was made");
@@ -137,7 +139,7 @@
   }
 
   /** Returns whether no call is waiting to be looked at. */
-  public boolean isQuiet() {
+  public boolean hasNoCalls() {
     return calls.isEmpty();
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/connection/PooledUpstreamCallerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/connection/PooledUpstreamCallerTests.java
@@ -81,7 +81,7 @@
   void connectionsThatWereOpenWhenOneWentSilentAreNotUsedAgain() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
 
-    loop.submit(() -> caller.forget(upstream())).get();
+    loop.submit(() -> caller.discardConnections(upstream())).get();
 
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     assertThat(connections).hasSize(2);
@@ -101,7 +101,7 @@
   @Test
   void whereTimeMayHavePassedUnheardRestingConnectionsAreClosed() throws Exception {
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
-    loop.submit(caller::closeResting).sync();
+    loop.submit(caller::closeIdle).sync();
 
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
     assertThat(call("/a", ConnectionReuse.ANY)).isEqualTo("ok");
@@ -150,7 +150,7 @@
     loop.submit(
             () -> {
               caller.call(upstream(), request("/late", ConnectionReuse.ANY), new Recorder());
-              caller.end(upstream());
+              caller.retire(upstream());
             })
         .sync();
 
@@ -165,7 +165,7 @@
     loop.submit(
             () -> {
               caller.call(upstream(), request("/late", ConnectionReuse.ANY), new Recorder());
-              caller.holdOff(upstream());
+              caller.backOff(upstream());
             })
         .sync();
 
@@ -179,7 +179,7 @@
     start("/never", ConnectionReuse.ANY);
     assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("/never");
 
-    loop.submit(() -> caller.end(upstream())).sync();
+    loop.submit(() -> caller.retire(upstream())).sync();
 
     assertThat(call("/next", ConnectionReuse.ANY)).isEqualTo("ok");
     assertThat(outcomes).isEmpty();
@@ -190,7 +190,7 @@
     start("/never", ConnectionReuse.ANY);
     assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("/never");
 
-    loop.submit(() -> caller.breakOff(upstream())).sync();
+    loop.submit(() -> caller.abort(upstream())).sync();
 
     assertThat(outcomes.poll(20, TimeUnit.SECONDS)).isEqualTo(CallFailure.BROKEN.name());
     assertThat(call("/next", ConnectionReuse.ANY)).isEqualTo("ok");
@@ -199,9 +199,9 @@
   @Test
   void tellsOfAnswersAfterWhichTheUpstreamClosesItsConnection() throws Exception {
     BlockingQueue<String> closing = new LinkedBlockingQueue<>();
-    caller.onAnswer(
+    caller.onResponse(
         (upstream, head) -> {
-          if (head.closes()) {
+          if (head.closesConnection()) {
             closing.add(upstream.id());
           }
         });
@@ -214,16 +214,16 @@
 
   @Test
   void aNewConnectionShowsWhetherAnUpstreamIsThere() throws Exception {
-    assertThat(probe()).isEqualTo(UpstreamProof.THERE);
+    assertThat(probe()).isEqualTo(LivenessResult.THERE);
 
     server.disposeNow();
 
-    assertThat(probe()).isEqualTo(UpstreamProof.REFUSED);
+    assertThat(probe()).isEqualTo(LivenessResult.REFUSED);
     assertThat(received).isEmpty();
   }
 
-  private UpstreamProof probe() throws InterruptedException {
-    BlockingQueue<UpstreamProof> heard = new LinkedBlockingQueue<>();
+  private LivenessResult probe() throws InterruptedException {
+    BlockingQueue<LivenessResult> heard = new LinkedBlockingQueue<>();
     loop.submit(() -> caller.probe(upstream(), heard::add)).sync();
     return heard.poll(20, TimeUnit.SECONDS);
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/AnnouncedLeavingTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/AnnouncedLeavingTests.java
@@ -20,35 +20,35 @@
   private final List<String> ended = new ArrayList<>();
 
   AnnouncedLeavingTests() {
-    registry.onEnd(upstream -> ended.add(upstream.start()));
+    registry.onRetired(upstream -> ended.add(upstream.incarnationId()));
     registry.replaceAll(1, List.of(start(10), other()));
   }
 
   @Test
   void itTakesNoNewWorkAndListenersHearOnce() {
-    registry.announcesLeaving(start(10));
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
+    registry.recordLeavingAnnouncement(start(10));
 
     assertThat(registry.usable("service")).containsExactly(other());
     assertThat(registry.isUsable(start(10))).isFalse();
     assertThat(registry.hasLeft(start(10))).isTrue();
-    assertThat(ended).containsExactly(start(10).start());
-    assertThat(registry.leavingAsTheySaid()).containsExactly(start(10).start());
+    assertThat(ended).containsExactly(start(10).incarnationId());
+    assertThat(registry.announcedLeaving()).containsExactly(start(10).incarnationId());
   }
 
   @Test
   void whoeverHearsOfItFindsItOutOfUse() {
     List<UpstreamRecord> found = new ArrayList<>();
-    registry.onEnd(upstream -> found.addAll(registry.usable("service")));
+    registry.onRetired(upstream -> found.addAll(registry.usable("service")));
 
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
 
     assertThat(found).containsExactly(other());
   }
 
   @Test
   void aListThatStillSaysReadyChangesNothing() {
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
 
     registry.update(2, List.of(start(10)), List.of());
     registry.replaceAll(3, List.of(start(10), other()));
@@ -58,7 +58,7 @@
 
   @Test
   void anEntryThatLapsedAndCameBackChangesNothing() {
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
     registry.distrustRemovals();
     registry.update(2, List.of(), List.of("id"));
     registry.trustRemovals();
@@ -70,9 +70,9 @@
 
   @Test
   void anOlderCopyOfTheListChangesNothing() {
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
     registry.distrustRemovals();
-    registry.distrustReturns();
+    registry.distrustReappearedEntries();
     registry.replaceAll(2, List.of(start(10), other()));
     registry.trustRemovals();
 
@@ -81,7 +81,7 @@
 
   @Test
   void theNextStartUnderItsIdIsUsed() {
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
 
     registry.update(2, List.of(start(20)), List.of());
 
@@ -92,32 +92,38 @@
   void theWordOfAnEarlierStartIsNotThatOfTheNext() {
     registry.update(2, List.of(start(20)), List.of());
 
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
 
     assertThat(registry.usable("service")).contains(start(20));
-    assertThat(registry.leavingAsTheySaid()).isEmpty();
+    assertThat(registry.announcedLeaving()).isEmpty();
   }
 
   @Test
   void itIsStillFoundAtItsAddressUntilItsEntryGoes() {
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
 
     assertThat(registry.atAddress(start(10).address())).isPresent();
   }
 
   @Test
   void whatItSaidToAnotherBoxCountsTheSameAndIsNotHandedOnAsHeardHere() {
-    assertThat(registry.toldLeaving("box", List.of(start(10).start(), "unknown"))).isTrue();
-    assertThat(registry.toldLeaving("box", List.of(start(10).start(), "unknown"))).isFalse();
+    assertThat(
+            registry.applyPeerLeavingAnnouncements(
+                "box", List.of(start(10).incarnationId(), "unknown")))
+        .isTrue();
+    assertThat(
+            registry.applyPeerLeavingAnnouncements(
+                "box", List.of(start(10).incarnationId(), "unknown")))
+        .isFalse();
 
     assertThat(registry.usable("service")).containsExactly(other());
-    assertThat(ended).containsExactly(start(10).start());
-    assertThat(registry.leavingAsTheySaid()).isEmpty();
+    assertThat(ended).containsExactly(start(10).incarnationId());
+    assertThat(registry.announcedLeaving()).isEmpty();
   }
 
   @Test
   void whatWasToldOfOneThatIsNotListedYetCountsOnceItIs() {
-    registry.toldLeaving("box", List.of(start(20).start()));
+    registry.applyPeerLeavingAnnouncements("box", List.of(start(20).incarnationId()));
 
     registry.update(2, List.of(start(20)), List.of());
 
@@ -126,11 +132,11 @@
 
   @Test
   void onceTheListSaysItItIsNotToldAnyMore() {
-    registry.announcesLeaving(start(10));
+    registry.recordLeavingAnnouncement(start(10));
     registry.update(2, List.of(start(10).asLeaving()), List.of());
 
-    assertThat(registry.leavingAsTheySaid()).isEmpty();
-    assertThat(ended).containsExactly(start(10).start());
+    assertThat(registry.announcedLeaving()).isEmpty();
+    assertThat(ended).containsExactly(start(10).incarnationId());
   }
 
   /**
@@ -153,7 +159,7 @@
       revision++;
       switch (step) {
         case 0 -> {
-          told.announcesLeaving(start(born));
+          told.recordLeavingAnnouncement(start(born));
           left.add(born);
         }
         case 1 -> {
@@ -177,7 +183,7 @@
           olderCopy = false;
         }
         case 5 -> {
-          told.distrustReturns();
+          told.distrustReappearedEntries();
           olderCopy = true;
         }
         case 6 -> {
@@ -186,13 +192,14 @@
           listed = true;
           removed = false;
         }
-        default -> told.announcesLeaving(start(born - 1));
+        default -> told.recordLeavingAnnouncement(start(born - 1));
       }
       if (listed) {
         assertThat(told.isUsable(start(born))).isEqualTo(!left.contains(born));
       }
       assertThat(told.usable("service"))
-          .noneMatch(upstream -> upstream.id().equals("id") && left.contains(upstream.born()))
+          .noneMatch(
+              upstream -> upstream.id().equals("id") && left.contains(upstream.startedAtMillis()))
           .contains(other());
     }
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/RestartedUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/RestartedUpstreamTests.java
@@ -22,8 +22,8 @@
   private final List<String> replaced = new ArrayList<>();
 
   RestartedUpstreamTests() {
-    registry.onEnd(upstream -> ended.add(upstream.start()));
-    registry.onReplaced(upstream -> replaced.add(upstream.start()));
+    registry.onRetired(upstream -> ended.add(upstream.incarnationId()));
+    registry.onReplaced(upstream -> replaced.add(upstream.incarnationId()));
   }
 
   @Test
@@ -35,7 +35,7 @@
     registry.update(4, List.of(start(20, false)), List.of());
 
     assertThat(registry.usable("service")).containsExactly(start(20, false));
-    assertThat(ended).containsExactly(start(10, false).start());
+    assertThat(ended).containsExactly(start(10, false).incarnationId());
   }
 
   @Test
@@ -46,8 +46,8 @@
 
     assertThat(registry.usable("service")).containsExactly(start(20, false));
     assertThat(registry.isUsable(start(10, false))).isFalse();
-    assertThat(ended).containsExactly(start(10, false).start());
-    assertThat(replaced).containsExactly(start(10, false).start());
+    assertThat(ended).containsExactly(start(10, false).incarnationId());
+    assertThat(replaced).containsExactly(start(10, false).incarnationId());
   }
 
   @Test
@@ -56,7 +56,7 @@
 
     registry.update(2, List.of(start(10, true)), List.of());
     registry.markGone(start(10, false));
-    registry.closesConnections(start(10, false));
+    registry.recordConnectionClose(start(10, false));
 
     assertThat(registry.usable("service")).containsExactly(start(20, false));
     assertThat(ended).isEmpty();
@@ -79,7 +79,7 @@
     registry.update(2, List.of(), List.of("id"));
     registry.update(3, List.of(start(20, false)), List.of());
 
-    registry.closesConnections(start(10, false));
+    registry.recordConnectionClose(start(10, false));
     registry.trustRemovals();
 
     assertThat(registry.usable("service")).containsExactly(start(20, false));
@@ -94,14 +94,18 @@
       told.update(i, List.of(reports.get(i)), List.of());
     }
 
-    long newest = reports.stream().mapToLong(UpstreamRecord::born).max().orElseThrow();
-    boolean left = reports.stream().anyMatch(report -> report.born() == newest && report.leaving());
+    long newest = reports.stream().mapToLong(UpstreamRecord::startedAtMillis).max().orElseThrow();
+    boolean left =
+        reports.stream().anyMatch(report -> report.startedAtMillis() == newest && report.leaving());
     assertThat(told.usable("service")).hasSize(left ? 0 : 1);
-    assertThat(told.usable("service")).allMatch(upstream -> upstream.born() == newest);
+    assertThat(told.usable("service")).allMatch(upstream -> upstream.startedAtMillis() == newest);
     assertThat(told.all())
-        .extracting(UpstreamRecord::born)
+        .extracting(UpstreamRecord::startedAtMillis)
         .containsExactly(
-            reports.stream().max(Comparator.comparing(UpstreamRecord::born)).get().born());
+            reports.stream()
+                .max(Comparator.comparing(UpstreamRecord::startedAtMillis))
+                .get()
+                .startedAtMillis());
   }
 
   private static UpstreamRecord report(int number) {
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/UpstreamRecordTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/UpstreamRecordTests.java
@@ -38,8 +38,8 @@
     UpstreamRecord first = new UpstreamRecord("id", 7, "s", "10.0.0.1", 1, "z", 2, false, 0);
     UpstreamRecord second = new UpstreamRecord("id", 8, "s", "10.0.0.1", 1, "z", 2, false, 0);
 
-    assertThat(first.start()).isNotEqualTo(second.start());
-    assertThat(UPSTREAM.start()).isEqualTo("id");
+    assertThat(first.incarnationId()).isNotEqualTo(second.incarnationId());
+    assertThat(UPSTREAM.incarnationId()).isEqualTo("id");
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/UpstreamRegistryTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/UpstreamRegistryTests.java
@@ -14,7 +14,7 @@
   @Test
   void aLeavingUpstreamTakesNoNewWorkAndAnOlderReportDoesNotUndoThat() {
     List<String> ended = new ArrayList<>();
-    registry.onEnd(upstream -> ended.add(upstream.id()));
+    registry.onRetired(upstream -> ended.add(upstream.id()));
     registry.replaceAll(1, List.of(upstream("a", false), upstream("b", false)));
 
     registry.update(2, List.of(upstream("a", true)), List.of());
@@ -28,11 +28,11 @@
   @Test
   void aListenerThatFailsKeepsNoOtherFromHearing() {
     List<String> ended = new ArrayList<>();
-    registry.onEnd(
+    registry.onRetired(
         upstream -> {
           throw new IllegalStateException("a listener that fails");
         });
-    registry.onEnd(upstream -> ended.add(upstream.id()));
+    registry.onRetired(upstream -> ended.add(upstream.id()));
     registry.replaceAll(1, List.of(upstream("a", false), upstream("b", false)));
 
     registry.replaceAll(2, List.of());
@@ -69,7 +69,7 @@
   @Test
   void anEntryThatLapsedAndIsBackInTimeIsNeverGone() {
     List<String> ended = new ArrayList<>();
-    registry.onEnd(upstream -> ended.add(upstream.id()));
+    registry.onRetired(upstream -> ended.add(upstream.id()));
     registry.replaceAll(1, List.of(upstream("a", false)));
     registry.distrustRemovals();
     registry.update(4, List.of(), List.of("a"));
@@ -99,8 +99,8 @@
     registry.distrustRemovals();
     registry.update(2, List.of(), List.of("a"));
 
-    registry.closesConnections(upstream("a", false));
-    registry.closesConnections(upstream("b", false));
+    registry.recordConnectionClose(upstream("a", false));
+    registry.recordConnectionClose(upstream("b", false));
     assertThat(registry.usable("service")).extracting(UpstreamRecord::id).containsExactly("b");
 
     registry.update(3, List.of(upstream("a", false)), List.of());
@@ -110,7 +110,7 @@
   @Test
   void whoeverHearsOfAnEndFindsTheUpstreamOutOfTheChoice() {
     List<Integer> left = new ArrayList<>();
-    registry.onEnd(upstream -> left.add(registry.usable("service").size()));
+    registry.onRetired(upstream -> left.add(registry.usable("service").size()));
     registry.replaceAll(1, List.of(upstream("a", false), upstream("b", false)));
 
     registry.update(2, List.of(upstream("a", true)), List.of());
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/ZoneEvacuationsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/ZoneEvacuationsTests.java
@@ -26,9 +26,9 @@
   @Test
   void upstreamsOfAnEvacuatedZoneTakeNoNewWorkAndAreNotGone() {
     List<String> ended = new ArrayList<>();
-    registry.onEnd(upstream -> ended.add(upstream.id()));
+    registry.onRetired(upstream -> ended.add(upstream.id()));
 
-    assertThat(registry.evacuate(new ZoneEvacuations(5, Set.of("east")))).isTrue();
+    assertThat(registry.applyEvacuations(new ZoneEvacuations(5, Set.of("east")))).isTrue();
 
     assertThat(registry.usable("service")).extracting(UpstreamRecord::id).containsExactly("b");
     assertThat(registry.isUsable(upstream("a", "east"))).isFalse();
@@ -38,7 +38,7 @@
 
   @Test
   void anUpstreamThatStartsInAnEvacuatedZoneTakesNoWork() {
-    registry.evacuate(new ZoneEvacuations(5, Set.of("east")));
+    registry.applyEvacuations(new ZoneEvacuations(5, Set.of("east")));
 
     registry.update(2, List.of(upstream("c", "east")), List.of());
 
@@ -47,7 +47,7 @@
 
   @Test
   void bothZonesEvacuatedLeaveNoUpstream() {
-    registry.evacuate(new ZoneEvacuations(5, Set.of("east", "west")));
+    registry.applyEvacuations(new ZoneEvacuations(5, Set.of("east", "west")));
 
     assertThat(registry.usable("service")).isEmpty();
   }
@@ -59,9 +59,9 @@
     registry.onRestored(restored::add);
     registry.onZonesChanged(() -> looks.add("look"));
 
-    registry.evacuate(new ZoneEvacuations(5, Set.of("east", "west")));
-    registry.evacuate(new ZoneEvacuations(6, Set.of("east", "west")));
-    registry.evacuate(new ZoneEvacuations(7, Set.of("east")));
+    registry.applyEvacuations(new ZoneEvacuations(5, Set.of("east", "west")));
+    registry.applyEvacuations(new ZoneEvacuations(6, Set.of("east", "west")));
+    registry.applyEvacuations(new ZoneEvacuations(7, Set.of("east")));
 
     assertThat(restored).containsExactly(Set.of("west"));
     assertThat(looks).hasSize(2);
@@ -73,7 +73,7 @@
       @ForAll @Size(min = 1, max = 12) List<@IntRange(max = 30) Integer> revisions) {
     UpstreamRegistry told = new UpstreamRegistry(EventLogs.silent());
     told.replaceAll(1, List.of(upstream("a", "east"), upstream("b", "west")));
-    revisions.forEach(revision -> told.evacuate(orderAt(revision)));
+    revisions.forEach(revision -> told.applyEvacuations(orderAt(revision)));
 
     int newest = revisions.stream().max(Comparator.naturalOrder()).orElseThrow();
     assertThat(told.evacuations()).isEqualTo(orderAt(newest));
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/BackoffModel.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/BackoffSimulation.java
@@ -14,10 +14,10 @@
  * Boxes that want to send to one upstream, which turns a part of the requests away, or all beyond
  * what it bears, and asks for some seconds without any each time. In virtual time.
  */
-final class BackoffModel {
+final class BackoffSimulation {
 
   /** How boxes heed what an upstream asks for. */
-  enum Way {
+  enum Strategy {
     /** Each box keeps away for as long as it was asked itself, and returns slowly. */
     ALONE,
     /** All boxes keep away once one was asked. */
@@ -28,24 +28,24 @@
 
   private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("u", "service", "127.0.0.1", 1, "zone", 8, false);
-  private static final double MILLIS_OF_SECOND = 1e3;
+  private static final double MILLIS_PER_SECOND = 1e3;
 
   /** Part of what the upstream bears in a second that may come at once after a rest. */
-  private static final double BORNE_AT_ONCE = 0.25;
+  private static final double INITIAL_CAPACITY_FRACTION = 0.25;
 
-  private final Way way;
-  private final Duration asked;
+  private final Strategy strategy;
+  private final Duration backoff;
   private final Random random;
   private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(this.nowMillis);
   private final List<UpstreamBackoffs> boxes = new ArrayList<>();
   private long nowMillis = 1_000_000;
-  private double borne;
+  private double capacity;
   private int served;
-  private int turnedAway;
+  private int rejected;
 
-  BackoffModel(Way way, int boxCount, Duration asked, long seed) {
-    this.way = way;
-    this.asked = asked;
+  BackoffSimulation(Strategy way, int boxCount, Duration asked, long seed) {
+    this.strategy = way;
+    this.backoff = asked;
     this.random = new Random(seed);
     for (int box = 0; box < boxCount; box++) {
       boxes.add(new UpstreamBackoffs(clock, EventLogs.silent()));
@@ -56,16 +56,16 @@
     return served;
   }
 
-  int turnedAway() {
-    return turnedAway;
+  int rejected() {
+    return rejected;
   }
 
   /** Each box wants to send so often; a part of what comes is turned away. */
-  void playPart(Duration length, double wantedPerSecond, double partTurnedAway) {
+  void runWithRejections(Duration length, double wantedPerSecond, double partTurnedAway) {
     for (long millis = 0; millis < length.toMillis(); millis++) {
       nowMillis++;
       for (UpstreamBackoffs box : boxes) {
-        if (random.nextDouble() < wantedPerSecond / MILLIS_OF_SECOND && box.admits(UPSTREAM)) {
+        if (random.nextDouble() < wantedPerSecond / MILLIS_PER_SECOND && box.admits(UPSTREAM)) {
           send(box, random.nextDouble() >= partTurnedAway);
         }
       }
@@ -73,20 +73,20 @@
   }
 
   /** So many requests wait at each box when the time is over; it bears so many a second. */
-  void playReturn(Duration length, int waitingAtEach, double bornePerSecond) {
-    boxes.forEach(box -> box.answered(UPSTREAM, BackoffStatement.requested(asked)));
-    nowMillis += asked.toMillis();
+  void runAfterBackoff(Duration length, int waitingAtEach, double bornePerSecond) {
+    boxes.forEach(box -> box.onAnswer(UPSTREAM, BackoffAnnouncement.requested(backoff)));
+    nowMillis += backoff.toMillis();
     int[] waiting = new int[boxes.size()];
     Arrays.fill(waiting, waitingAtEach);
-    borne = bornePerSecond * BORNE_AT_ONCE;
+    capacity = bornePerSecond * INITIAL_CAPACITY_FRACTION;
     for (long millis = 0; millis < length.toMillis(); millis++) {
       nowMillis++;
-      borne = Math.min(bornePerSecond, borne + bornePerSecond / MILLIS_OF_SECOND);
+      capacity = Math.min(bornePerSecond, capacity + bornePerSecond / MILLIS_PER_SECOND);
       for (int box = 0; box < waiting.length; box++) {
         while (waiting[box] > 0 && admits(boxes.get(box), millis)) {
           waiting[box]--;
-          boolean runs = borne >= 1;
-          borne -= runs ? 1 : 0;
+          boolean runs = capacity >= 1;
+          capacity -= runs ? 1 : 0;
           send(boxes.get(box), runs);
         }
       }
@@ -94,16 +94,16 @@
   }
 
   private boolean admits(UpstreamBackoffs box, long millisAfter) {
-    return box.admits(UPSTREAM) || way == Way.ALL_AT_ONCE && millisAfter == 0;
+    return box.admits(UPSTREAM) || strategy == Strategy.ALL_AT_ONCE && millisAfter == 0;
   }
 
   private void send(UpstreamBackoffs box, boolean runs) {
-    box.sent(UPSTREAM);
+    box.recordSent(UPSTREAM);
     served += runs ? 1 : 0;
-    turnedAway += runs ? 0 : 1;
+    rejected += runs ? 0 : 1;
     if (!runs) {
-      List<UpstreamBackoffs> told = way == Way.TOGETHER ? boxes : List.of(box);
-      told.forEach(each -> each.answered(UPSTREAM, BackoffStatement.requested(asked)));
+      List<UpstreamBackoffs> told = strategy == Strategy.TOGETHER ? boxes : List.of(box);
+      told.forEach(each -> each.onAnswer(UPSTREAM, BackoffAnnouncement.requested(backoff)));
     }
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/LimitShareTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/LimitShareTests.java
@@ -15,50 +15,53 @@
 class LimitShareTests {
 
   private static final double WINDOW_SECONDS = 4;
-  private static final double OVERAGE = 1.5;
-  private static final double EXTRA = 5;
+  private static final double LIMIT_FACTOR = 1.5;
+  private static final double EXTRA_REQUESTS = 5;
 
   /** Rounding of sums of many parts. */
-  private static final double ROUNDING = 1e-6;
+  private static final double ROUNDING_ERROR = 1e-6;
 
   @Property(tries = 500)
-  void whatAllBoxesMaySendInAWindowIsWhatTheRuleAllows(
+  void sumOfSharesStaysWithinBoundPerWindow(
       @ForAll @DoubleRange(max = 200) double limit,
       @ForAll @IntRange(min = 1, max = 530) int boxes) {
     double most =
         shares(limit, boxes).stream()
-            .mapToDouble(share -> share.depth() + WINDOW_SECONDS * share.perSecond())
+            .mapToDouble(share -> share.burst() + WINDOW_SECONDS * share.requestsPerSecond())
             .sum();
 
-    assertThat(most).isLessThanOrEqualTo(limit * OVERAGE * WINDOW_SECONDS + EXTRA + ROUNDING);
+    assertThat(most)
+        .isLessThanOrEqualTo(
+            limit * LIMIT_FACTOR * WINDOW_SECONDS + EXTRA_REQUESTS + ROUNDING_ERROR);
   }
 
   @Property(tries = 500)
-  void allSharesTogetherAreMostOfTheLimit(
+  void sumOfSharesUsesMostOfLimit(
       @ForAll @DoubleRange(min = 0.2, max = 200) double limit,
       @ForAll @IntRange(min = 1, max = 530) int boxes) {
-    double sum = shares(limit, boxes).stream().mapToDouble(LimitShare::perSecond).sum();
+    double sum = shares(limit, boxes).stream().mapToDouble(LimitShare::requestsPerSecond).sum();
 
     assertThat(sum).isBetween(0.85 * limit, limit);
   }
 
   @Property(tries = 200)
-  void oneBoxThatSendsAllAndItsSuccessorKeepToTheRuleTogether(
-      @ForAll @DoubleRange(max = 2.4) double limit) {
-    LimitShare share = LimitShare.alone(limit);
+  void singleSenderAndItsSuccessorStayWithinBound(@ForAll @DoubleRange(max = 2.4) double limit) {
+    LimitShare share = LimitShare.forSingleSender(limit);
 
-    double both = share.depth() + 2 * WINDOW_SECONDS * share.perSecond();
+    double both = share.burst() + 2 * WINDOW_SECONDS * share.requestsPerSecond();
 
-    assertThat(both).isLessThanOrEqualTo(limit * OVERAGE * WINDOW_SECONDS + EXTRA + ROUNDING);
+    assertThat(both)
+        .isLessThanOrEqualTo(
+            limit * LIMIT_FACTOR * WINDOW_SECONDS + EXTRA_REQUESTS + ROUNDING_ERROR);
   }
 
   @Test
-  void boxesBeginOneAfterTheOther() {
+  void boxesStartSendingOneAfterAnother() {
     List<LimitShare> shares = shares(1, 8);
 
     List<Double> firstAfterSeconds =
         shares.stream()
-            .map(share -> (1 - share.firstLevel()) / share.perSecond())
+            .map(share -> (1 - share.initialTokens()) / share.requestsPerSecond())
             .sorted()
             .toList();
 
@@ -71,10 +74,10 @@
   }
 
   @Test
-  void anUpstreamThatTakesNothingIsAskedNowAndThenWhetherThatIsStillSo() {
-    double sum = shares(0, 8).stream().mapToDouble(LimitShare::perSecond).sum();
+  void upstreamWithZeroLimitReceivesOccasionalRequests() {
+    double sum = shares(0, 8).stream().mapToDouble(LimitShare::requestsPerSecond).sum();
 
-    assertThat(sum).isPositive().isLessThanOrEqualTo(EXTRA / WINDOW_SECONDS / 10);
+    assertThat(sum).isPositive().isLessThanOrEqualTo(EXTRA_REQUESTS / WINDOW_SECONDS / 10);
   }
 
   private static List<LimitShare> shares(double limit, int boxes) {
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/LimitedDeploymentModel.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/RateLimitSimulation.java
@@ -17,21 +17,25 @@
  * A deployment in virtual time, with one upstream that names a limit: boxes that want to send all
  * the time, tell each other late, and may be stopped, frozen, added and lost for each other.
  */
-final class LimitedDeploymentModel {
+final class RateLimitSimulation {
 
   /** What tests set. */
   record Plan(
-      int boxes, double limit, double wantedPerSecond, long newsMillis, long latestMillis) {}
+      int boxCount,
+      double limit,
+      double attemptsPerSecond,
+      long maxPropagationMillis,
+      long maxResponseMillis) {}
 
-  static final long NAMED_AT_MILLIS = 2_000;
+  static final long LIMIT_ANNOUNCED_AT_MILLIS = 2_000;
 
   private static final long STEP_MILLIS = 10;
-  private static final long BEAT_MILLIS = 200;
-  private static final long BEAT_OF_MANY_MILLIS = 400;
-  private static final int MANY = 12;
-  private static final long WIRE_MILLIS = 30;
-  private static final long LOST_AFTER_MILLIS = 10_000;
-  private static final UpstreamRecord LIMITED =
+  private static final long HEARTBEAT_MILLIS = 200;
+  private static final long LARGE_HEARTBEAT_MILLIS = 400;
+  private static final int MAX_SMALL_DEPLOYMENT = 12;
+  private static final long NETWORK_DELAY_MILLIS = 30;
+  private static final long PEER_TIMEOUT_MILLIS = 10_000;
+  private static final UpstreamRecord UPSTREAM =
       new UpstreamRecord("id", "service", "127.0.0.1", 1, "zone", 8, false);
 
   /** One box; it hears others as the plan lets it. */
@@ -39,28 +43,28 @@
 
     private final String name;
     private final UpstreamLimits limits =
-        new UpstreamLimits(clock, EventLogs.silent(), () -> List.of(LIMITED));
-    private final LimitedSending sending =
-        new LimitedSending(clock, limits, this::rank, service -> false);
-    private final Map<String, Long> heardMillis = new HashMap<>();
-    private long awayUntilMillis;
+        new UpstreamLimits(clock, EventLogs.silent(), () -> List.of(UPSTREAM));
+    private final UpstreamRateLimiter limiter =
+        new UpstreamRateLimiter(clock, limits, this::rank, service -> false);
+    private final Map<String, Long> lastReceivedMillis = new HashMap<>();
+    private long downUntilMillis;
     private boolean stopped;
 
     Box(String name) {
       this.name = name;
       weights.computeIfAbsent(name, unknown -> random.nextDouble());
-      limits.onNews(() -> tellAll(this));
+      limits.onChange(() -> broadcast(this));
     }
 
     boolean isUp() {
-      return !stopped && nowMillis >= awayUntilMillis;
+      return !stopped && nowMillis >= downUntilMillis;
     }
 
     private Optional<BoxRank> rank(String start) {
       int before = 0;
       int there = 1;
-      for (Map.Entry<String, Long> other : heardMillis.entrySet()) {
-        if (!other.getKey().equals(name) && nowMillis - other.getValue() < LOST_AFTER_MILLIS) {
+      for (Map.Entry<String, Long> other : lastReceivedMillis.entrySet()) {
+        if (!other.getKey().equals(name) && nowMillis - other.getValue() < PEER_TIMEOUT_MILLIS) {
           there++;
           before += weights.get(other.getKey()) < weights.get(name) ? 1 : 0;
         }
@@ -73,55 +77,55 @@
   private final Random random;
   private final Map<String, Double> weights = new HashMap<>();
   private final List<Box> boxes = new ArrayList<>();
-  private final Map<Long, List<Runnable>> later = new HashMap<>();
-  private final List<Long> arrivedMillis = new ArrayList<>();
-  private final Set<String> oneWay = new TreeSet<>();
+  private final Map<Long, List<Runnable>> scheduled = new HashMap<>();
+  private final List<Long> arrivalsMillis = new ArrayList<>();
+  private final Set<String> unreachableSenders = new TreeSet<>();
   private long nowMillis = 1_000_000;
   private final long startMillis = nowMillis;
   private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(nowMillis);
   private double limit;
-  private long lastNamedNanos;
-  private boolean liftedForSure;
-  private int namingUnderWay;
+  private long lastAnnouncedNanos;
+  private boolean liftConfirmed;
+  private int announcementsInFlight;
 
-  LimitedDeploymentModel(Plan plan, long seed) {
+  RateLimitSimulation(Plan plan, long seed) {
     this.plan = plan;
     this.random = new Random(seed);
     this.limit = plan.limit();
-    for (int box = 0; box < plan.boxes(); box++) {
+    for (int box = 0; box < plan.boxCount(); box++) {
       boxes.add(new Box("box-" + box));
     }
-    boxes.forEach(box -> boxes.forEach(other -> box.heardMillis.put(other.name, nowMillis)));
+    boxes.forEach(box -> boxes.forEach(other -> box.lastReceivedMillis.put(other.name, nowMillis)));
   }
 
-  int boxes() {
+  int boxCount() {
     return boxes.size();
   }
 
   /** A box ends without a word, and is there again under its name after a while. */
   void restart(int index, long awayMillis) {
     Box next = new Box(boxes.get(index).name);
-    next.awayUntilMillis = nowMillis + awayMillis;
+    next.downUntilMillis = nowMillis + awayMillis;
     boxes.get(index).stopped = true;
     boxes.set(index, next);
   }
 
   /** A box does nothing for a while, and goes on as if no time had passed. */
   void freeze(int index, long millis) {
-    boxes.get(index).awayUntilMillis = nowMillis + millis;
+    boxes.get(index).downUntilMillis = nowMillis + millis;
   }
 
-  void add() {
+  void addBox() {
     boxes.add(new Box("added-" + boxes.size()));
   }
 
   /** Nobody hears a box any more, which hears all others. */
-  void silence(int index) {
-    oneWay.add(boxes.get(index).name);
+  void dropMessagesFrom(int index) {
+    unreachableSenders.add(boxes.get(index).name);
   }
 
-  void hearAgain() {
-    oneWay.clear();
+  void deliverAllMessages() {
+    unreachableSenders.clear();
   }
 
   /** The upstream names another limit from now on; a negative one means none. */
@@ -132,45 +136,46 @@
   /** Lets time pass. */
   void run(long millis) {
     for (long end = nowMillis + millis; nowMillis < end; nowMillis += STEP_MILLIS) {
-      Optional.ofNullable(later.remove(nowMillis)).ifPresent(due -> due.forEach(Runnable::run));
-      if ((nowMillis - startMillis) % beatMillis() == 0) {
-        boxes.stream().filter(Box::isUp).forEach(this::tellAll);
+      Optional.ofNullable(scheduled.remove(nowMillis)).ifPresent(due -> due.forEach(Runnable::run));
+      if ((nowMillis - startMillis) % heartbeatMillis() == 0) {
+        boxes.stream().filter(Box::isUp).forEach(this::broadcast);
       }
-      List.copyOf(boxes).stream().filter(Box::isUp).forEach(this::sendAsMuchAsWanted);
+      List.copyOf(boxes).stream().filter(Box::isUp).forEach(this::sendIfAllowed);
     }
   }
 
-  private long beatMillis() {
-    return boxes.size() > MANY ? BEAT_OF_MANY_MILLIS : BEAT_MILLIS;
+  private long heartbeatMillis() {
+    return boxes.size() > MAX_SMALL_DEPLOYMENT ? LARGE_HEARTBEAT_MILLIS : HEARTBEAT_MILLIS;
   }
 
-  private void sendAsMuchAsWanted(Box box) {
-    double wanted = plan.wantedPerSecond() * STEP_MILLIS / 1_000 / boxes.size();
-    if (random.nextDouble() < wanted && box.sending.admits(LIMITED)) {
-      box.sending.sent(LIMITED);
-      arrivedMillis.add(nowMillis);
+  private void sendIfAllowed(Box box) {
+    double wanted = plan.attemptsPerSecond() * STEP_MILLIS / 1_000 / boxes.size();
+    if (random.nextDouble() < wanted && box.limiter.admits(UPSTREAM)) {
+      box.limiter.recordSent(UPSTREAM);
+      arrivalsMillis.add(nowMillis);
       long sentNanos = clock.nanos();
-      boolean names = limit >= 0 && nowMillis - startMillis >= NAMED_AT_MILLIS;
-      LimitStatement answer = names ? LimitStatement.named(limit) : LimitStatement.NO_LIMIT;
-      namingUnderWay += names ? 1 : 0;
-      after(
-          1 + random.nextLong(plan.latestMillis()),
+      boolean names = limit >= 0 && nowMillis - startMillis >= LIMIT_ANNOUNCED_AT_MILLIS;
+      LimitAnnouncement answer =
+          names ? LimitAnnouncement.named(limit) : LimitAnnouncement.NO_LIMIT;
+      announcementsInFlight += names ? 1 : 0;
+      schedule(
+          1 + random.nextLong(plan.maxResponseMillis()),
           () -> {
-            namingUnderWay -= names ? 1 : 0;
+            announcementsInFlight -= names ? 1 : 0;
             if (box.isUp()) {
-              box.limits.answered(LIMITED, sentNanos, answer);
-              noteHeard(sentNanos, names);
+              box.limits.onAnswer(UPSTREAM, sentNanos, answer);
+              recordAnswer(sentNanos, names);
             }
           });
     }
   }
 
-  private void noteHeard(long sentNanos, boolean names) {
+  private void recordAnswer(long sentNanos, boolean names) {
     if (names) {
-      lastNamedNanos = clock.nanos();
-      liftedForSure = false;
-    } else if (sentNanos > lastNamedNanos) {
-      liftedForSure = true;
+      lastAnnouncedNanos = clock.nanos();
+      liftConfirmed = false;
+    } else if (sentNanos > lastAnnouncedNanos) {
+      liftConfirmed = true;
     }
   }
 
@@ -178,43 +183,44 @@
    * Returns whether an answer without a limit came to what was sent after the last one with it. One
    * with it that is still under way may come later, and counts as newer by what a box can know.
    */
-  boolean isLiftedForSure() {
-    return liftedForSure && namingUnderWay == 0;
+  boolean isLiftConfirmed() {
+    return liftConfirmed && announcementsInFlight == 0;
   }
 
   /** What relays hold news up for is told with it; the time on the wire is not. */
-  private void tellAll(Box teller) {
+  private void broadcast(Box teller) {
     List<LimitReport> reports = teller.limits.reports();
     long toldMillis = nowMillis;
     boxes.stream()
-        .filter(box -> box != teller && !oneWay.contains(teller.name))
+        .filter(box -> box != teller && !unreachableSenders.contains(teller.name))
         .forEach(
             box ->
-                after(
-                    1 + random.nextLong(plan.newsMillis()),
+                schedule(
+                    1 + random.nextLong(plan.maxPropagationMillis()),
                     () -> {
                       if (box.isUp()) {
-                        box.heardMillis.put(teller.name, nowMillis);
+                        box.lastReceivedMillis.put(teller.name, nowMillis);
                         long late = nowMillis - toldMillis;
-                        box.limits.told(teller.name, reports, Math.max(0, late - WIRE_MILLIS));
+                        box.limits.merge(
+                            teller.name, reports, Math.max(0, late - NETWORK_DELAY_MILLIS));
                       }
                     }));
   }
 
-  private void after(long millis, Runnable action) {
+  private void schedule(long millis, Runnable action) {
     long at = nowMillis + (millis / STEP_MILLIS + 1) * STEP_MILLIS;
-    later.computeIfAbsent(at, moment -> new ArrayList<>()).add(action);
+    scheduled.computeIfAbsent(at, moment -> new ArrayList<>()).add(action);
   }
 
   /** Returns how many boxes take the upstream to have a limit. */
-  long boxesThatKnowALimit() {
-    return boxes.stream().filter(box -> box.limits.count() > 0).count();
+  long boxesWithLimit() {
+    return boxes.stream().filter(box -> box.limits.limitedCount() > 0).count();
   }
 
   /** Returns the most requests in any window of 4 s that begins so long after the start. */
-  long mostInWindow(long fromMillis) {
+  long maxRequestsInWindow(long fromMillis) {
     List<Long> counted =
-        arrivedMillis.stream().filter(at -> at - startMillis >= fromMillis).toList();
+        arrivalsMillis.stream().filter(at -> at - startMillis >= fromMillis).toList();
     return counted.stream()
         .mapToLong(from -> counted.stream().filter(at -> at >= from && at < from + 4_000).count())
         .max()
@@ -223,7 +229,7 @@
 
   /** Returns how many requests came between two moments after the start. */
   long arrivedBetween(long fromMillis, long toMillis) {
-    return arrivedMillis.stream()
+    return arrivalsMillis.stream()
         .filter(at -> at - startMillis >= fromMillis && at - startMillis < toMillis)
         .count();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamBackoffsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamBackoffsTests.java
@@ -20,140 +20,140 @@
 class UpstreamBackoffsTests {
 
   private static final UpstreamRecord UPSTREAM = upstream(1);
-  private static final int FULL_USE = 200;
+  private static final int UNLIMITED_REQUESTS = 200;
 
   private long nowMillis = 100_000;
   private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(nowMillis);
   private final UpstreamBackoffs backoffs = new UpstreamBackoffs(clock, EventLogs.silent());
 
   @Test
-  void nothingIsHeldBackFromOneThatAskedForNothing() {
-    assertThat(sentWithin(100)).isEqualTo(100);
+  void allowsAllRequestsWithoutBackoff() {
+    assertThat(countSentWithin(100)).isEqualTo(100);
     assertThat(backoffs.millisUntilAdmitted(UPSTREAM, 50)).isZero();
-    assertThat(backoffs.perSecond(UPSTREAM)).isInfinite();
+    assertThat(backoffs.requestsPerSecond(UPSTREAM)).isInfinite();
   }
 
   @Test
-  void nothingIsSentUntilTheTimeIsOver() {
-    request(UPSTREAM, 3_000);
+  void sendsNothingDuringBackoff() {
+    requestBackoff(UPSTREAM, 3_000);
 
-    assertThat(backoffs.perSecond(UPSTREAM)).isZero();
+    assertThat(backoffs.requestsPerSecond(UPSTREAM)).isZero();
     assertThat(backoffs.millisUntilAdmitted(UPSTREAM, 0)).isEqualTo(3_000);
-    assertThat(sentWithin(2_999)).isZero();
-    assertThat(backoffs.heldOff()).isEqualTo(2_999);
-    assertThat(sentWithin(1)).isEqualTo(1);
+    assertThat(countSentWithin(2_999)).isZero();
+    assertThat(backoffs.skipped()).isEqualTo(2_999);
+    assertThat(countSentWithin(1)).isEqualTo(1);
   }
 
   @Test
-  void aShorterTimeDoesNotEndAnEarlierOne() {
-    request(UPSTREAM, 3_000);
+  void shorterBackoffDoesNotShortenEarlierOne() {
+    requestBackoff(UPSTREAM, 3_000);
     nowMillis += 500;
-    request(UPSTREAM, 200);
+    requestBackoff(UPSTREAM, 200);
 
-    assertThat(sentWithin(2_499)).isZero();
-    assertThat(sentWithin(1)).isEqualTo(1);
+    assertThat(countSentWithin(2_499)).isZero();
+    assertThat(countSentWithin(1)).isEqualTo(1);
   }
 
   @Test
-  void aLaterTimeThatEndsLaterHolds() {
-    request(UPSTREAM, 1_000);
+  void longerBackoffExtendsEarlierOne() {
+    requestBackoff(UPSTREAM, 1_000);
     nowMillis += 500;
-    request(UPSTREAM, 2_000);
+    requestBackoff(UPSTREAM, 2_000);
 
-    assertThat(sentWithin(1_999)).isZero();
-    assertThat(sentWithin(1)).isEqualTo(1);
+    assertThat(countSentWithin(1_999)).isZero();
+    assertThat(countSentWithin(1)).isEqualTo(1);
   }
 
   @Test
-  void anAnswerThatSaysNothingOfItEndsNothing() {
-    request(UPSTREAM, 1_000);
+  void answerWithoutBackoffDoesNotEndBackoff() {
+    requestBackoff(UPSTREAM, 1_000);
 
-    backoffs.answered(UPSTREAM, BackoffStatement.NOTHING);
-    backoffs.answered(UPSTREAM, BackoffStatement.unreadable("soon"));
+    backoffs.onAnswer(UPSTREAM, BackoffAnnouncement.NOTHING);
+    backoffs.onAnswer(UPSTREAM, BackoffAnnouncement.unreadable("soon"));
 
-    assertThat(sentWithin(999)).isZero();
+    assertThat(countSentWithin(999)).isZero();
   }
 
   @Test
-  void noTimeAtAllIsNoBackoff() {
-    request(UPSTREAM, 0);
+  void ignoresBackoffOfZero() {
+    requestBackoff(UPSTREAM, 0);
 
-    assertThat(sentWithin(10)).isEqualTo(10);
+    assertThat(countSentWithin(10)).isEqualTo(10);
   }
 
   @Test
-  void aTimeWithoutEndIsBoundedByADay() {
-    backoffs.answered(UPSTREAM, BackoffStatement.requested(Duration.ofSeconds(1_000_000_000)));
+  void limitsBackoffToOneDay() {
+    backoffs.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofSeconds(1_000_000_000)));
 
     assertThat(backoffs.millisUntilAdmitted(UPSTREAM, 0))
-        .isEqualTo(UpstreamBackoffs.LONGEST.toMillis());
+        .isEqualTo(UpstreamBackoffs.MAX_BACKOFF.toMillis());
   }
 
   @Test
-  void theFirstRequestsAfterwardsGoOneAfterTheOtherAndWithinASecondAllGo() {
-    request(UPSTREAM, 1_000);
+  void rampsUpForOneSecondAfterBackoff() {
+    requestBackoff(UPSTREAM, 1_000);
     nowMillis += 1_000;
 
-    assertThat(sentWithin(999)).isBetween(9, 11);
-    assertThat(sentWithin(FULL_USE)).isGreaterThanOrEqualTo(FULL_USE - 1);
+    assertThat(countSentWithin(999)).isBetween(9, 11);
+    assertThat(countSentWithin(UNLIMITED_REQUESTS)).isGreaterThanOrEqualTo(UNLIMITED_REQUESTS - 1);
   }
 
   @Test
-  void oneThatTurnsTheFirstOfThemAwayIsLeftAloneAgain() {
-    request(UPSTREAM, 1_000);
+  void backsOffAgainWhenFirstRequestIsRejected() {
+    requestBackoff(UPSTREAM, 1_000);
     nowMillis += 1_000;
-    assertThat(sentWithin(1)).isEqualTo(1);
+    assertThat(countSentWithin(1)).isEqualTo(1);
 
-    request(UPSTREAM, 2_000);
+    requestBackoff(UPSTREAM, 2_000);
 
-    assertThat(sentWithin(1_999)).isZero();
+    assertThat(countSentWithin(1_999)).isZero();
   }
 
   @Test
-  void eachStartHasTimesOfItsOwn() {
+  void backoffAppliesToOneIncarnation() {
     UpstreamRecord next =
         new UpstreamRecord("u1", 7, "service", "127.0.0.1", 1, "zone", 8, false, 0);
-    request(UPSTREAM, 60_000);
+    requestBackoff(UPSTREAM, 60_000);
 
     assertThat(backoffs.admits(upstream(2))).isTrue();
     assertThat(backoffs.admits(next)).isTrue();
-    assertThat(backoffs.count()).isEqualTo(1);
+    assertThat(backoffs.activeCount()).isEqualTo(1);
   }
 
   @Test
-  void whatIsOverIsNotKept() {
+  void removesExpiredBackoffs() {
     for (int number = 0; number < 1_000; number++) {
-      request(upstream(number), 100);
+      requestBackoff(upstream(number), 100);
       nowMillis += 10;
     }
 
-    assertThat(backoffs.kept()).isLessThan(200);
+    assertThat(backoffs.trackedCount()).isLessThan(200);
   }
 
   @Test
-  void theWaitGrowsWithWhatGoesBefore() {
-    request(UPSTREAM, 1_000);
+  void waitGrowsWithRequestsSentBefore() {
+    requestBackoff(UPSTREAM, 1_000);
 
     assertThat(backoffs.millisUntilAdmitted(UPSTREAM, 3)).isEqualTo(1_300);
   }
 
   @Test
-  void oneLineTellsOfItsBeginAndOneOfItsEndHoweverOftenItIsAskedFor() {
+  void logsStartAndEndOfBackoffOnce() {
     RecordedEvents events = new RecordedEvents();
     UpstreamBackoffs logged = new UpstreamBackoffs(clock, events.log());
     List<String> begun = new ArrayList<>();
-    logged.onBegin(upstream -> begun.add(upstream.id()));
+    logged.onBackoffStarted(upstream -> begun.add(upstream.id()));
 
     for (int answer = 0; answer < 20; answer++) {
-      logged.answered(UPSTREAM, BackoffStatement.requested(Duration.ofMillis(500)));
+      logged.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofMillis(500)));
       logged.admits(UPSTREAM);
     }
     nowMillis += 500;
     logged.admits(UPSTREAM);
     nowMillis += 2_000;
     logged.admits(UPSTREAM);
-    logged.answered(UPSTREAM, BackoffStatement.unreadable("soon"));
-    logged.answered(UPSTREAM, BackoffStatement.unreadable("soon"));
+    logged.onAnswer(UPSTREAM, BackoffAnnouncement.unreadable("soon"));
+    logged.onAnswer(UPSTREAM, BackoffAnnouncement.unreadable("soon"));
 
     assertThat(begun).containsExactly("u1");
     assertThat(events.count("upstream-backoff")).isEqualTo(1);
@@ -163,42 +163,43 @@
 
   /** Answers and times in any order, requests whenever one is admitted. */
   @Property(tries = 500)
-  void nothingIsEverSentWithinATimeThatWasAskedForAndAllIsASecondAfterwards(
+  void sendsNothingDuringBackoffsAndEverythingAfterRampUp(
       @ForAll @Size(max = 30) List<@IntRange(max = 400) Integer> steps) {
     UpstreamBackoffs told = new UpstreamBackoffs(clock, EventLogs.silent());
     long endMillis = nowMillis;
     for (int step : steps) {
       long asked = step % 4 == 0 ? step * 10L : 0;
       if (asked > 0) {
-        told.answered(UPSTREAM, BackoffStatement.requested(Duration.ofMillis(asked)));
+        told.onAnswer(UPSTREAM, BackoffAnnouncement.requested(Duration.ofMillis(asked)));
         endMillis = Math.max(endMillis, nowMillis + asked);
       }
       for (int passed = 0; passed < step; passed += 5) {
         boolean admitted = told.admits(UPSTREAM);
         assertThat(admitted && nowMillis < endMillis).isFalse();
-        assertThat(admitted || nowMillis < endMillis + UpstreamBackoffs.RETURN.toMillis()).isTrue();
+        assertThat(admitted || nowMillis < endMillis + UpstreamBackoffs.RAMP_UP.toMillis())
+            .isTrue();
         if (admitted) {
-          told.sent(UPSTREAM);
+          told.recordSent(UPSTREAM);
         }
         nowMillis += 5;
       }
     }
   }
 
-  private int sentWithin(long millis) {
+  private int countSentWithin(long millis) {
     int sent = 0;
     for (long passed = 0; passed < millis; passed++) {
       nowMillis++;
       if (backoffs.admits(UPSTREAM)) {
-        backoffs.sent(UPSTREAM);
+        backoffs.recordSent(UPSTREAM);
         sent++;
       }
     }
     return sent;
   }
 
-  private void request(UpstreamRecord upstream, long millis) {
-    backoffs.answered(upstream, BackoffStatement.requested(Duration.ofMillis(millis)));
+  private void requestBackoff(UpstreamRecord upstream, long millis) {
+    backoffs.onAnswer(upstream, BackoffAnnouncement.requested(Duration.ofMillis(millis)));
   }
 
   private static UpstreamRecord upstream(int number) {
--- a/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/limit/UpstreamLimitsTests.java
@@ -14,172 +14,174 @@
 class UpstreamLimitsTests {
 
   private static final UpstreamRecord UPSTREAM = upstream("u", 1);
-  private static final String START = UPSTREAM.start();
+  private static final String INCARNATION_ID = UPSTREAM.incarnationId();
   private static final String OTHER_BOX = "other";
 
   private long nowMillis = 100_000;
   private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(nowMillis);
-  private final List<UpstreamRecord> listed = new ArrayList<>(List.of(UPSTREAM));
+  private final List<UpstreamRecord> knownUpstreams = new ArrayList<>(List.of(UPSTREAM));
   private final RecordedEvents events = new RecordedEvents();
-  private final UpstreamLimits limits = new UpstreamLimits(clock, events.log(), () -> listed);
-  private int news;
+  private final UpstreamLimits limits =
+      new UpstreamLimits(clock, events.log(), () -> knownUpstreams);
+  private int changes;
 
   UpstreamLimitsTests() {
-    limits.onNews(() -> news++);
+    limits.onChange(() -> changes++);
   }
 
   @Test
-  void aLimitHoldsFromTheFirstAnswerThatNamesIt() {
-    answer(LimitStatement.named(1.3), 50);
+  void appliesLimitFromFirstAnswer() {
+    answer(LimitAnnouncement.named(1.3), 50);
 
-    assertThat(limits.limitOf(START)).hasValue(1.3);
-    assertThat(news).isEqualTo(1);
+    assertThat(limits.limitOf(INCARNATION_ID)).hasValue(1.3);
+    assertThat(changes).isEqualTo(1);
   }
 
   @Test
-  void itBelongsToOneStartOnly() {
-    answer(LimitStatement.named(1), 0);
+  void limitAppliesToOneIncarnation() {
+    answer(LimitAnnouncement.named(1), 0);
 
-    assertThat(limits.limitOf(upstream("u", 2).start())).isEmpty();
+    assertThat(limits.limitOf(upstream("u", 2).incarnationId())).isEmpty();
   }
 
   @Test
-  void theNewestFigureHolds() {
-    answer(LimitStatement.named(1), 0);
-    answer(LimitStatement.named(7), 0);
+  void latestAnnouncedLimitApplies() {
+    answer(LimitAnnouncement.named(1), 0);
+    answer(LimitAnnouncement.named(7), 0);
 
-    assertThat(limits.limitOf(START)).hasValue(7);
+    assertThat(limits.limitOf(INCARNATION_ID)).hasValue(7);
   }
 
   @Test
-  void anAnswerWithoutOneToARequestThatWasSentAfterItWasNamedLiftsIt() {
-    answer(LimitStatement.named(1), 0);
-    pass(10);
+  void answerWithoutLimitToLaterRequestLiftsLimit() {
+    answer(LimitAnnouncement.named(1), 0);
+    advance(10);
 
-    answer(LimitStatement.NO_LIMIT, 5);
+    answer(LimitAnnouncement.NO_LIMIT, 5);
 
-    assertThat(limits.limitOf(START)).isEmpty();
-    assertThat(news).isEqualTo(2);
+    assertThat(limits.limitOf(INCARNATION_ID)).isEmpty();
+    assertThat(changes).isEqualTo(2);
   }
 
   @Test
-  void anAnswerWithoutOneThatWasOvertakenDoesNotLiftIt() {
-    answer(LimitStatement.named(1), 0);
-    pass(10);
+  void answerWithoutLimitToEarlierRequestDoesNotLiftLimit() {
+    answer(LimitAnnouncement.named(1), 0);
+    advance(10);
 
-    answer(LimitStatement.NO_LIMIT, 200);
+    answer(LimitAnnouncement.NO_LIMIT, 200);
 
-    assertThat(limits.limitOf(START)).hasValue(1);
+    assertThat(limits.limitOf(INCARNATION_ID)).hasValue(1);
   }
 
   @Test
-  void whatDoesNotTellOrCannotBeReadChangesNothing() {
-    answer(LimitStatement.named(1), 0);
-    pass(10);
+  void ignoresAnswersWithoutReadableLimit() {
+    answer(LimitAnnouncement.named(1), 0);
+    advance(10);
 
-    answer(LimitStatement.NOTHING, 0);
-    answer(LimitStatement.unreadable("many"), 0);
+    answer(LimitAnnouncement.NOTHING, 0);
+    answer(LimitAnnouncement.unreadable("many"), 0);
 
-    assertThat(limits.limitOf(START)).hasValue(1);
+    assertThat(limits.limitOf(INCARNATION_ID)).hasValue(1);
   }
 
   @Test
-  void whatCannotBeReadIsALineOnceForEachText() {
-    answer(LimitStatement.unreadable("many"), 0);
-    answer(LimitStatement.unreadable("many"), 0);
-    answer(LimitStatement.unreadable("-1"), 0);
+  void logsEachUnreadableTextOnce() {
+    answer(LimitAnnouncement.unreadable("many"), 0);
+    answer(LimitAnnouncement.unreadable("many"), 0);
+    answer(LimitAnnouncement.unreadable("-1"), 0);
 
     assertThat(events.count("upstream-limit-unreadable")).isEqualTo(2);
   }
 
   @Test
-  void figuresThatHardlyChangeAreNoLineEach() {
+  void doesNotLogSmallChanges() {
     for (int step = 0; step < 50; step++) {
-      answer(LimitStatement.named(1 + step % 2 * 0.1), 0);
+      answer(LimitAnnouncement.named(1 + step % 2 * 0.1), 0);
     }
-    answer(LimitStatement.named(4), 0);
+    answer(LimitAnnouncement.named(4), 0);
 
     assertThat(events.count("upstream-limit")).isEqualTo(2);
   }
 
   @Test
-  void oneThatAnotherBoxHeardHoldsHereToo() {
-    assertThat(told(1_300, 20)).isTrue();
+  void appliesLimitReportedByAnotherBox() {
+    assertThat(merge(1_300, 20)).isTrue();
 
-    assertThat(limits.limitOf(START)).hasValue(1.3);
-    assertThat(news).as("who heard it tells it").isZero();
+    assertThat(limits.limitOf(INCARNATION_ID)).hasValue(1.3);
+    assertThat(changes).as("who heard it tells it").isZero();
   }
 
   @Test
-  void ofWhatBoxesTellTheYoungerHolds() {
-    told(1_000, 500);
+  void moreRecentReportApplies() {
+    merge(1_000, 500);
 
-    assertThat(told(2_000, 900)).isFalse();
-    assertThat(limits.limitOf(START)).hasValue(1);
-    assertThat(told(LimitReport.LIFTED, 100)).isTrue();
-    assertThat(limits.limitOf(START)).isEmpty();
-    assertThat(told(1_000, 300)).isFalse();
-    assertThat(limits.limitOf(START)).isEmpty();
+    assertThat(merge(2_000, 900)).isFalse();
+    assertThat(limits.limitOf(INCARNATION_ID)).hasValue(1);
+    assertThat(merge(LimitReport.LIFTED, 100)).isTrue();
+    assertThat(limits.limitOf(INCARNATION_ID)).isEmpty();
+    assertThat(merge(1_000, 300)).isFalse();
+    assertThat(limits.limitOf(INCARNATION_ID)).isEmpty();
   }
 
   @Test
-  void whatIsToldAgainAndAgainDoesNotGrowYounger() {
-    told(1_000, 0);
-    pass(1_000);
-    told(1_000, 0);
+  void repeatedReportKeepsItsAge() {
+    merge(1_000, 0);
+    advance(1_000);
+    merge(1_000, 0);
 
-    assertThat(limits.reports()).containsExactly(new LimitReport(START, 1_000, 1_000));
+    assertThat(limits.reports()).containsExactly(new LimitReport(INCARNATION_ID, 1_000, 1_000));
   }
 
   @Test
-  void whatCameOverARelayIsAsMuchOlder() {
-    limits.told(OTHER_BOX, List.of(new LimitReport(START, 1_000, 100)), 250);
+  void addsTransferTimeToAge() {
+    limits.merge(OTHER_BOX, List.of(new LimitReport(INCARNATION_ID, 1_000, 100)), 250);
 
-    assertThat(limits.reports()).containsExactly(new LimitReport(START, 1_000, 350));
+    assertThat(limits.reports()).containsExactly(new LimitReport(INCARNATION_ID, 1_000, 350));
   }
 
   @Test
-  void aLiftedLimitIsToldForAWhileAndThenLeftOut() {
-    answer(LimitStatement.named(1), 0);
-    pass(10);
-    answer(LimitStatement.NO_LIMIT, 0);
-
-    assertThat(limits.reports()).containsExactly(new LimitReport(START, LimitReport.LIFTED, 0));
-    pass(10_000);
+  void reportsLiftedLimitForLimitedTime() {
+    answer(LimitAnnouncement.named(1), 0);
+    advance(10);
+    answer(LimitAnnouncement.NO_LIMIT, 0);
+
+    assertThat(limits.reports())
+        .containsExactly(new LimitReport(INCARNATION_ID, LimitReport.LIFTED, 0));
+    advance(10_000);
     assertThat(limits.reports()).isEmpty();
-    assertThat(told(1_000, 10_050)).as("an old word of it").isFalse();
+    assertThat(merge(1_000, 10_050)).as("an old word of it").isFalse();
   }
 
   @Test
-  void nothingIsKeptOfUpstreamsThatAreNotListed() {
-    limits.told(OTHER_BOX, List.of(new LimitReport("unheard-of", 1_000, 0)), 0);
-    assertThat(limits.count()).isZero();
-    answer(LimitStatement.named(1), 0);
+  void removesLimitsOfUnknownUpstreams() {
+    limits.merge(OTHER_BOX, List.of(new LimitReport("unheard-of", 1_000, 0)), 0);
+    assertThat(limits.limitedCount()).isZero();
+    answer(LimitAnnouncement.named(1), 0);
 
-    listed.clear();
+    knownUpstreams.clear();
 
     assertThat(limits.reports()).isEmpty();
-    assertThat(limits.count()).isZero();
+    assertThat(limits.limitedCount()).isZero();
   }
 
   @Test
-  void aVeryLargeFigureIsAsGoodAsNoLimit() {
-    answer(LimitStatement.named(1e300), 0);
+  void capsVeryLargeLimit() {
+    answer(LimitAnnouncement.named(1e300), 0);
 
-    assertThat(limits.limitOf(START).getAsDouble()).isBetween(1e8, 1e10);
+    assertThat(limits.limitOf(INCARNATION_ID).getAsDouble()).isBetween(1e8, 1e10);
   }
 
-  private boolean told(long perThousandSeconds, long ageMillis) {
-    return limits.told(
-        OTHER_BOX, List.of(new LimitReport(START, perThousandSeconds, ageMillis)), 0);
+  private boolean merge(long perThousandSeconds, long ageMillis) {
+    return limits.merge(
+        OTHER_BOX, List.of(new LimitReport(INCARNATION_ID, perThousandSeconds, ageMillis)), 0);
   }
 
-  private void answer(LimitStatement statement, long sentMillisAgo) {
-    limits.answered(
+  private void answer(LimitAnnouncement statement, long sentMillisAgo) {
+    limits.onAnswer(
         UPSTREAM, clock.nanos() - TimeUnit.MILLISECONDS.toNanos(sentMillisAgo), statement);
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     nowMillis += millis;
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
@@ -22,7 +22,7 @@
 import org.gradeledge.peer.PeerSecret;
 import org.gradeledge.peer.PeerTransport;
 import org.gradeledge.quarantine.Quarantine;
-import org.gradeledge.selection.LoadBoard;
+import org.gradeledge.selection.UpstreamLoads;
 import org.gradeledge.time.MonotonicClock;
 import reactor.netty.ChannelBindException;
 import reactor.netty.DisposableServer;
@@ -144,8 +144,8 @@
         new SharedBoxState(
             deployments,
             registry,
-            new LoadBoard(clock, EventLogs.silent()),
-            new PiecesToCome(),
+            new UpstreamLoads(clock, EventLogs.silent()),
+            new PendingPieces(),
             quarantine,
             limits);
     return new BoxMesh(
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LeavingUpstreamExchangeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LeavingUpstreamExchangeTests.java
@@ -70,7 +70,7 @@
   private void announce(int box) throws Exception {
     boxes.onLoop(
         () -> {
-          boxes.registries().get(box).announcesLeaving(UPSTREAM);
+          boxes.registries().get(box).recordLeavingAnnouncement(UPSTREAM);
           return true;
         });
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitExchangeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/LimitExchangeTests.java
@@ -6,8 +6,8 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import org.gradeledge.discovery.UpstreamRecord;
+import org.gradeledge.limit.LimitAnnouncement;
 import org.gradeledge.limit.LimitReport;
-import org.gradeledge.limit.LimitStatement;
 import org.gradeledge.limit.UpstreamLimits;
 import org.gradeledge.time.MonotonicClock;
 import org.junit.jupiter.api.AfterEach;
@@ -36,26 +36,26 @@
   void allBoxesLearnALimitAndItsRemoval(int count) throws Exception {
     start(count);
 
-    answer(LimitStatement.named(1.3));
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isPresent()));
+    answer(LimitAnnouncement.named(1.3));
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isPresent()));
 
-    answer(LimitStatement.NO_LIMIT);
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isEmpty()));
+    answer(LimitAnnouncement.NO_LIMIT);
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isEmpty()));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {FEW, MANY})
   void aBoxThatStartsLaterLearnsTheLimit(int count) throws Exception {
     start(count);
-    answer(LimitStatement.named(2));
-    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.start()).isPresent()));
+    answer(LimitAnnouncement.named(2));
+    boxes.await(() -> all().allMatch(box -> box.limitOf(UPSTREAM.incarnationId()).isPresent()));
 
     boxes.startBox();
     list(count);
 
-    boxes.await(() -> boxes.limits().get(count).limitOf(UPSTREAM.start()).isPresent());
+    boxes.await(() -> boxes.limits().get(count).limitOf(UPSTREAM.incarnationId()).isPresent());
     assertThat(boxes.onLoop(() -> boxes.limits().get(count).reports()))
-        .extracting(LimitReport::perThousandSeconds)
+        .extracting(LimitReport::requestsPer1000Seconds)
         .containsExactly(2_000L);
   }
 
@@ -69,8 +69,8 @@
 
   private List<Integer> ranks(int count) {
     return boxes.meshes().stream()
-        .flatMap(mesh -> mesh.rank(UPSTREAM.start()).stream())
-        .filter(rank -> rank.boxes() == count)
+        .flatMap(mesh -> mesh.rank(UPSTREAM.incarnationId()).stream())
+        .filter(rank -> rank.boxCount() == count)
         .map(rank -> rank.rank())
         .sorted()
         .toList();
@@ -100,11 +100,11 @@
     }
   }
 
-  private void answer(LimitStatement statement) throws Exception {
+  private void answer(LimitAnnouncement statement) throws Exception {
     boxes.onLoop(
         () -> {
           long sent = MonotonicClock.system().nanos();
-          boxes.limits().get(0).answered(UPSTREAM, sent, statement);
+          boxes.limits().get(0).onAnswer(UPSTREAM, sent, statement);
           return true;
         });
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/ListTrustTrackerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/ListTrustTrackerTests.java
@@ -54,7 +54,7 @@
 
   @Test
   void ownTrustOverridesTheDistrustOfOthers() {
-    upstreams.onTrust(() -> ListTrust.TRUSTED);
+    upstreams.setTrustSupplier(() -> ListTrust.TRUSTED);
     tracker.update("a", ListTrust.DOUBTED);
 
     assertThat(isUsableAfterRemoval()).isFalse();
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/RandomMessages.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/RandomMessages.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.gradeledge.discovery.ZoneEvacuations;
 import org.gradeledge.limit.LimitReport;
-import org.gradeledge.selection.LoadShare;
+import org.gradeledge.selection.BoxLoad;
 
 /** Creates random parts of messages between boxes. */
 final class RandomMessages {
@@ -16,10 +16,10 @@
   private RandomMessages() {}
 
   static Heartbeat heartbeat(Random random) {
-    Map<String, LoadShare> shares = new HashMap<>();
+    Map<String, BoxLoad> shares = new HashMap<>();
     Map<String, List<Long>> numbers = new HashMap<>();
     for (int index = random.nextInt(4); index > 0; index--) {
-      shares.put(text(random), new LoadShare(random.nextInt(300), number(random)));
+      shares.put(text(random), new BoxLoad(random.nextInt(300), number(random)));
       numbers.put(text(random), List.of(number(random), number(random)));
     }
     return new Heartbeat(
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/SuspectExchangeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/SuspectExchangeTests.java
@@ -35,8 +35,10 @@
     recordCrash(1, CRASHING, "b");
     recordCrash(count - 1, CRASHING, "c");
 
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(CRASHING)));
-    assertThat(boxes.onLoop(() -> boxes.quarantines().stream().anyMatch(b -> b.bars(HARMLESS))))
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.isQuarantined(CRASHING)));
+    assertThat(
+            boxes.onLoop(
+                () -> boxes.quarantines().stream().anyMatch(b -> b.isQuarantined(HARMLESS))))
         .isFalse();
   }
 
@@ -47,11 +49,11 @@
     for (String incarnation : List.of("a", "b", "c")) {
       recordCrash(0, CRASHING, incarnation);
     }
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(CRASHING)));
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.isQuarantined(CRASHING)));
 
     boxes.startBox();
 
-    boxes.await(() -> newest().bars(CRASHING));
+    boxes.await(() -> newest().isQuarantined(CRASHING));
   }
 
   @ParameterizedTest
@@ -61,15 +63,15 @@
     for (String incarnation : List.of("a", "b", "c")) {
       recordCrash(0, CRASHING, incarnation);
     }
-    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.bars(CRASHING)));
+    boxes.await(() -> boxes.quarantines().stream().allMatch(box -> box.isQuarantined(CRASHING)));
 
     boxes.onLoop(
         () -> {
-          boxes.quarantines().get(1).lift(CRASHING);
+          boxes.quarantines().get(1).withdrawCrashes(CRASHING);
           return true;
         });
 
-    boxes.await(() -> boxes.quarantines().stream().noneMatch(box -> box.bars(CRASHING)));
+    boxes.await(() -> boxes.quarantines().stream().noneMatch(box -> box.isQuarantined(CRASHING)));
   }
 
   private void startBoxes(int count) throws Exception {
@@ -85,7 +87,7 @@
       throws Exception {
     boxes.onLoop(
         () -> {
-          boxes.quarantines().get(box).endedUnder(fingerprint, incarnation);
+          boxes.quarantines().get(box).recordCrash(fingerprint, incarnation);
           return true;
         });
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListPropagationTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/UpstreamListPropagationTests.java
@@ -109,7 +109,7 @@
     boxes.await(() -> boxes.meshes().stream().allMatch(BoxMesh::receivesDigests));
     ZoneEvacuations evacuations = new ZoneEvacuations(REVISION, Set.of("zone-0"));
 
-    boxes.onLoop(() -> boxes.registries().get(BOXES - 1).evacuate(evacuations));
+    boxes.onLoop(() -> boxes.registries().get(BOXES - 1).applyEvacuations(evacuations));
 
     boxes.await(
         () -> boxes.registries().stream().allMatch(each -> each.evacuations().equals(evacuations)));
--- a/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
@@ -113,7 +113,7 @@
   }
 
   private void restoreBackup(TableRow... rows) {
-    listener.onOlderCopy();
+    listener.onBackupRestored();
     listener.onContent(new TableContent(BACKUP_REVISION, List.of(rows)));
   }
 
@@ -167,7 +167,7 @@
 
   @Test
   void ignoresReadOlderThanReportOfAnotherBox() {
-    upstreams.evacuate(new ZoneEvacuations(20, Set.of("east")));
+    upstreams.applyEvacuations(new ZoneEvacuations(20, Set.of("east")));
 
     listener.onContent(new TableContent(7, List.of(document(3))));
 
--- a/gradeledge-core/src/test/java/org/gradeledge/node/QuarantineVerdictStoreTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/QuarantineVerdictStoreTests.java
@@ -50,7 +50,7 @@
 
     void reachVerdict() {
       for (String incarnationId : List.of("a", "b", "c")) {
-        quarantine.endedUnder(CRASHING, incarnationId);
+        quarantine.recordCrash(CRASHING, incarnationId);
       }
     }
 
@@ -67,8 +67,9 @@
     Box restarted = new Box();
     restarted.read();
 
-    assertThat(restarted.quarantine.bars(CRASHING)).isTrue();
-    assertThat(restarted.store.untilNext(CRASHING)).contains(Duration.ofMinutes(10).minusMillis(1));
+    assertThat(restarted.quarantine.isQuarantined(CRASHING)).isTrue();
+    assertThat(restarted.store.timeUntilNext(CRASHING))
+        .contains(Duration.ofMinutes(10).minusMillis(1));
   }
 
   @Test
@@ -92,8 +93,8 @@
     writer.isWriter = true;
     table.unavailable = true;
     lostBox.reachVerdict();
-    informedBox.quarantine.merge(lostBox.quarantine.all());
-    writer.quarantine.merge(lostBox.quarantine.all());
+    informedBox.quarantine.merge(lostBox.quarantine.snapshot());
+    writer.quarantine.merge(lostBox.quarantine.snapshot());
     boxes.remove(lostBox);
     table.unavailable = false;
     advance(1_000);
@@ -114,7 +115,7 @@
 
     box.store.onChanges(new TableChanges(9, List.of(), List.of(KEY)));
 
-    assertThat(box.quarantine.bars(CRASHING)).isFalse();
+    assertThat(box.quarantine.isQuarantined(CRASHING)).isFalse();
   }
 
   @Test
@@ -127,7 +128,7 @@
 
     box.store.onContent(new TableContent(9, List.of()));
 
-    assertThat(box.quarantine.bars(CRASHING)).isFalse();
+    assertThat(box.quarantine.isQuarantined(CRASHING)).isFalse();
   }
 
   @Test
@@ -138,7 +139,7 @@
 
     box.store.onContent(new TableContent(9, List.of()));
 
-    assertThat(box.quarantine.bars(CRASHING)).isTrue();
+    assertThat(box.quarantine.isQuarantined(CRASHING)).isTrue();
   }
 
   @Test
@@ -151,7 +152,7 @@
 
     box.store.onContent(before);
 
-    assertThat(box.quarantine.bars(CRASHING)).isTrue();
+    assertThat(box.quarantine.isQuarantined(CRASHING)).isTrue();
   }
 
   /**
@@ -163,21 +164,21 @@
     RequestFingerprint harmless = new RequestFingerprint(9, 9, 9);
     Box box = new Box();
     for (String incarnationId : List.of("a", "b", "c")) {
-      box.quarantine.endedUnder(harmless, incarnationId);
+      box.quarantine.recordCrash(harmless, incarnationId);
     }
     advance(1);
     for (String incarnationId : List.of("a", "b", "c", "d")) {
-      box.quarantine.endedUnder(CRASHING, incarnationId);
+      box.quarantine.recordCrash(CRASHING, incarnationId);
     }
     advance(1);
-    assertThat(box.quarantine.barred()).containsExactly(CRASHING);
+    assertThat(box.quarantine.quarantined()).containsExactly(CRASHING);
     assertThat(table.keys()).contains(KEY, harmless.toString());
 
     Box restarted = new Box();
     restarted.read();
-    restarted.quarantine.endedUnder(CRASHING, "d");
+    restarted.quarantine.recordCrash(CRASHING, "d");
 
-    assertThat(restarted.quarantine.barred()).containsExactly(CRASHING);
+    assertThat(restarted.quarantine.quarantined()).containsExactly(CRASHING);
   }
 
   @Test
@@ -186,7 +187,7 @@
     box.reachVerdict();
     advance(1);
 
-    box.quarantine.answered(CRASHING);
+    box.quarantine.recordSuccess(CRASHING);
     advance(1);
 
     assertThat(table.keys()).isEmpty();
@@ -204,7 +205,7 @@
                 new TableRow(KEY, "{\"ended\":7}".getBytes()),
                 new TableRow("0" + KEY.substring(1), "no json".getBytes()))));
 
-    assertThat(box.quarantine.barred()).isEmpty();
+    assertThat(box.quarantine.quarantined()).isEmpty();
   }
 
   /** The deployment allows three retries in all; two of them are trials. */
@@ -229,7 +230,7 @@
     second.read();
     advance(TimeUnit.DAYS.toMillis(9));
     assertThat(countGrantedTrials(first, second)).isZero();
-    assertThat(second.store.untilNext(CRASHING)).isEmpty();
+    assertThat(second.store.timeUntilNext(CRASHING)).isEmpty();
   }
 
   /** Covers a box that has not yet read the claim of another box. */
@@ -242,14 +243,14 @@
     second.read();
     advance(TimeUnit.MINUTES.toMillis(10));
 
-    assertThat(first.store.take(CRASHING).block()).isTrue();
-    assertThat(second.store.take(CRASHING).block()).isFalse();
+    assertThat(first.store.claim(CRASHING).block()).isTrue();
+    assertThat(second.store.claim(CRASHING).block()).isFalse();
   }
 
   private long countGrantedTrials(Box... claimants) {
     return List.of(claimants).stream()
-        .filter(box -> isDue(box.store.untilNext(CRASHING)))
-        .filter(box -> box.store.take(CRASHING).block())
+        .filter(box -> isDue(box.store.timeUntilNext(CRASHING)))
+        .filter(box -> box.store.claim(CRASHING).block())
         .count();
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/node/RestoredVerdictTableTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/RestoredVerdictTableTests.java
@@ -10,7 +10,7 @@
 import org.gradeledge.follow.TableRow;
 import org.gradeledge.quarantine.Quarantine;
 import org.gradeledge.quarantine.RequestFingerprint;
-import org.gradeledge.quarantine.SuspectNews;
+import org.gradeledge.quarantine.SuspectUpdate;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -40,7 +40,7 @@
   void reachVerdict() {
     channel.freezeTime();
     for (String incarnationId : List.of("a", "b", "c")) {
-      quarantine.endedUnder(CRASHING, incarnationId);
+      quarantine.recordCrash(CRASHING, incarnationId);
     }
     advance(10);
     read();
@@ -51,7 +51,7 @@
   void rewritesVerdictMissingFromBackup() {
     restoreBackup(List.of());
 
-    assertThat(quarantine.bars(CRASHING)).isTrue();
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
     advance(10);
     assertThat(table.keys()).containsExactly(KEY);
     assertThat(table.creationCount).isEqualTo(2);
@@ -61,7 +61,7 @@
   void rewritesVerdictThatWasNotReadBeforeRestore() {
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
     for (String incarnationId : List.of("d", "e", "f")) {
-      quarantine.endedUnder(other, incarnationId);
+      quarantine.recordCrash(other, incarnationId);
     }
     advance(10);
     advance(1);
@@ -74,7 +74,7 @@
 
   @Test
   void rewritesUsedTrialMissingFromBackup() {
-    store.take(CRASHING).block();
+    store.claim(CRASHING).block();
     read();
     List<TableRow> backup =
         table.content().rows().stream().filter(row -> row.key().equals(KEY)).toList();
@@ -82,7 +82,7 @@
     restoreBackup(backup);
     advance(10);
 
-    assertThat(store.untilNext(CRASHING).orElseThrow().toMinutes()).isGreaterThan(100);
+    assertThat(store.timeUntilNext(CRASHING).orElseThrow().toMinutes()).isGreaterThan(100);
     assertThat(table.keys()).containsExactlyInAnyOrder(KEY, FIRST_TRIAL);
   }
 
@@ -91,11 +91,11 @@
     List<TableRow> backup = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
-    assertThat(quarantine.bars(CRASHING)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isFalse();
 
     restoreBackup(backup);
 
-    assertThat(quarantine.bars(CRASHING)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isFalse();
     assertThat(table.keys()).isEmpty();
   }
 
@@ -109,7 +109,7 @@
     store.onChanges(new TableChanges(9, List.of(), List.of(key)));
     restoreBackup(List.of(table.content().rows().get(0), row));
 
-    assertThat(quarantine.bars(other)).isFalse();
+    assertThat(quarantine.isQuarantined(other)).isFalse();
     assertThat(table.keys()).containsExactly(KEY);
   }
 
@@ -119,12 +119,12 @@
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
     isWriter = false;
     quarantine.merge(
-        new SuspectNews(
+        new SuspectUpdate(
             List.of(new VerdictRow(other, List.of("d", "e", "f"), nowMillis).toReport(nowMillis)),
             List.of()));
     TableRow row = new VerdictRow(other, List.of("d", "e", "f"), nowMillis).toTableRow();
     advance(1);
-    quarantine.lift(other);
+    quarantine.withdrawCrashes(other);
     advance(1);
     isWriter = true;
 
@@ -186,14 +186,14 @@
     read();
     nowMillis += 5_000;
     for (String incarnationId : List.of("g", "h", "i")) {
-      quarantine.endedUnder(CRASHING, incarnationId);
+      quarantine.recordCrash(CRASHING, incarnationId);
     }
     advance(10);
 
     restoreBackup(backup);
     advance(10);
 
-    assertThat(quarantine.bars(CRASHING)).isTrue();
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
     assertThat(table.keys()).containsExactly(KEY);
   }
 
@@ -206,7 +206,7 @@
     table.remove(List.of(KEY)).block();
     read();
 
-    assertThat(quarantine.bars(CRASHING)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isFalse();
   }
 
   @Test
@@ -224,7 +224,7 @@
 
   private void restoreBackup(List<TableRow> backup) {
     table.restoreBackup(backup);
-    store.onOlderCopy();
+    store.onBackupRestored();
     read();
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedBox.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedBox.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.follow.FollowPace;
+import org.gradeledge.follow.PollingIntervals;
 import org.gradeledge.follow.TableFollower;
 
 /** Follows the list of upstreams like a box of a small deployment, in virtual time. */
@@ -36,11 +36,11 @@
             channel.eventLoop(),
             () -> TimeUnit.MILLISECONDS.toNanos(nowMillis),
             EventLogs.silent(),
-            new FollowPace(
+            new PollingIntervals(
                 () -> Duration.ZERO,
                 () -> maxLeavingDelay.dividedBy(2),
                 () -> PlatformFollowers.MAX_BACKOFF));
-    listener.setReadAction(follower::lookNow);
+    listener.setReadAction(follower::pollNow);
   }
 
   void follow() {
--- a/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedUpstreamTable.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedUpstreamTable.java
@@ -99,7 +99,7 @@
   }
 
   private TableChanges changesAfter(long afterRevision) {
-    if (TableRevision.era(afterRevision) != epoch) {
+    if (TableRevision.epoch(afterRevision) != epoch) {
       throw new HistoryLostException("another epoch");
     }
     long afterVersion = TableRevision.version(afterRevision);
--- a/gradeledge-core/src/test/java/org/gradeledge/quarantine/QuarantineTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/quarantine/QuarantineTests.java
@@ -14,137 +14,138 @@
 
 class QuarantineTests {
 
-  private static final RequestFingerprint GUILTY = new RequestFingerprint(1, 1, 11);
-  private static final RequestFingerprint INNOCENT = new RequestFingerprint(2, 2, 22);
+  private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 1, 11);
+  private static final RequestFingerprint HARMLESS = new RequestFingerprint(2, 2, 22);
 
   private long now = TimeUnit.DAYS.toNanos(1);
   private final Quarantine quarantine = new Quarantine(() -> now);
 
   @Test
-  void theThirdUpstreamThatEndsHoldsTheRequestBack() {
-    List<Verdict> verdicts = new ArrayList<>();
+  void quarantinesRequestAfterThirdCrash() {
+    List<QuarantineVerdict> verdicts = new ArrayList<>();
     quarantine.onVerdict(verdicts::add);
 
-    end(GUILTY, "a", "b");
-    assertThat(quarantine.bars(GUILTY)).isFalse();
-    assertThat(quarantine.endsUnder(GUILTY)).isEqualTo(2);
-    end(GUILTY, "c");
+    recordCrashes(CRASHING, "a", "b");
+    assertThat(quarantine.isQuarantined(CRASHING)).isFalse();
+    assertThat(quarantine.crashCount(CRASHING)).isEqualTo(2);
+    recordCrashes(CRASHING, "c");
 
-    assertThat(quarantine.bars(GUILTY)).isTrue();
-    assertThat(quarantine.bars(INNOCENT)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
+    assertThat(quarantine.isQuarantined(HARMLESS)).isFalse();
     assertThat(verdicts).hasSize(1);
-    assertThat(verdicts.get(0).starts()).containsExactly("a", "b", "c");
-    assertThat(verdicts.get(0).decidedHere()).isTrue();
+    assertThat(verdicts.get(0).incarnationIds()).containsExactly("a", "b", "c");
+    assertThat(verdicts.get(0).decidedLocally()).isTrue();
   }
 
   @Test
-  void oneUpstreamThatTookAlongSeveralCopiesCountsOnce() {
-    end(GUILTY, "a", "a", "a");
+  void countsCrashOfOneIncarnationOnce() {
+    recordCrashes(CRASHING, "a", "a", "a");
 
-    assertThat(quarantine.endsUnder(GUILTY)).isEqualTo(1);
+    assertThat(quarantine.crashCount(CRASHING)).isEqualTo(1);
   }
 
   @Test
-  void aWholeAnswerClearsARequest() {
-    end(INNOCENT, "a", "b");
-    pass(10);
-    quarantine.answered(INNOCENT);
-    pass(10);
-    end(INNOCENT, "c", "d");
+  void completeAnswerWithdrawsCrashes() {
+    recordCrashes(HARMLESS, "a", "b");
+    advance(10);
+    quarantine.recordSuccess(HARMLESS);
+    advance(10);
+    recordCrashes(HARMLESS, "c", "d");
 
-    assertThat(quarantine.endsUnder(INNOCENT)).isEqualTo(2);
-    assertThat(quarantine.bars(INNOCENT)).isFalse();
+    assertThat(quarantine.crashCount(HARMLESS)).isEqualTo(2);
+    assertThat(quarantine.isQuarantined(HARMLESS)).isFalse();
   }
 
   @Test
-  void whatEndedUnderAHeldBackRequestBlamesNobodyElse() {
-    end(GUILTY, "a", "b", "c", "d");
-    end(INNOCENT, "a", "b", "c");
+  void crashesOfQuarantinedRequestDoNotCountAgainstOthers() {
+    recordCrashes(CRASHING, "a", "b", "c", "d");
+    recordCrashes(HARMLESS, "a", "b", "c");
 
-    assertThat(quarantine.bars(GUILTY)).isTrue();
-    assertThat(quarantine.bars(INNOCENT)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
+    assertThat(quarantine.isQuarantined(HARMLESS)).isFalse();
   }
 
   @Test
-  void aRequestThatWasHeldBackBesideTheGuiltyOneIsLetGoOnceThatIsKnown() {
+  void releasesRequestWhenAnotherOneExplainsItsCrashes() {
     List<RequestFingerprint> released = new ArrayList<>();
     quarantine.onRelease(released::add);
-    end(INNOCENT, "a", "b", "c");
-    assertThat(quarantine.bars(INNOCENT)).isTrue();
+    recordCrashes(HARMLESS, "a", "b", "c");
+    assertThat(quarantine.isQuarantined(HARMLESS)).isTrue();
 
-    end(GUILTY, "a", "b", "c", "d");
+    recordCrashes(CRASHING, "a", "b", "c", "d");
 
-    assertThat(quarantine.bars(GUILTY)).isTrue();
-    assertThat(released).containsExactly(INNOCENT);
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
+    assertThat(released).containsExactly(HARMLESS);
   }
 
   @Test
-  void twoGuiltyRequestsThatOnceRanTogetherAreBothHeldBack() {
+  void quarantinesBothCrashingRequestsThatSharedOneCrash() {
     RequestFingerprint other = new RequestFingerprint(3, 3, 33);
-    end(GUILTY, "a", "b", "c");
-    end(other, "c", "d", "e", "f");
+    recordCrashes(CRASHING, "a", "b", "c");
+    recordCrashes(other, "c", "d", "e", "f");
 
-    assertThat(quarantine.bars(GUILTY)).isTrue();
-    assertThat(quarantine.bars(other)).isTrue();
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
+    assertThat(quarantine.isQuarantined(other)).isTrue();
   }
 
   /** A box that is cut off takes all upstreams to have ended; the others hear them. */
   @Test
-  void anUpstreamThatIsHeardLaterBlamesNobody() {
-    end(INNOCENT, "a", "b", "c");
-    pass(Quarantine.LATE_BYTES.toMillis());
-    quarantine.heardFrom("b");
-    assertThat(quarantine.bars(INNOCENT)).isTrue();
+  void refutesCrashOfUpstreamThatSendsLater() {
+    recordCrashes(HARMLESS, "a", "b", "c");
+    advance(Quarantine.MAX_READ_DELAY.toMillis());
+    quarantine.recordAlive("b");
+    assertThat(quarantine.isQuarantined(HARMLESS)).isTrue();
 
-    pass(1);
-    quarantine.heardFrom("b");
+    advance(1);
+    quarantine.recordAlive("b");
 
-    assertThat(quarantine.bars(INNOCENT)).isFalse();
-    assertThat(quarantine.endsUnder(INNOCENT)).isEqualTo(2);
+    assertThat(quarantine.isQuarantined(HARMLESS)).isFalse();
+    assertThat(quarantine.crashCount(HARMLESS)).isEqualTo(2);
   }
 
   @Test
-  void onlyRequestsOfAKnownShapeNeedALook() {
-    assertThat(quarantine.knowsShape(GUILTY.shape())).isFalse();
-    end(GUILTY, "a");
-    assertThat(quarantine.knowsShape(GUILTY.shape())).isTrue();
-    assertThat(quarantine.knowsShape(INNOCENT.shape())).isFalse();
+  void hasShapeHashOnlyWhileCrashesCount() {
+    assertThat(quarantine.hasShapeHash(CRASHING.shapeHash())).isFalse();
+    recordCrashes(CRASHING, "a");
+    assertThat(quarantine.hasShapeHash(CRASHING.shapeHash())).isTrue();
+    assertThat(quarantine.hasShapeHash(HARMLESS.shapeHash())).isFalse();
 
-    pass(1);
-    quarantine.answered(GUILTY);
+    advance(1);
+    quarantine.recordSuccess(CRASHING);
 
-    assertThat(quarantine.knowsShape(GUILTY.shape())).isFalse();
+    assertThat(quarantine.hasShapeHash(CRASHING.shapeHash())).isFalse();
   }
 
   @Test
-  void endsThatLedToNoVerdictAreForgottenAndVerdictsAreNot() {
-    end(GUILTY, "a", "b", "c");
-    end(INNOCENT, "d", "e");
-    pass(Suspects.KEPT.toMillis() + 1);
+  void evictsOldCrashesButKeepsVerdicts() {
+    recordCrashes(CRASHING, "a", "b", "c");
+    recordCrashes(HARMLESS, "d", "e");
+    advance(SuspectRegistry.RETENTION.toMillis() + 1);
 
-    end(new RequestFingerprint(9, 9, 9), "x");
+    recordCrashes(new RequestFingerprint(9, 9, 9), "x");
 
-    assertThat(quarantine.endsUnder(INNOCENT)).isZero();
-    assertThat(quarantine.bars(GUILTY)).isTrue();
+    assertThat(quarantine.crashCount(HARMLESS)).isZero();
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
   }
 
   /** An upstream takes hundreds along; the one that is looked for must not be lost among them. */
   @Test
-  void manyThatWereSeenOnceDoNotDriveOutWhatWasSeenTwice() {
-    end(GUILTY, "a", "b");
-    for (int number = 0; number < 3 * Suspects.MOST_REQUESTS; number++) {
-      pass(1);
-      end(new RequestFingerprint(number, 7, number), "b");
+  void evictsRequestsWithFewestCrashesFirst() {
+    recordCrashes(CRASHING, "a", "b");
+    for (int number = 0; number < 3 * SuspectRegistry.MAX_REQUESTS; number++) {
+      advance(1);
+      recordCrashes(new RequestFingerprint(number, 7, number), "b");
     }
-    end(GUILTY, "c");
+    recordCrashes(CRASHING, "c");
 
-    assertThat(quarantine.bars(GUILTY)).isTrue();
-    assertThat(quarantine.all().reports()).hasSizeLessThanOrEqualTo(Suspects.MOST_REQUESTS);
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
+    assertThat(quarantine.snapshot().reports())
+        .hasSizeLessThanOrEqualTo(SuspectRegistry.MAX_REQUESTS);
   }
 
   /** Whoever saw which end, and however the news travels, all boxes come to the same verdict. */
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void newsInAnyOrderAndAnyNumberOfTimesLeadsToTheSameVerdict(@ForAll long seed) {
+  void verdictIsIndependentOfOrderAndRepetitionOfUpdates(@ForAll long seed) {
     Random random = new Random(seed);
     List<Quarantine> boxes = new ArrayList<>();
     for (int box = 0; box < 4; box++) {
@@ -152,78 +153,78 @@
     }
     int ends = 1 + random.nextInt(6);
     for (int end = 0; end < ends; end++) {
-      boxes.get(random.nextInt(4)).endedUnder(GUILTY, "start-" + end);
-      boxes.get(random.nextInt(4)).endedUnder(INNOCENT, "start-" + random.nextInt(2));
+      boxes.get(random.nextInt(4)).recordCrash(CRASHING, "start-" + end);
+      boxes.get(random.nextInt(4)).recordCrash(HARMLESS, "start-" + random.nextInt(2));
     }
-    List<SuspectNews> news = new ArrayList<>();
-    boxes.forEach(box -> news.addAll(List.of(box.all(), box.all(), box.takeNews())));
+    List<SuspectUpdate> news = new ArrayList<>();
+    boxes.forEach(box -> news.addAll(List.of(box.snapshot(), box.snapshot(), box.takeUpdate())));
     for (Quarantine box : boxes) {
       Collections.shuffle(news, random);
       news.forEach(box::merge);
     }
 
     for (Quarantine box : boxes) {
-      assertThat(box.bars(GUILTY)).isEqualTo(ends >= Quarantine.ENDS_OF_VERDICT);
-      assertThat(box.bars(INNOCENT)).isFalse();
+      assertThat(box.isQuarantined(CRASHING)).isEqualTo(ends >= Quarantine.CRASHES_TO_QUARANTINE);
+      assertThat(box.isQuarantined(HARMLESS)).isFalse();
       assertThat(box.digest()).isEqualTo(boxes.get(0).digest());
     }
   }
 
   @Test
-  void whatIsToldOnceMoreIsNoNews() {
-    end(GUILTY, "a", "b");
+  void mergingKnownUpdateReportsNoChange() {
+    recordCrashes(CRASHING, "a", "b");
     Quarantine other = new Quarantine(() -> now);
 
-    assertThat(other.merge(quarantine.takeNews()).isEmpty()).isFalse();
+    assertThat(other.merge(quarantine.takeUpdate()).isEmpty()).isFalse();
 
-    assertThat(quarantine.takeNews().isEmpty()).isTrue();
-    assertThat(other.merge(quarantine.all()).isEmpty()).isTrue();
-    assertThat(other.takeNews().isEmpty()).isTrue();
+    assertThat(quarantine.takeUpdate().isEmpty()).isTrue();
+    assertThat(other.merge(quarantine.snapshot()).isEmpty()).isTrue();
+    assertThat(other.takeUpdate().isEmpty()).isTrue();
   }
 
   /** The store tells a verdict of before all boxes were lost. */
   @Test
-  void aVerdictThatIsToldHolds() {
+  void appliesReportedVerdict() {
     SuspectReport report =
         new SuspectReport(
-            GUILTY,
+            CRASHING,
             List.of(
-                new EndReport("a", 5, false),
-                new EndReport("b", 5, false),
-                new EndReport("c", 5, false)),
+                new CrashReport("a", 5, false),
+                new CrashReport("b", 5, false),
+                new CrashReport("c", 5, false)),
             true);
-    List<Verdict> verdicts = new ArrayList<>();
+    List<QuarantineVerdict> verdicts = new ArrayList<>();
     quarantine.onVerdict(verdicts::add);
 
-    quarantine.merge(new SuspectNews(List.of(report), List.of()));
+    quarantine.merge(new SuspectUpdate(List.of(report), List.of()));
 
-    assertThat(quarantine.bars(GUILTY)).isTrue();
-    assertThat(verdicts).extracting(Verdict::decidedHere).containsExactly(false);
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
+    assertThat(verdicts).extracting(QuarantineVerdict::decidedLocally).containsExactly(false);
   }
 
   @Test
-  void whatIsLiftedAtOneBoxIsLiftedAtAll() {
-    end(GUILTY, "a", "b", "c");
+  void withdrawalAppliesToAllBoxes() {
+    recordCrashes(CRASHING, "a", "b", "c");
     Quarantine other = new Quarantine(() -> now);
-    other.merge(quarantine.takeNews());
-    pass(200);
+    other.merge(quarantine.takeUpdate());
+    advance(200);
 
-    other.lift(GUILTY);
-    quarantine.merge(other.takeNews());
-    pass(200);
-    other.merge(quarantine.all());
+    other.withdrawCrashes(CRASHING);
+    quarantine.merge(other.takeUpdate());
+    advance(200);
+    other.merge(quarantine.snapshot());
 
-    assertThat(quarantine.bars(GUILTY)).isFalse();
-    assertThat(other.bars(GUILTY)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isFalse();
+    assertThat(other.isQuarantined(CRASHING)).isFalse();
   }
 
-  private void end(RequestFingerprint fingerprint, String... starts) {
+  private void recordCrashes(RequestFingerprint fingerprint, String... starts) {
     for (String start : starts) {
-      quarantine.endedUnder(fingerprint, start);
+      quarantine.recordCrash(fingerprint, start);
     }
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     now += TimeUnit.MILLISECONDS.toNanos(millis);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/quarantine/RequestFingerprintTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/quarantine/RequestFingerprintTests.java
@@ -12,44 +12,46 @@
 class RequestFingerprintTests {
 
   @Test
-  void whateverMakesARequestAnotherOneChangesIt() {
-    RequestFingerprint one = of("account", "POST", "host", "/path?q=1", "body");
+  void differsWhenAnyPartOfIdentityDiffers() {
+    RequestFingerprint one = fingerprint("account", "POST", "host", "/path?q=1", "body");
 
-    assertThat(of("account", "POST", "host", "/path?q=1", "body")).isEqualTo(one);
+    assertThat(fingerprint("account", "POST", "host", "/path?q=1", "body")).isEqualTo(one);
     assertThat(
             Stream.of(
-                of("other", "POST", "host", "/path?q=1", "body"),
-                of("account", "PUT", "host", "/path?q=1", "body"),
-                of("account", "POST", "other", "/path?q=1", "body"),
-                of("account", "POST", "host", "/path?q=2", "body"),
-                of("account", "POST", "host", "/path?q=1", "bodz"),
-                of("accountP", "OST", "host", "/path?q=1", "body"),
-                of("account", "POST", "host/", "path?q=1", "body")))
+                fingerprint("other", "POST", "host", "/path?q=1", "body"),
+                fingerprint("account", "PUT", "host", "/path?q=1", "body"),
+                fingerprint("account", "POST", "other", "/path?q=1", "body"),
+                fingerprint("account", "POST", "host", "/path?q=2", "body"),
+                fingerprint("account", "POST", "host", "/path?q=1", "bodz"),
+                fingerprint("accountP", "OST", "host", "/path?q=1", "body"),
+                fingerprint("account", "POST", "host/", "path?q=1", "body")))
         .doesNotContain(one);
   }
 
   @Test
-  void aRequestOfAnotherLengthOrPathHasAnotherShape() {
-    int shape = new RequestIdentity("", "", "host", "/path", new byte[3]).shape();
-
-    assertThat(of("account", "POST", "host", "/path", "abc").shape()).isEqualTo(shape);
-    assertThat(of("account", "POST", "host", "/path", "abcd").shape()).isNotEqualTo(shape);
-    assertThat(of("account", "POST", "host", "/other", "abc").shape()).isNotEqualTo(shape);
+  void shapeHashDependsOnPathAndBodyLength() {
+    int shape = new RequestIdentity("", "", "host", "/path", new byte[3]).shapeHash();
+
+    assertThat(fingerprint("account", "POST", "host", "/path", "abc").shapeHash()).isEqualTo(shape);
+    assertThat(fingerprint("account", "POST", "host", "/path", "abcd").shapeHash())
+        .isNotEqualTo(shape);
+    assertThat(fingerprint("account", "POST", "host", "/other", "abc").shapeHash())
+        .isNotEqualTo(shape);
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void theTextNamesTheSame(@ForAll long high, @ForAll long low, @ForAll int shape) {
+  void parsesOwnText(@ForAll long high, @ForAll long low, @ForAll int shape) {
     RequestFingerprint fingerprint = new RequestFingerprint(high, low, shape);
 
     assertThat(RequestFingerprint.parse(fingerprint.toString())).contains(fingerprint);
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-  void otherTextsNameNone(@ForAll String text) {
+  void rejectsOtherTexts(@ForAll String text) {
     assertThat(RequestFingerprint.parse(text + "x")).isEmpty();
   }
 
-  private static RequestFingerprint of(
+  private static RequestFingerprint fingerprint(
       String account, String method, String host, String uri, String body) {
     return new RequestIdentity(account, method, host, uri, body.getBytes(StandardCharsets.UTF_8))
         .fingerprint();
--- a/gradeledge-core/src/test/java/org/gradeledge/routing/UpstreamStateTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/routing/UpstreamStateTests.java
@@ -21,22 +21,22 @@
 
   @Test
   void anOlderReportDoesNotUndoALeave() {
-    state.report(report(1, 5, true));
-    state.report(report(1, 4, false));
-    state.report(report(1, 6, false));
+    state.applyReport(report(1, 5, true));
+    state.applyReport(report(1, 4, false));
+    state.applyReport(report(1, 6, false));
     assertThat(state.isLeaving()).isTrue();
-    state.report(report(2, 1, false));
+    state.applyReport(report(2, 1, false));
     assertThat(state.isLeaving()).isFalse();
-    state.report(report(1, 9, true));
+    state.applyReport(report(1, 9, true));
     assertThat(state.isLeaving()).isFalse();
   }
 
   @Test
   void aPeersWordOfAnOldIncarnationDoesNotCount() {
-    state.report(report(4, 1, false));
-    state.leaving(3);
+    state.applyReport(report(4, 1, false));
+    state.markLeaving(3);
     assertThat(state.isLeaving()).isFalse();
-    state.leaving(4);
+    state.markLeaving(4);
     assertThat(state.isLeaving()).isTrue();
   }
 
@@ -44,7 +44,7 @@
   void aLeavingUpstreamIsNeverChosen() {
     Router router = new Router(directory, RoutingPolicy.TWO_CHOICES.strategy("sofia-1"));
     assertThat(router.route(file, file.stages().get(0), Set.of())).contains(state);
-    state.leaving();
+    state.markLeaving();
     assertThat(router.route(file, file.stages().get(0), Set.of())).isEmpty();
   }
 
@@ -63,17 +63,17 @@
 
   @Test
   void othersLoadCountsForLessAsTheReportAges() {
-    state.report(report(1, 1, false));
+    state.applyReport(report(1, 1, false));
     Duration halfLife = Duration.ofNanos(100);
-    assertThat(state.othersInFlight(halfLife)).isEqualTo(8);
+    assertThat(state.otherBoxesInFlight(halfLife)).isEqualTo(8);
     nanos = 100;
-    assertThat(state.othersInFlight(halfLife)).isEqualTo(4);
+    assertThat(state.otherBoxesInFlight(halfLife)).isEqualTo(4);
   }
 
   private void fail(int times) {
     for (int i = 0; i < times; i++) {
-      state.started();
-      state.failed();
+      state.recordCallStarted();
+      state.recordCallFailed();
     }
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/selection/ChoiceBenchmark.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/selection/ChoiceBenchmark.java
@@ -38,26 +38,26 @@
   public String size;
 
   private final Random random = new Random(1);
-  private LoadBoard board;
+  private UpstreamLoads loads;
   private UpstreamChooser chooser;
   private List<UpstreamRecord> upstreams;
-  private Map<String, LoadShare> shares;
-  private int boxes;
+  private Map<String, BoxLoad> peerLoads;
+  private int boxCount;
 
   /** Creates upstreams and what all boxes have told of their load. */
   @Setup(Level.Trial)
-  public void fill() {
+  public void setUp() {
     String[] parts = size.split("x");
-    boxes = Integer.parseInt(parts[0]);
-    board = new LoadBoard(MonotonicClock.system(), EventLogs.silent());
+    boxCount = Integer.parseInt(parts[0]);
+    loads = new UpstreamLoads(MonotonicClock.system(), EventLogs.silent());
     upstreams =
         IntStream.range(0, Integer.parseInt(parts[1])).mapToObj(ChoiceBenchmark::upstream).toList();
-    shares = new HashMap<>();
-    upstreams.forEach(each -> shares.put(each.id(), new LoadShare(2, 9_000)));
-    IntStream.range(0, boxes).forEach(box -> board.setPeerShares("box-" + box, shares));
+    peerLoads = new HashMap<>();
+    upstreams.forEach(each -> peerLoads.put(each.id(), new BoxLoad(2, 9_000)));
+    IntStream.range(0, boxCount).forEach(box -> loads.setPeerLoads("box-" + box, peerLoads));
     chooser =
         new PrefixAffinityChooser(
-            board, new LeastLoadedChooser(board, new Random(2)), upstream -> 250_000);
+            loads, new LeastLoadedChooser(loads, new Random(2)), upstream -> 250_000);
   }
 
   private static UpstreamRecord upstream(int number) {
@@ -67,20 +67,20 @@
 
   /** Chooses for a request that shares a part of its prompt with others. */
   @Benchmark
-  public Optional<UpstreamRecord> withSharedPrompt() {
+  public Optional<UpstreamRecord> chooseBySharedPrompt() {
     Optional<String> key = Optional.of("part-" + random.nextInt(1_000));
     return chooser.choose(upstreams, new Demand(key, 6_300, 9_190, "zone-1", 0));
   }
 
   /** Chooses for a request that shares nothing. */
   @Benchmark
-  public Optional<UpstreamRecord> byLoadAlone() {
+  public Optional<UpstreamRecord> chooseByLoad() {
     return chooser.choose(upstreams, new Demand(Optional.empty(), 0, 1_000, "zone-1", 0));
   }
 
   /** Takes in what one other box tells. */
   @Benchmark
-  public void hearLoadOfOneBox() {
-    board.setPeerShares("box-" + random.nextInt(boxes), shares);
+  public void updateLoadOfOnePeer() {
+    loads.setPeerLoads("box-" + random.nextInt(boxCount), peerLoads);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/selection/LeastLoadedChooserTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/selection/LeastLoadedChooserTests.java
@@ -15,36 +15,37 @@
 
   private static final Demand DEMAND = new Demand(Optional.empty(), 0, 0, "zone", 0);
 
-  private final LoadBoard board = new LoadBoard(MonotonicClock.system(), EventLogs.silent());
-  private final LeastLoadedChooser chooser = new LeastLoadedChooser(board, new Random(1));
+  private final UpstreamLoads loads =
+      new UpstreamLoads(MonotonicClock.system(), EventLogs.silent());
+  private final LeastLoadedChooser chooser = new LeastLoadedChooser(loads, new Random(1));
   private final UpstreamRecord one = upstream("one");
   private final UpstreamRecord two = upstream("two");
 
   @Test
-  void oneThatWasNeverUsedIsTried() {
-    board.succeeded(one, 2);
+  void choosesUpstreamThatWasNeverUsed() {
+    loads.recordSuccess(one, 2);
 
     assertThat(timesChosen(two)).isPositive();
   }
 
   @Test
-  void aSlowerOneIsChosenLessOften() {
-    board.succeeded(one, 20);
-    board.succeeded(two, 60);
+  void choosesSlowerUpstreamLessOften() {
+    loads.recordSuccess(one, 20);
+    loads.recordSuccess(two, 60);
 
     assertThat(timesChosen(one)).isGreaterThan(timesChosen(two));
   }
 
   @Test
-  void oneWhoseSlotsAreTakenIsPassedOver() {
-    IntStream.range(0, 8).forEach(i -> board.started(one, 0));
+  void skipsUpstreamWithoutFreeSlots() {
+    IntStream.range(0, 8).forEach(i -> loads.recordStart(one, 0));
 
     assertThat(timesChosen(one)).isZero();
   }
 
   @Test
-  void oneThatFailsIsChosenLessOften() {
-    IntStream.range(0, 2).forEach(i -> board.failed(one, false, "status 500"));
+  void choosesFailingUpstreamLessOften() {
+    IntStream.range(0, 2).forEach(i -> loads.recordFailure(one, false, "status 500"));
 
     assertThat(timesChosen(two)).isGreaterThan(timesChosen(one));
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/selection/PrefixAffinityChooserTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/selection/PrefixAffinityChooserTests.java
@@ -14,17 +14,18 @@
 
 class PrefixAffinityChooserTests {
 
-  private static final long MEMORY = 100_000;
+  private static final long MEMORY_TOKENS = 100_000;
 
-  private final LoadBoard board = new LoadBoard(MonotonicClock.system(), EventLogs.silent());
-  private final PrefixAffinityChooser chooser = chooser(board);
+  private final UpstreamLoads loads =
+      new UpstreamLoads(MonotonicClock.system(), EventLogs.silent());
+  private final PrefixAffinityChooser chooser = chooser(loads);
   private final List<UpstreamRecord> upstreams =
       IntStream.range(0, 4).mapToObj(i -> upstream("u" + i, "zone-" + i % 2)).toList();
 
   @Test
-  void allBoxesSendTheSamePromptToTheSameUpstream() {
+  void allBoxesChooseSameUpstreamForSamePrompt() {
     PrefixAffinityChooser otherBox =
-        chooser(new LoadBoard(MonotonicClock.system(), EventLogs.silent()));
+        chooser(new UpstreamLoads(MonotonicClock.system(), EventLogs.silent()));
 
     for (int i = 0; i < 50; i++) {
       Demand demand = demand("part-" + i, "zone-0", 0);
@@ -33,7 +34,7 @@
   }
 
   @Test
-  void promptsAreSpreadOverUpstreams() {
+  void spreadsPromptsOverUpstreams() {
     long used =
         IntStream.range(0, 100)
             .mapToObj(
@@ -46,34 +47,34 @@
   }
 
   @Test
-  void anUpstreamFarAboveTheMeanIsPassedOver() {
+  void skipsUpstreamLoadedFarAboveMean() {
     Demand demand = demand("part", "zone-0", 0);
     UpstreamRecord first = chooser.choose(upstreams, demand).orElseThrow();
-    IntStream.range(0, 10).forEach(i -> board.started(first, 5_000));
+    IntStream.range(0, 10).forEach(i -> loads.recordStart(first, 5_000));
 
     assertThat(chooser.choose(upstreams, demand)).isPresent().get().isNotEqualTo(first);
   }
 
   @Test
-  void whatPeersSendThereCountsToo() {
+  void countsLoadOfPeers() {
     Demand demand = demand("part", "zone-0", 0);
     UpstreamRecord first = chooser.choose(upstreams, demand).orElseThrow();
-    board.setPeerShares("other", java.util.Map.of(first.id(), new LoadShare(10, 50_000)));
+    loads.setPeerLoads("other", java.util.Map.of(first.id(), new BoxLoad(10, 50_000)));
 
     assertThat(chooser.choose(upstreams, demand)).isPresent().get().isNotEqualTo(first);
   }
 
   @Test
-  void anUpstreamThatCannotBeConnectedToIsAvoided() {
+  void avoidsUpstreamThatRefusesConnections() {
     Demand demand = demand("part", "zone-0", 0);
     UpstreamRecord first = chooser.choose(upstreams, demand).orElseThrow();
-    board.failed(first, true, "NOT_CONNECTED");
+    loads.recordFailure(first, true, "NOT_CONNECTED");
 
     assertThat(chooser.choose(upstreams, demand)).isPresent().get().isNotEqualTo(first);
   }
 
   @Test
-  void largeInputsDrawTheRequestIntoTheirZone() {
+  void prefersZoneOfLargeInputs() {
     for (int i = 0; i < 20; i++) {
       Demand demand = demand("part-" + i, "zone-1", 10_000_000);
       assertThat(chooser.choose(upstreams, demand).map(UpstreamRecord::zone)).contains("zone-1");
@@ -81,15 +82,15 @@
   }
 
   @Test
-  void whereAllAreAvoidedOneIsChosenAllTheSame() {
-    upstreams.forEach(each -> board.failed(each, true, "NOT_CONNECTED"));
+  void choosesAvoidedUpstreamWhenAllAreAvoided() {
+    upstreams.forEach(each -> loads.recordFailure(each, true, "NOT_CONNECTED"));
 
     assertThat(chooser.choose(upstreams, demand("part", "zone-0", 0))).isPresent();
   }
 
-  private static PrefixAffinityChooser chooser(LoadBoard board) {
+  private static PrefixAffinityChooser chooser(UpstreamLoads board) {
     return new PrefixAffinityChooser(
-        board, new LeastLoadedChooser(board, new Random(1)), upstream -> MEMORY);
+        board, new LeastLoadedChooser(board, new Random(1)), upstream -> MEMORY_TOKENS);
   }
 
   private static Demand demand(String part, String zone, long zoneBytes) {
