--- a/gradeledge-core/src/main/java/org/gradeledge/node/BoxServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/BoxServices.java
@@ -37,7 +37,7 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.resources.ConnectionProvider;
 
-/** The collaborators of one box, made from its settings; nothing runs yet. */
+/** Creates the components of a box from its settings without starting them. */
 final class BoxServices {
 
   private static final int PLATFORM_CONNECTIONS = 16;
@@ -117,7 +117,7 @@
             metrics,
             clock);
     this.audit = new AuditTrail(table);
-    registry.addListener(version -> takeOver(version, limits));
+    registry.addListener(version -> applyVersion(version, limits));
     metrics.gauge("gradeledge_requests_in_progress", "Requests in progress", gate::inProgress);
   }
 
@@ -128,7 +128,7 @@
     upstreamConnections.dispose();
   }
 
-  private void takeOver(PipelineVersion version, RequestLimits limits) {
+  private void applyVersion(PipelineVersion version, RequestLimits limits) {
     limits.update(version.file());
     upstreams.retain(
         registry.all().stream().flatMap(each -> each.file().upstreams().stream()).toList());
@@ -153,7 +153,7 @@
     try {
       return Files.readString(file).strip();
     } catch (IOException e) {
-      throw new UncheckedIOException("the peer secret must be readable: " + file, e);
+      throw new UncheckedIOException("Cannot read the peer secret: " + file, e);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
@@ -16,110 +16,113 @@
 import org.gradeledge.follow.TableRow;
 
 /**
- * Takes on what the operator orders: offers each configuration document to the registry, and keeps
- * the zones that are evacuated. Confined to the event loop.
+ * Applies the rows that an operator writes: offers configuration documents to the registry and
+ * updates the evacuated zones. Confined to the event loop.
  */
 final class OperatorTableListener implements TableListener {
 
   private static final String SOURCE = "platform";
 
-  /** As long as upstreams are given to write their entries again after an outage. */
-  private static final Duration WRITTEN_AGAIN = Duration.ofSeconds(2);
+  /** Time allowed for writing rows again after a backup was restored. */
+  private static final Duration REWRITE_TIME = Duration.ofSeconds(2);
 
-  private final OperatorOrderReader orders;
+  private final OperatorRowReader rowReader;
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final Runnable onEvacuations;
+  private final Runnable evacuationListener;
   private final EventLoop loop;
-  private final Set<String> evacuated = new HashSet<>();
+  private final Set<String> tableZones = new HashSet<>();
 
-  /** What holds against the table while its orders are yet to be written again; else the same. */
-  private final Set<String> inForce = new HashSet<>();
+  /**
+   * Zones currently evacuated. Differs from the table while rows may be missing after a restore.
+   */
+  private final Set<String> effectiveZones = new HashSet<>();
 
-  private int copies;
-  private boolean settling;
+  private int restoreCount;
+  private boolean awaitingRewrites;
   private long revision;
 
   OperatorTableListener(
-      OperatorOrderReader orders,
+      OperatorRowReader rowReader,
       DeploymentRegistry deployments,
       UpstreamRegistry upstreams,
       EventLoop loop,
-      Runnable onEvacuations) {
-    this.orders = orders;
+      Runnable evacuationListener) {
+    this.rowReader = rowReader;
     this.deployments = deployments;
     this.upstreams = upstreams;
     this.loop = loop;
-    this.onEvacuations = onEvacuations;
+    this.evacuationListener = evacuationListener;
   }
 
   @Override
   public void onContent(TableContent content) {
-    evacuated.clear();
-    zones(content.rows().stream().map(TableRow::key)).forEach(evacuated::add);
-    if (!settling) {
-      putInForce(evacuated);
+    tableZones.clear();
+    evacuatedZones(content.rows().stream().map(TableRow::key)).forEach(tableZones::add);
+    if (!awaitingRewrites) {
+      setEffectiveZones(tableZones);
     }
-    tell(content.revision());
-    offer(content.rows());
+    applyEvacuations(content.revision());
+    offerConfigurations(content.rows());
   }
 
   @Override
   public void onChanges(TableChanges changes) {
-    List<String> put = zones(changes.put().stream().map(TableRow::key)).toList();
-    List<String> removed = zones(changes.removed().stream()).toList();
-    for (Set<String> zones : List.of(evacuated, inForce)) {
-      zones.addAll(put);
+    List<String> added = evacuatedZones(changes.put().stream().map(TableRow::key)).toList();
+    List<String> removed = evacuatedZones(changes.removed().stream()).toList();
+    for (Set<String> zones : List.of(tableZones, effectiveZones)) {
+      zones.addAll(added);
       removed.forEach(zones::remove);
     }
-    tell(changes.revision());
-    offer(changes.put());
+    applyEvacuations(changes.revision());
+    offerConfigurations(changes.put());
   }
 
   /**
-   * What the copy lacks or has again was ordered or lifted since it was taken, and holds until the
-   * operator has had the time to write it anew. What is written meanwhile holds at once.
+   * Keeps the current evacuations until the operator has had time to write them again. Changes
+   * written in the meantime apply immediately.
    */
   @Override
   public void onBackupRestored() {
-    int number = ++copies;
-    settling = true;
-    putInForce(upstreams.evacuations().zones());
-    loop.schedule(() -> settled(number), WRITTEN_AGAIN.toMillis(), TimeUnit.MILLISECONDS);
+    int restore = ++restoreCount;
+    awaitingRewrites = true;
+    setEffectiveZones(upstreams.evacuations().zones());
+    loop.schedule(() -> endRewriteTime(restore), REWRITE_TIME.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void settled(int number) {
-    if (number == copies) {
-      settling = false;
-      putInForce(evacuated);
-      tell(revision);
+  private void endRewriteTime(int restore) {
+    if (restore == restoreCount) {
+      awaitingRewrites = false;
+      setEffectiveZones(tableZones);
+      applyEvacuations(revision);
     }
   }
 
-  private void putInForce(Set<String> zones) {
-    inForce.clear();
-    inForce.addAll(zones);
+  private void setEffectiveZones(Set<String> zones) {
+    effectiveZones.clear();
+    effectiveZones.addAll(zones);
   }
 
-  private Stream<String> zones(Stream<String> keys) {
-    return keys.flatMap(key -> orders.evacuatedZone(key).stream());
+  private Stream<String> evacuatedZones(Stream<String> keys) {
+    return keys.flatMap(key -> rowReader.evacuatedZone(key).stream());
   }
 
   /**
-   * An order is in force before a configuration that came with it is. What holds against a copy
-   * gives way to what is read, at whatever revision that stands.
+   * Applies evacuations before the configuration of the same read. While waiting for rows to be
+   * written again, uses the preceding revision so that a later read at the same revision is still
+   * applied.
    */
-  private void tell(long newRevision) {
+  private void applyEvacuations(long newRevision) {
     revision = newRevision;
-    long holds = settling ? revision - 1 : revision;
-    if (upstreams.applyEvacuations(new ZoneEvacuations(holds, inForce))) {
-      onEvacuations.run();
+    long effectiveRevision = awaitingRewrites ? revision - 1 : revision;
+    if (upstreams.applyEvacuations(new ZoneEvacuations(effectiveRevision, effectiveZones))) {
+      evacuationListener.run();
     }
   }
 
-  private void offer(List<TableRow> rows) {
+  private void offerConfigurations(List<TableRow> rows) {
     rows.stream()
-        .filter(row -> orders.isConfiguration(row.key()))
+        .filter(row -> rowReader.isConfiguration(row.key()))
         .forEach(row -> deployments.offer(row.value(), SOURCE));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/SendLimiters.java
@@ -23,19 +23,19 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Puts together what tells which upstreams take one more request of this box now, and hands on what
- * the heads of their answers say.
+ * Creates the limiters that decide whether an upstream accepts another request from this box, and
+ * updates them from the signals in answers of upstreams.
  */
-final class UpstreamSending {
+final class SendLimiters {
 
   private final MonotonicClock clock;
   private final UpstreamRegistry upstreams;
   private final Function<String, Optional<ServiceDefinition>> services;
   private final UpstreamLimits limits;
   private final UpstreamBackoffs backoffs;
-  private final UnreadableSignalLog unreadableLeaving;
+  private final UnreadableSignalLog unreadableLeavingSignals;
 
-  UpstreamSending(
+  SendLimiters(
       MonotonicClock clock,
       EventLog events,
       UpstreamRegistry upstreams,
@@ -45,30 +45,30 @@
     this.services = services;
     this.limits = new UpstreamLimits(clock, events, upstreams::all);
     this.backoffs = new UpstreamBackoffs(clock, events);
-    this.unreadableLeaving = new UnreadableSignalLog(events, "upstream-leaving-unreadable");
+    this.unreadableLeavingSignals = new UnreadableSignalLog(events, "upstream-leaving-unreadable");
   }
 
-  /** Returns the limits that are known. */
+  /** Returns the rate limits announced by upstreams. */
   UpstreamLimits limits() {
     return limits;
   }
 
-  /** Shows what upstreams say of themselves. */
-  void show(RelayMetrics metrics, UpstreamRateLimiter limited) {
-    metrics.registerLimits(limits::limitedCount, limited::skipped);
+  /** Registers metrics of announced limits, backoffs and leaving upstreams. */
+  void registerMetrics(RelayMetrics metrics, UpstreamRateLimiter rateLimiter) {
+    metrics.registerLimits(limits::limitedCount, rateLimiter::skipped);
     metrics.registerSignals(
         () -> upstreams.announcedLeaving().size(), backoffs::activeCount, backoffs::skipped);
   }
 
-  /** Reads what all answers say of their upstreams, and has the mesh tell what is new at once. */
-  void listen(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
+  /** Applies the signals in all answers and has the mesh announce changes immediately. */
+  void handleSignals(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
     caller.onResponse(
         (upstream, head) -> {
           UpstreamSignals signals =
               reader.read(head.request().uri(), head.status(), head.headers());
           limits.onAnswer(upstream, head.sentAtNanos(), signals.limit());
           backoffs.onAnswer(upstream, signals.backoff());
-          leaving(upstream, signals.leaving());
+          applyLeavingSignal(upstream, signals.leaving());
           if (head.closesConnection()) {
             upstreams.recordConnectionClose(upstream);
           }
@@ -78,45 +78,45 @@
     backoffs.onBackoffStarted(caller::backOff);
   }
 
-  private void leaving(UpstreamRecord upstream, LeavingAnnouncement statement) {
-    switch (statement.kind()) {
+  private void applyLeavingSignal(UpstreamRecord upstream, LeavingAnnouncement signal) {
+    switch (signal.kind()) {
       case LEAVES -> upstreams.recordLeavingAnnouncement(upstream);
-      case UNREADABLE -> unreadableLeaving.report(upstream, statement.text());
+      case UNREADABLE -> unreadableLeavingSignals.report(upstream, signal.text());
       case NOTHING -> {}
-      default -> throw new IllegalStateException("unknown statement " + statement.kind());
+      default -> throw new IllegalStateException("Unknown leaving signal: " + signal.kind());
     }
   }
 
-  /** Returns the rule of upstreams that want nothing from this box for a while. */
+  /** Returns the limiter for upstreams that requested a backoff. */
   SendLimiter backoffs() {
     return backoffs;
   }
 
-  /** Returns the rule of limits that upstreams name, for all requests. */
-  UpstreamRateLimiter limited(BoxMesh mesh) {
+  /** Creates the limiter that enforces the rate limits announced by upstreams. */
+  UpstreamRateLimiter rateLimit(BoxMesh mesh) {
     return new UpstreamRateLimiter(
         clock,
         limits,
         mesh::rank,
-        name -> services.apply(name).flatMap(ServiceDefinition::batch).isPresent());
+        name -> services.apply(name).flatMap(ServiceDefinition::batchLimits).isPresent());
   }
 
   /**
-   * Returns the rule of upstreams that are cold. Calls for stage work need none: one at a time,
-   * they are fewer than any cold upstream bears.
+   * Creates the limiter for upstreams that are cold. Calls for stage work are exempt: they are sent
+   * one at a time, below the limit of any cold upstream.
    *
-   * @param boxes how many boxes are heard, this one included
+   * @param boxCount number of known boxes including this one
    */
-  SendLimiter cold(IntSupplier boxes) {
-    ColdStartLimiter cold =
+  SendLimiter coldStart(IntSupplier boxCount) {
+    ColdStartLimiter limiter =
         new ColdStartLimiter(
             clock,
             new Random(),
-            boxes,
+            boxCount,
             service -> services.apply(service).flatMap(ServiceDefinition::coldStart));
-    upstreams.onCold(cold::onColdAnnounced);
-    upstreams.onRestored(zones -> cold.onRestored(upstreams.inZones(zones)));
-    upstreams.onRetired(cold::remove);
-    return cold;
+    upstreams.onCold(limiter::onColdAnnounced);
+    upstreams.onRestored(zones -> limiter.onRestored(upstreams.inZones(zones)));
+    upstreams.onRetired(limiter::remove);
+    return limiter;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
@@ -15,91 +15,92 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * Takes the list of upstreams into the registry. A row that cannot be read names no upstream: where
- * one stood under its key before, that is taken as missing until the row is whole again, since what
- * cannot be read may have said that the upstream leaves.
+ * Applies the list of upstreams to the registry. A row that cannot be read removes the upstream of
+ * its key until the row is readable again, as its content may announce that the upstream is
+ * leaving.
  */
 final class UpstreamTableListener implements TableListener {
 
-  /** Upstreams that live have renewed their entries by then after the platform's return. */
-  private static final Duration RENEWAL = Duration.ofMillis(2_000);
+  /** Time within which live upstreams renew their rows after an outage of the platform. */
+  private static final Duration RENEWAL_TIME = Duration.ofMillis(2_000);
 
   /**
-   * Part of the bound for upstreams that leave after which the list is judged. The rest is for the
-   * look that comes before, and for the way of what was sent a moment earlier.
+   * Share of the maximum leaving delay after which missing rows are treated as removed. The rest
+   * covers the preceding read and requests already sent.
    */
-  private static final double PART_OF_BOUND = 0.9;
+  private static final double SHARE_OF_LEAVING_DELAY = 0.9;
 
   private final UpstreamRegistry upstreams;
   private final UpstreamRowReader reader;
-  private final UnreadableRows unreadable;
-  private final Runnable onNews;
+  private final UnreadableRowLog unreadableRows;
+  private final Runnable changeListener;
   private final EventLoop loop;
-  private final long graceMillis;
-  private final SteadyReading reading;
-  private Runnable look = () -> {};
-  private boolean judging;
-  private int outages;
+  private final long renewalMillis;
+  private final ReadContinuityTracker readContinuity;
+  private Runnable readAction = () -> {};
+  private boolean awaitingConfirmation;
+  private int outageCount;
 
   /**
    * Creates the listener.
    *
-   * @param leavingBound time within which an upstream that leaves must get no new work
+   * @param maxLeavingDelay time within which a leaving upstream must stop receiving new requests
    */
   UpstreamTableListener(
       UpstreamRegistry upstreams,
       UpstreamRowReader reader,
-      UnreadableRows unreadable,
-      Runnable onNews,
+      UnreadableRowLog unreadableRows,
+      Runnable changeListener,
       EventLoop loop,
       MonotonicClock clock,
-      Duration leavingBound) {
+      Duration maxLeavingDelay) {
     this.upstreams = upstreams;
     this.reader = reader;
-    this.unreadable = unreadable;
-    this.onNews = onNews;
+    this.unreadableRows = unreadableRows;
+    this.changeListener = changeListener;
     this.loop = loop;
-    this.reading = new SteadyReading(clock);
-    upstreams.setTrustSupplier(reading::trust);
-    this.graceMillis =
-        Math.min(RENEWAL.toMillis(), (long) (leavingBound.toMillis() * PART_OF_BOUND));
+    this.readContinuity = new ReadContinuityTracker(clock);
+    upstreams.setTrustSupplier(readContinuity::trust);
+    this.renewalMillis =
+        Math.min(
+            RENEWAL_TIME.toMillis(), (long) (maxLeavingDelay.toMillis() * SHARE_OF_LEAVING_DELAY));
   }
 
-  /** Sets how the list is read at once. */
-  void onLook(Runnable action) {
-    look = action;
+  /** Sets the action that reads the list immediately. */
+  void setReadAction(Runnable action) {
+    readAction = action;
   }
 
   @Override
   public void onContent(TableContent content) {
-    upstreams.replaceAll(content.revision(), read(content.rows(), new ArrayList<>()));
+    upstreams.replaceAll(content.revision(), readRows(content.rows(), new ArrayList<>()));
   }
 
   @Override
   public void onChanges(TableChanges changes) {
-    unreadable.forget(changes.removed());
+    unreadableRows.remove(changes.removed());
     List<String> missing = new ArrayList<>(changes.removed());
-    List<UpstreamRecord> whole = read(changes.put(), missing);
-    tellIfNews(() -> upstreams.update(changes.revision(), whole, missing));
+    List<UpstreamRecord> readable = readRows(changes.put(), missing);
+    notifyIfChanged(() -> upstreams.update(changes.revision(), readable, missing));
   }
 
-  private void tellIfNews(Runnable change) {
-    long before = upstreams.changedAt();
+  private void notifyIfChanged(Runnable change) {
+    long previousRevision = upstreams.changedAt();
     change.run();
-    if (upstreams.changedAt() > before) {
-      onNews.run();
+    if (upstreams.changedAt() > previousRevision) {
+      changeListener.run();
     }
   }
 
   @Override
   public void onUnavailable() {
-    outages++;
-    judging = false;
+    outageCount++;
+    awaitingConfirmation = false;
     upstreams.distrustRemovals();
-    onNews.run();
+    changeListener.run();
   }
 
-  /** Whoever lives has written its entry again by the time that an outage's lapsed ones are. */
+  /** Treats a restored backup like an outage: live upstreams write their rows again. */
   @Override
   public void onBackupRestored() {
     onUnavailable();
@@ -109,59 +110,59 @@
 
   @Override
   public void onAvailableAgain() {
-    int ended = outages;
-    loop.schedule(() -> judge(ended), graceMillis, TimeUnit.MILLISECONDS);
+    int outage = outageCount;
+    loop.schedule(() -> confirmRemovalsAfter(outage), renewalMillis, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * What is missing from the next answer is gone. An answer from before may be as old as the pause
-   * between two looks, in which living upstreams have renewed their entries.
+   * Treats rows missing from the next answer as removed, unless another outage has begun. Earlier
+   * answers may predate the renewal of rows.
    */
-  private void judge(int ended) {
-    if (ended == outages) {
-      judgeNow();
+  private void confirmRemovalsAfter(int outage) {
+    if (outage == outageCount) {
+      confirmRemovals();
     }
   }
 
-  private void judgeNow() {
-    judging = true;
-    look.run();
+  private void confirmRemovals() {
+    awaitingConfirmation = true;
+    readAction.run();
   }
 
   /**
-   * Judges what is missing, as no other box doubts the list any more. One that has noticed the
-   * outage itself does so in its own time.
+   * Confirms removals once no other box distrusts the list. A box that noticed the outage itself
+   * confirms them after its own delay.
    */
-  void settled() {
+  void onListConfirmed() {
     if (upstreams.listTrust() != ListTrust.DOUBTED) {
-      judgeNow();
+      confirmRemovals();
     }
   }
 
   @Override
   public void onAnswerApplied() {
-    reading.answered();
-    if (judging) {
-      judging = false;
-      boolean doubted = upstreams.listTrust() == ListTrust.DOUBTED;
-      tellIfNews(upstreams::trustRemovals);
-      if (doubted) {
-        onNews.run();
+    readContinuity.recordAnswer();
+    if (awaitingConfirmation) {
+      awaitingConfirmation = false;
+      boolean distrusted = upstreams.listTrust() == ListTrust.DOUBTED;
+      notifyIfChanged(upstreams::trustRemovals);
+      if (distrusted) {
+        changeListener.run();
       }
     }
   }
 
-  /** Returns the upstreams that rows name, and adds the keys of the other rows to a list. */
-  private List<UpstreamRecord> read(List<TableRow> rows, List<String> unread) {
-    List<UpstreamRecord> whole = new ArrayList<>();
+  /** Returns the upstreams of readable rows and adds the keys of the other rows to a list. */
+  private List<UpstreamRecord> readRows(List<TableRow> rows, List<String> unreadableKeys) {
+    List<UpstreamRecord> readable = new ArrayList<>();
     for (TableRow row : rows) {
       reader
           .read(row)
-          .peek(whole::add)
-          .peek(upstream -> unreadable.forget(List.of(row.key())))
-          .peekLeft(why -> unreadable.add(row, why))
-          .peekLeft(why -> unread.add(row.key()));
+          .peek(readable::add)
+          .peek(upstream -> unreadableRows.remove(List.of(row.key())))
+          .peekLeft(reason -> unreadableRows.logIfChanged(row, reason))
+          .peekLeft(reason -> unreadableKeys.add(row.key()));
     }
-    return whole;
+    return readable;
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/deployment/DeploymentRegistryTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/deployment/DeploymentRegistryTests.java
@@ -17,13 +17,13 @@
           document ->
               document[0] == UNREADABLE
                   ? Either.left("bad")
-                  : Either.right(Deployments.of(document[0])),
+                  : Either.right(TestDeployments.of(document[0])),
           EventLogs.silent());
 
   @Test
-  void neverGoesBack() {
-    List<Long> taken = new ArrayList<>();
-    registry.onChange(next -> taken.add(next.revision()));
+  void ignoresOlderRevisions() {
+    List<Long> applied = new ArrayList<>();
+    registry.onChange(deployment -> applied.add(deployment.revision()));
 
     registry.offer(new byte[] {3}, "platform");
     registry.offer(new byte[] {2}, "peer");
@@ -31,11 +31,11 @@
     registry.offer(new byte[] {5}, "peer");
 
     assertThat(registry.revision()).isEqualTo(5);
-    assertThat(taken).containsExactly(3L, 5L);
+    assertThat(applied).containsExactly(3L, 5L);
   }
 
   @Test
-  void keepsTheLastGoodOneWhereADocumentCannotBeRead() {
+  void keepsLastReadableConfiguration() {
     registry.offer(new byte[] {3}, "platform");
     registry.offer(new byte[] {UNREADABLE}, "platform");
 
--- a/gradeledge-core/src/test/java/org/gradeledge/deployment/Deployments.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/deployment/TestDeployments.java
@@ -5,16 +5,16 @@
 import java.util.Optional;
 
 /** Configurations for tests. */
-public final class Deployments {
+public final class TestDeployments {
 
-  private Deployments() {}
+  private TestDeployments() {}
 
-  /** Returns a route with usual bounds. */
+  /** Returns a route with default limits. */
   public static RouteDefinition route(String host, String prefix, Repeatability repeatability) {
     return route(host, prefix, repeatability, List.of());
   }
 
-  /** Returns a route with usual bounds and stages. */
+  /** Returns a route with default limits and the given stages. */
   public static RouteDefinition route(
       String host, String prefix, Repeatability repeatability, List<StageWork> stages) {
     return new RouteDefinition(
@@ -31,7 +31,7 @@
         true);
   }
 
-  /** Returns a configuration of these routes. */
+  /** Returns a configuration of the given routes. */
   public static Deployment of(long revision, RouteDefinition... routes) {
     return new Deployment(
         revision,
@@ -39,7 +39,7 @@
         Map.of("service", new ServiceDefinition("service", 64, Optional.empty(), Optional.empty())),
         Map.of("known-key", new ClientAccount("account", Optional.of(0))),
         true,
-        new CallerBounds(16_384, 1_000_000, 3_000, 15_000),
+        new CallerLimits(16_384, 1_000_000, 3_000, 15_000),
         new byte[] {(byte) revision});
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/TableInMemory.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/FakeWritableTable.java
@@ -11,19 +11,19 @@
 import org.gradeledge.follow.WritableTable;
 import reactor.core.publisher.Mono;
 
-/** A table that several boxes of a test share; it answers at once, or not at all. */
-final class TableInMemory implements WritableTable {
+/** Table shared by the boxes of a test; answers immediately or fails while unavailable. */
+final class FakeWritableTable implements WritableTable {
 
-  boolean away;
-  int creations;
-  int removals;
+  boolean unavailable;
+  int creationCount;
+  int removalCount;
   private final TreeMap<String, TableRow> rows = new TreeMap<>();
   private long revision;
 
-  /** Comes back as a copy of some rows. */
-  void comeBackAs(List<TableRow> copy) {
+  /** Replaces the content with a restored backup. */
+  void restoreBackup(List<TableRow> backup) {
     rows.clear();
-    copy.forEach(row -> rows.put(row.key(), row));
+    backup.forEach(row -> rows.put(row.key(), row));
   }
 
   Set<String> keys() {
@@ -38,11 +38,11 @@
   public Mono<Boolean> create(TableRow row) {
     return Mono.fromCallable(
         () -> {
-          if (away) {
-            throw new IOException("the table is away");
+          if (unavailable) {
+            throw new IOException("the table is unavailable");
           }
           boolean created = rows.putIfAbsent(row.key(), row) == null;
-          creations += created ? 1 : 0;
+          creationCount += created ? 1 : 0;
           revision++;
           return created;
         });
@@ -52,11 +52,11 @@
   public Mono<Void> remove(List<String> keys) {
     return Mono.fromCallable(
             () -> {
-              if (away) {
-                throw new IOException("the table is away");
+              if (unavailable) {
+                throw new IOException("the table is unavailable");
               }
               keys.forEach(rows::remove);
-              removals++;
+              removalCount++;
               return revision++;
             })
         .then();
