--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -248,10 +248,7 @@
       return;
     }
     resultMemory.add(
-        handle,
-        upstream.incarnationId(),
-        group.group().resultBytes(),
-        limits.resultRetentionMillis());
+        handle, upstream.incarnationId(), group.group().resultBytes(), limits.retentionMillis());
     group.pieceCompleted(piece.index(), handle);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/BatchLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/BatchLimits.java
@@ -8,7 +8,7 @@
  * @param fixedCallMillis fixed time of a call
  * @param millisPerItem approximate additional time for each item
  * @param memoryBytes memory for results
- * @param resultRetentionMillis time for which a result is kept unless it is released
+ * @param retentionMillis time for which a result is kept unless it is released
  * @since 0.2
  */
 public record BatchLimits(
@@ -17,7 +17,7 @@
     double fixedCallMillis,
     double millisPerItem,
     long memoryBytes,
-    long resultRetentionMillis) {
+    long retentionMillis) {
 
   /** Validates the limits. */
   public BatchLimits {
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListFormat.java
@@ -39,7 +39,7 @@
   private static void write(MessagePacker packer, UpstreamRecord upstream) throws IOException {
     packer.packMapHeader(RECORD_FIELDS);
     packer.packString(ID).packString(upstream.id());
-    packer.packString(BORN).packLong(upstream.startedAtMillis());
+    packer.packString(BORN).packLong(upstream.born());
     packer.packString(SERVICE).packString(upstream.service());
     packer.packString(HOST).packString(upstream.host());
     packer.packString(PORT).packInt(upstream.port());
