--- a/gradeledge-core/src/main/java/org/gradeledge/node/GradeledgeBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/GradeledgeBox.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 import org.gradeledge.caller.CallerRoutes;
 import org.gradeledge.http.HttpListener;
-import org.gradeledge.membership.GoneMembers;
 import org.gradeledge.membership.MemberRow;
 import org.gradeledge.membership.MembershipService;
+import org.gradeledge.membership.UnlistedMemberTracker;
 import org.gradeledge.operator.OperatorRoutes;
 import org.gradeledge.platform.BoxState;
 import org.gradeledge.platform.ListedBox;
@@ -125,7 +125,7 @@
             services.changes,
             services.peers,
             services.upstreams,
-            new GoneMembers(
+            new UnlistedMemberTracker(
                 services.timing.membershipBound(), services.timing.poll(), services.clock),
             services.clock,
             this::join);
@@ -166,7 +166,7 @@
         .doOnNext(
             joined -> {
               self = joined;
-              services.membership.joined(joined.incarnation());
+              services.membership.recordJoin(joined.incarnation());
               services.peers.setIncarnation(joined.incarnation());
             })
         .then(Mono.defer(() -> announce(BoxState.LIVE).onErrorComplete()));
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
@@ -60,7 +60,7 @@
         .forEach(
             peer -> {
               boolean confirms =
-                  serving && membership.members().confirms(peer.boxId(), peer.incarnation());
+                  serving && membership.members().isActiveMember(peer.boxId(), peer.incarnation());
               Heartbeat heartbeat =
                   new Heartbeat(
                       new Heartbeat.Stamp(membership.incarnation(), clock.nanos()),
@@ -85,7 +85,7 @@
     heartbeat.leaving().forEach(this::noteLeaving);
     return Flux.fromIterable(heartbeat.versions().entrySet())
         .concatMap(
-            version -> fetcher.bringInForceFrom(from.boxId(), version.getKey(), version.getValue()))
+            version -> fetcher.installFromPeer(from.boxId(), version.getKey(), version.getValue()))
         .then(
             Mono.fromRunnable(
                 () -> {
@@ -100,7 +100,7 @@
    * stamp that it brings back does, since the peer had it before it sent.
    */
   private void confirmedAsOf(Heartbeat.Stamp echo) {
-    membership.confirmed(echo.incarnation(), echo.nanos());
+    membership.recordConfirmation(echo.incarnation(), echo.nanos());
   }
 
   private void noteLeaving(Heartbeat.LeavingUpstream leaving) {
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
@@ -7,11 +7,11 @@
 import org.gradeledge.change.ChangeHeads;
 import org.gradeledge.change.ChangeService;
 import org.gradeledge.configuration.PipelineVersion;
-import org.gradeledge.membership.GoneMembers;
 import org.gradeledge.membership.MemberRow;
 import org.gradeledge.membership.MemberSet;
 import org.gradeledge.membership.Membership;
 import org.gradeledge.membership.MembershipService;
+import org.gradeledge.membership.UnlistedMemberTracker;
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.platform.BoxList;
 import org.gradeledge.platform.BoxState;
@@ -42,7 +42,7 @@
   private final ChangeService changes;
   private final PeerNetwork peers;
   private final UpstreamDirectory upstreams;
-  private final GoneMembers gone;
+  private final UnlistedMemberTracker gone;
   private final MonotonicClock clock;
   private final Supplier<Mono<Void>> rejoin;
 
@@ -58,7 +58,7 @@
       ChangeService changes,
       PeerNetwork peers,
       UpstreamDirectory upstreams,
-      GoneMembers gone,
+      UnlistedMemberTracker gone,
       MonotonicClock clock,
       Supplier<Mono<Void>> rejoin) {
     this.table = table;
@@ -79,7 +79,7 @@
         () -> {
           long startNanos = clock.nanos();
           long incarnation = membership.incarnation();
-          List<PipelineVersion> open = changes.learner().openBeforeRead();
+          List<PipelineVersion> open = changes.verdictApplier().preparedBeforeRead();
           return table
               .read(HEADS)
               .flatMap(
@@ -94,7 +94,7 @@
   public Mono<Void> readList() {
     return boxList
         .list()
-        .doOnError(e -> gone.listUnknown())
+        .doOnError(e -> gone.listUnavailable())
         .flatMap(
             boxes -> {
               noteLeavingUpstreams(boxes);
@@ -121,14 +121,17 @@
   }
 
   private Mono<Void> learn(ChangeHeads heads, List<PipelineVersion> open) {
-    return changes.learner().learn(heads, open).then(changes.abandoned().observe(heads));
+    return changes
+        .verdictApplier()
+        .apply(heads, open)
+        .then(changes.abandonedSubmissionCleaner().refuseExpired(heads));
   }
 
   private Mono<Void> confirmOrRejoin(long incarnation, long startNanos) {
     return Mono.defer(
         () -> {
-          if (membership.members().confirms(membership.boxId(), incarnation)) {
-            membership.confirmed(incarnation, startNanos);
+          if (membership.members().isActiveMember(membership.boxId(), incarnation)) {
+            membership.recordConfirmation(incarnation, startNanos);
             return Mono.empty();
           }
           return rejoin.get();
@@ -148,12 +151,12 @@
 
   private Mono<Void> removeGone(MemberSet members) {
     Mono<Void> marking =
-        Flux.fromIterable(gone.toMark(members))
+        Flux.fromIterable(gone.membersToMark(members))
             .filter(member -> !member.boxId().equals(membership.boxId()))
             .concatMap(member -> membershipService.markRemoving(members, member))
             .then();
     Mono<Void> removing =
-        Flux.fromIterable(gone.toRemove(members))
+        Flux.fromIterable(gone.membersToRemove(members))
             .concatMap(member -> membershipService.delete(members, member.boxId()))
             .then();
     return marking.then(removing);
