--- a/gradeledge-core/src/main/java/org/gradeledge/change/AbandonedSubmissionCleaner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/AbandonedSubmissionCleaner.java
@@ -10,8 +10,9 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Refuses submissions that stay staged for too long, since their submitter died or froze; the
- * staged row's revision keeps a submitter that wakes from accepting one. Not thread-safe.
+ * Refuses submissions that stay staged longer than a timeout because the submitting box crashed or
+ * was suspended. The write is conditional on the revision of the staged row, so that a submitter
+ * that resumes cannot accept a submission that was refused here. Not thread-safe.
  *
  * @since 0.1
  */
@@ -22,13 +23,15 @@
   private final MonotonicClock clock;
   private final Map<String, Long> firstSeenNanos = new HashMap<>();
 
-  AbandonedSubmissionCleaner(SubmissionStore store, Duration bound, MonotonicClock clock) {
+  AbandonedSubmissionCleaner(SubmissionStore store, Duration timeout, MonotonicClock clock) {
     this.store = store;
-    this.timeout = bound;
+    this.timeout = timeout;
     this.clock = clock;
   }
 
-  /** Takes in one read of the heads and refuses what has been staged for longer than the bound. */
+  /**
+   * Refuses the submissions in a read of the heads that have been staged longer than the timeout.
+   */
   public Mono<Void> refuseExpired(ChangeHeads heads) {
     long now = clock.nanos();
     firstSeenNanos
@@ -53,7 +56,7 @@
             RefusalCause.ABANDONED,
             "its submitter gave no verdict in time")
         .filter(CommitResult::committed)
-        .doOnNext(result -> Logger.warn("abandoned change refused: submission={}", record.id()))
+        .doOnNext(result -> Logger.warn("refused abandoned submission: submission={}", record.id()))
         .then();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeCoordinator.java
@@ -13,12 +13,12 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Takes a submission from its file to its verdict: stage, prepare on every member, accept or refuse
- * in one transaction, install everywhere.
+ * Coordinates the two-phase commit of a submission: stages it, prepares it on every member, accepts
+ * or refuses it in one transaction, and installs an accepted version on the members.
  *
- * <p>A write whose answer is lost is never made again blindly; the submission's row is read back.
- * Where the verdict cannot be told, the answer is {@link SubmissionState#UNKNOWN} and another box
- * settles what stays staged. Thread-safe.
+ * <p>If the response to a write is lost, the submission's row is read back instead of repeating the
+ * write. If the verdict cannot be determined, the result is {@link SubmissionState#UNKNOWN} and
+ * another box refuses the submission if it stays staged. Thread-safe.
  *
  * @since 0.1
  */
@@ -36,25 +36,25 @@
   ChangeCoordinator(
       SubmissionStore store,
       MembershipService membership,
-      ParticipantClient preparation,
+      ParticipantClient participants,
       ConfigurationRegistry registry,
       BoxMetrics metrics,
-      Duration doubtBound) {
+      Duration installTimeout) {
     this.store = store;
     this.membership = membership;
-    this.participants = preparation;
+    this.participants = participants;
     this.registry = registry;
     this.metrics = metrics;
-    this.installTimeout = doubtBound;
+    this.installTimeout = installTimeout;
   }
 
-  /** Submits a file; never fails, since every outcome has its state. */
+  /** Submits a file; reports every outcome, also a failure, as a state of the result. */
   public Mono<SubmissionResult> submit(Submission submission) {
     return store
         .find(submission.id())
         .flatMap(
-            known ->
-                known
+            existing ->
+                existing
                     .map(record -> Mono.just(resultOfRepeatedSubmission(submission, record)))
                     .orElseGet(() -> stage(submission)))
         .onErrorResume(PlatformException.class, e -> Mono.just(storeUnavailable(submission)))
@@ -62,18 +62,18 @@
             result -> metrics.change(submission.pipeline(), result.record().state().wireName()));
   }
 
-  /** Returns where a submission stands, if the table has heard of it. */
+  /** Returns the record of a submission, or empty if the table has none. */
   public Mono<Optional<SubmissionRecord>> find(String submissionId) {
     return store.find(submissionId);
   }
 
   private static SubmissionResult resultOfRepeatedSubmission(
       Submission submission, SubmissionRecord record) {
-    boolean same =
+    boolean sameContent =
         record.digest().equals(submission.digest())
             && record.baseVersion() == submission.baseVersion();
     return SubmissionResult.of(
-        same
+        sameContent
             ? record
             : SubmissionRecord.staged(submission)
                 .refused(RefusalCause.LOST_RACE, "the submission id was used for another file"));
@@ -96,12 +96,12 @@
                 return refuseUnstaged(
                     submission, RefusalCause.STALE_BASE, "the version in force is " + current);
               }
-              Optional<StagedHead> other = heads.stagedOf(submission.pipeline());
-              if (other.isPresent()) {
+              Optional<StagedHead> stagedHead = heads.stagedOf(submission.pipeline());
+              if (stagedHead.isPresent()) {
                 return refuseUnstaged(
                     submission,
                     RefusalCause.LOST_RACE,
-                    "submission " + other.get().record().id() + " was first");
+                    "submission " + stagedHead.get().record().id() + " was first");
               }
               return store.storeText(submission).then(commitStage(submission, heads));
             });
@@ -120,7 +120,7 @@
         .onErrorResume(PlatformException.class, e -> readBackStaged(submission, record));
   }
 
-  /** The stage's own answer was lost: go on where the row is there, give up where it is not. */
+  /** Continues if the staged row exists after the response to the staging write was lost. */
   private Mono<SubmissionResult> readBackStaged(Submission submission, SubmissionRecord record) {
     return store
         .stagedRevision(record)
@@ -152,7 +152,7 @@
   }
 
   private Mono<SubmissionResult> prepareMembers(
-      Submission submission, SubmissionRecord record, long stagedRevision, int tries) {
+      Submission submission, SubmissionRecord record, long stagedRevision, int attemptsLeft) {
     return membership
         .read()
         .flatMap(
@@ -160,14 +160,14 @@
                 participants
                     .prepare(submission, members)
                     .flatMap(
-                        missing ->
-                            missing.isEmpty()
-                                ? accept(submission, record, stagedRevision, members, tries)
+                        failures ->
+                            failures.isEmpty()
+                                ? accept(submission, record, stagedRevision, members, attemptsLeft)
                                 : refuse(
                                     submission,
                                     record,
                                     stagedRevision,
-                                    String.join("; ", missing))));
+                                    String.join("; ", failures))));
   }
 
   private Mono<SubmissionResult> accept(
@@ -175,7 +175,7 @@
       SubmissionRecord record,
       long stagedRevision,
       MemberSet members,
-      int tries) {
+      int attemptsLeft) {
     return store
         .accept(record, stagedRevision, members)
         .flatMap(
@@ -184,8 +184,8 @@
                 return install(submission, record.accepted(), members);
               }
               boolean membersChanged = result.conflicts().equals(List.of(MemberSet.EPOCH_KEY));
-              return membersChanged && tries > 1
-                  ? prepareMembers(submission, record, stagedRevision, tries - 1)
+              return membersChanged && attemptsLeft > 1
+                  ? prepareMembers(submission, record, stagedRevision, attemptsLeft - 1)
                   : readBackVerdict(submission, record);
             });
   }
@@ -206,7 +206,7 @@
             });
   }
 
-  /** The verdict's own answer was lost, or somebody else gave it: the row tells. */
+  /** Reads the verdict after its write failed, got no response or conflicted with another one. */
   private Mono<SubmissionResult> readBackVerdict(Submission submission, SubmissionRecord record) {
     return store
         .readBack(record.id())
@@ -227,14 +227,14 @@
   }
 
   /**
-   * The operator is told once every member has the version in force, or has been in doubt for so
-   * long that it refuses requests until it has.
+   * Completes once every member has installed the version, or after the timeout, when members that
+   * have not installed it refuse requests of the pipeline until they do.
    */
   private Mono<SubmissionResult> install(
       Submission submission, SubmissionRecord accepted, MemberSet members) {
     registry.install(submission.proposed());
     Logger.info(
-        "change accepted: pipeline={} version={} submission={} operator={}",
+        "accepted change: pipeline={} version={} submission={} operator={}",
         accepted.pipeline(),
         accepted.version(),
         accepted.id(),
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeHeads.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeHeads.java
@@ -8,11 +8,11 @@
 import org.gradeledge.platform.TableRow;
 
 /**
- * Which versions are accepted and which submissions staged, as of one read of the table.
+ * The accepted version and the staged submission of each pipeline, as of one read of the table.
  *
- * @param accepted accepted versions by pipeline
- * @param staged staged submissions by pipeline
- * @param revisions revisions of all these rows by key
+ * @param accepted accepted versions by pipeline name
+ * @param staged staged submissions by pipeline name
+ * @param revisions revisions of these rows by row key
  * @since 0.1
  */
 public record ChangeHeads(
@@ -20,7 +20,7 @@
     Map<String, StagedHead> staged,
     Map<String, Long> revisions) {
 
-  /** Returns the heads in some rows; rows of other kinds are passed over. */
+  /** Decodes the heads in the given rows; ignores rows of other kinds. */
   public static ChangeHeads of(List<TableRow> rows) {
     Map<String, PipelineHead> accepted = new HashMap<>();
     Map<String, StagedHead> staged = new HashMap<>();
@@ -39,7 +39,7 @@
     return new ChangeHeads(Map.copyOf(accepted), Map.copyOf(staged), Map.copyOf(revisions));
   }
 
-  /** Returns the prefixes to read for the heads of one pipeline. */
+  /** Returns the row key prefixes that cover the heads of one pipeline. */
   static List<String> rowPrefixes(String pipeline) {
     return List.of(PipelineHead.rowKey(pipeline), StagedHead.rowKey(pipeline));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeMessages.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeMessages.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.gradeledge.peer.PeerMessageType;
 
-/** The messages between boxes about changes. */
+/** The peer messages of the configuration change protocol. */
 abstract class ChangeMessages {
 
   static final PeerMessageType<Prepare> PREPARE = new PeerMessageType<>("prepare", Prepare.class);
@@ -15,27 +15,27 @@
   private ChangeMessages() {}
 
   /**
-   * Asks a member to hold a version beside the one in force.
+   * Requests that a member prepare a version in addition to the one in force.
    *
-   * @param incarnation incarnation under which the receiver is a member
+   * @param incarnation the receiver's incarnation in the member set
    */
   record Prepare(long incarnation, long version, String submissionId, byte[] text) {}
 
-  /** Answers {@link Prepare}; where not prepared, says why. */
+  /** Response to {@link Prepare}, with the reason if the version was not prepared. */
   record Prepared(boolean prepared, String reason) {}
 
-  /** Tells that a version is accepted. */
+  /** Announces that a version is accepted. */
   record Install(String pipeline, long version, String submissionId) {}
 
-  /** Answers {@link Install} with the version that is now in force. */
+  /** Response to {@link Install}, with the version now in force on the receiver. */
   record Installed(long version) {}
 
-  /** Tells that a submission is refused. */
+  /** Announces that a submission is refused. */
   record Withdraw(String pipeline, String submissionId) {}
 
-  /** Asks for the text of the version in force. */
+  /** Requests the text of the version in force. */
   record Fetch(String pipeline) {}
 
-  /** Answers {@link Fetch}. */
+  /** Response to {@link Fetch}; the text is empty if no version is in force. */
   record Fetched(long version, String submissionId, Optional<byte[]> text) {}
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeParticipant.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeParticipant.java
@@ -9,7 +9,7 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What a member does when a submitter asks it to prepare, install or withdraw. Thread-safe.
+ * Handles the prepare, install and withdraw messages of a coordinator on a member box. Thread-safe.
  *
  * @since 0.1
  */
@@ -32,7 +32,7 @@
     this.fetcher = fetcher;
   }
 
-  /** Answers submitters from now on. */
+  /** Registers the message handlers with the peer network. */
   public void register(PeerNetwork peers) {
     peers.register(
         ChangeMessages.PREPARE, (from, prepare) -> Mono.fromSupplier(() -> prepare(prepare)));
@@ -61,17 +61,18 @@
 
   private ChangeMessages.Prepared prepareVersion(PipelineVersion version) {
     boolean prepared = registry.prepare(version);
-    Logger.debug("prepare: submission={} prepared={}", version.submissionId(), prepared);
+    Logger.debug(
+        "handled prepare message: submission={} prepared={}", version.submissionId(), prepared);
     return new ChangeMessages.Prepared(
         prepared, prepared ? "" : "has another change of the pipeline open");
   }
 
   private Mono<ChangeMessages.Installed> install(String from, ChangeMessages.Install install) {
-    Mono<Void> held =
+    Mono<Void> installed =
         registry.installPrepared(install.pipeline(), install.submissionId())
             ? Mono.empty()
             : fetcher.installFromPeer(from, install.pipeline(), install.version());
-    return held.then(
+    return installed.then(
         Mono.fromSupplier(
             () -> new ChangeMessages.Installed(registry.versionInForce(install.pipeline()))));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeService.java
@@ -15,12 +15,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Everything that takes part in changes on one box, put together.
+ * The components on one box that take part in configuration changes.
  *
- * @param coordinator for submissions made at this box
- * @param fetcher for versions that this box lacks
- * @param verdictApplier for verdicts read from the table
- * @param abandonedSubmissionCleaner for submissions whose submitter died
+ * @param coordinator coordinates submissions received by this box
+ * @param fetcher fetches accepted versions that this box does not have
+ * @param verdictApplier applies verdicts read from the table
+ * @param abandonedSubmissionCleaner refuses submissions that stay staged for too long
  * @since 0.1
  */
 public record ChangeService(
@@ -31,12 +31,12 @@
 
   private static final int ABANDONMENT_TIMEOUT_FACTOR = 6;
 
-  /** Starts a service. */
+  /** Returns a new builder. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Builds a {@link ChangeService}; every part must be set. Not thread-safe. */
+  /** Builds a {@link ChangeService}; all values except the clock are required. Not thread-safe. */
   public static final class Builder {
 
     private @Nullable TableService table;
@@ -50,78 +50,82 @@
 
     private Builder() {}
 
-    /** Sets the platform's services. */
+    /** Sets the platform's table and object store. */
     public Builder platform(TableService tableService, ObjectStore objectStore) {
       this.table = tableService;
       this.objects = objectStore;
       return this;
     }
 
-    /** Sets the connections to peers. */
+    /** Sets the network that connects this box with its peers. */
     public Builder peers(PeerNetwork value) {
       this.peers = value;
       return this;
     }
 
-    /** Sets what this box knows of the members. */
+    /** Sets the membership of this box. */
     public Builder membership(Membership value) {
       this.membership = value;
       return this;
     }
 
-    /** Sets the versions of this box. */
+    /** Sets the registry of the pipeline versions on this box. */
     public Builder registry(ConfigurationRegistry value) {
       this.registry = value;
       return this;
     }
 
-    /** Sets the metrics. */
+    /** Sets the metrics that count the results of changes. */
     public Builder metrics(BoxMetrics value) {
       this.metrics = value;
       return this;
     }
 
-    /** Sets the bounds. */
+    /** Sets the timeouts of the change protocol. */
     public Builder timing(TimingSettings value) {
       this.timing = value;
       return this;
     }
 
-    /** Sets the clock; the machine's where not set. */
+    /** Sets the clock; the default is the system clock. */
     public Builder clock(MonotonicClock value) {
       this.clock = value;
       return this;
     }
 
-    /** Returns the service, registered with the peers. */
+    /** Creates the service and registers its message handlers with the peer network. */
     public ChangeService build() {
       TableService tableService = Objects.requireNonNull(table, "platform must be set");
       ObjectStore objectStore = Objects.requireNonNull(objects, "platform must be set");
       PeerNetwork network = Objects.requireNonNull(peers, "peers must be set");
-      Membership self = Objects.requireNonNull(membership, "membership must be set");
+      Membership boxMembership = Objects.requireNonNull(membership, "membership must be set");
       ConfigurationRegistry versions = Objects.requireNonNull(registry, "registry must be set");
-      BoxMetrics counters = Objects.requireNonNull(metrics, "metrics must be set");
-      TimingSettings bounds = Objects.requireNonNull(timing, "timing must be set");
+      BoxMetrics boxMetrics = Objects.requireNonNull(metrics, "metrics must be set");
+      TimingSettings timingSettings = Objects.requireNonNull(timing, "timing must be set");
       PipelineFileReader reader = new PipelineFileReader();
       VersionFetcher fetcher = new VersionFetcher(versions, network, objectStore, reader);
       fetcher.register();
-      ChangeParticipant participant = new ChangeParticipant(versions, self, reader, fetcher);
+      ChangeParticipant participant =
+          new ChangeParticipant(versions, boxMembership, reader, fetcher);
       participant.register(network);
       SubmissionStore store = new SubmissionStore(tableService, objectStore, Clock.systemUTC());
-      ParticipantClient preparation =
-          new ParticipantClient(network, self, participant, versions, bounds.prepareBound());
+      ParticipantClient participants =
+          new ParticipantClient(
+              network, boxMembership, participant, versions, timingSettings.prepareBound());
       return new ChangeService(
           new ChangeCoordinator(
               store,
               new MembershipService(tableService),
-              preparation,
+              participants,
               versions,
-              counters,
-              bounds.doubtBound()),
+              boxMetrics,
+              timingSettings.doubtBound()),
           fetcher,
           new VerdictApplier(versions, fetcher),
           new AbandonedSubmissionCleaner(
-              store, bounds.prepareBound().multipliedBy(ABANDONMENT_TIMEOUT_FACTOR), clock));
+              store,
+              timingSettings.prepareBound().multipliedBy(ABANDONMENT_TIMEOUT_FACTOR),
+              clock));
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ParticipantClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ParticipantClient.java
@@ -13,7 +13,7 @@
 import reactor.core.publisher.Mono;
 import reactor.util.retry.Retry;
 
-/** Speaks with all members on behalf of a submitter, itself included. Thread-safe. */
+/** Sends prepare, install and withdraw messages to all members, including this box. Thread-safe. */
 final class ParticipantClient {
 
   private static final Duration RETRY_INTERVAL = Duration.ofMillis(100);
@@ -27,18 +27,18 @@
 
   ParticipantClient(
       PeerNetwork peers,
-      Membership self,
+      Membership membership,
       ChangeParticipant participant,
       ConfigurationRegistry registry,
-      Duration prepareBound) {
+      Duration prepareTimeout) {
     this.peers = peers;
-    this.membership = self;
+    this.membership = membership;
     this.participant = participant;
     this.registry = registry;
-    this.prepareTimeout = prepareBound;
+    this.prepareTimeout = prepareTimeout;
   }
 
-  /** Has all members prepare; returns what kept each of the others from it, by name. */
+  /** Prepares a submission on all members; returns the failures as box name and reason. */
   Mono<List<String>> prepare(Submission submission, MemberSet members) {
     return Flux.fromIterable(members.members().values())
         .flatMap(member -> prepareMember(submission, member), MAX_CONCURRENT_CALLS)
@@ -46,7 +46,10 @@
         .collectList();
   }
 
-  /** Tells all connected members that a submission was refused; the rest learn it by reading. */
+  /**
+   * Withdraws a submission on all connected members; the others detect the refusal when they read
+   * the table.
+   */
   void withdraw(Submission submission) {
     registry.withdraw(submission.pipeline(), submission.id());
     peers.tellAll(
@@ -55,13 +58,13 @@
   }
 
   /**
-   * Has all members install; returns those that did, at the latest once the others are in doubt.
+   * Installs an accepted version on all members; returns the names of those that installed it.
    *
-   * @param doubtBound how long a member that prepared serves on without knowing the verdict
+   * @param timeout how long a prepared member keeps serving without knowing the verdict
    */
-  Mono<List<String>> install(SubmissionRecord accepted, MemberSet members, Duration doubtBound) {
+  Mono<List<String>> install(SubmissionRecord accepted, MemberSet members, Duration timeout) {
     return Flux.fromIterable(members.members().values())
-        .flatMap(member -> installOnMember(accepted, member, doubtBound), MAX_CONCURRENT_CALLS)
+        .flatMap(member -> installOnMember(accepted, member, timeout), MAX_CONCURRENT_CALLS)
         .sort()
         .collectList();
   }
@@ -70,7 +73,7 @@
     ChangeMessages.Prepare prepare =
         new ChangeMessages.Prepare(
             member.incarnation(), submission.baseVersion() + 1, submission.id(), submission.text());
-    Mono<ChangeMessages.Prepared> answer =
+    Mono<ChangeMessages.Prepared> response =
         member.boxId().equals(membership.boxId())
             ? Mono.fromSupplier(() -> participant.prepare(prepare))
             : peers.ask(
@@ -79,7 +82,7 @@
                 prepare,
                 ChangeMessages.Prepared.class,
                 prepareTimeout);
-    return retryUntilTimeout(answer, prepareTimeout)
+    return retryUntilTimeout(response, prepareTimeout)
         .flatMap(
             prepared ->
                 prepared.prepared()
@@ -89,30 +92,30 @@
   }
 
   private Mono<String> installOnMember(
-      SubmissionRecord accepted, MemberRow member, Duration doubtBound) {
+      SubmissionRecord accepted, MemberRow member, Duration timeout) {
     if (member.boxId().equals(membership.boxId())) {
       return Mono.just(member.boxId());
     }
-    Mono<ChangeMessages.Installed> answer =
+    Mono<ChangeMessages.Installed> response =
         peers.ask(
             member.boxId(),
             ChangeMessages.INSTALL,
             new ChangeMessages.Install(accepted.pipeline(), accepted.version(), accepted.id()),
             ChangeMessages.Installed.class,
-            doubtBound);
-    return retryUntilTimeout(answer, doubtBound)
+            timeout);
+    return retryUntilTimeout(response, timeout)
         .filter(installed -> installed.version() >= accepted.version())
         .map(installed -> member.boxId())
         .onErrorResume(e -> Mono.empty());
   }
 
-  /** Asks again while the peer is not connected, until the bound has passed in all. */
-  private static <A> Mono<A> retryUntilTimeout(Mono<A> answer, Duration bound) {
-    return answer
+  /** Retries while the peer is not connected, within one timeout for all attempts. */
+  private static <A> Mono<A> retryUntilTimeout(Mono<A> response, Duration timeout) {
+    return response
         .retryWhen(
             Retry.fixedDelay(Long.MAX_VALUE, RETRY_INTERVAL)
                 .filter(
                     e -> e instanceof PeerException && !(e.getCause() instanceof TimeoutException)))
-        .timeout(bound);
+        .timeout(timeout);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/PipelineHead.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/PipelineHead.java
@@ -1,24 +1,24 @@
 package org.gradeledge.change;
 
 /**
- * Value of the row that says which version of a pipeline is accepted.
+ * Value of the row that holds the accepted version of a pipeline.
  *
  * @param pipeline name of the pipeline
  * @param version the accepted version
- * @param submissionId the submission that brought it
- * @param digest SHA-256 of its text
+ * @param submissionId the submission that introduced the version
+ * @param digest SHA-256 digest of the pipeline file
  * @since 0.1
  */
 public record PipelineHead(String pipeline, long version, String submissionId, String digest) {
 
-  /** Prefix of these rows. */
+  /** Prefix of the row keys. */
   public static final String PREFIX = "head/pipeline/";
 
   static String rowKey(String pipeline) {
     return PREFIX + pipeline;
   }
 
-  /** Returns the key of the text in the object store. */
+  /** Returns the key of the pipeline file in the object store. */
   public String objectKey() {
     return objectKey(pipeline, digest);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/StagedHead.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/StagedHead.java
@@ -1,15 +1,14 @@
 package org.gradeledge.change;
 
 /**
- * Value of the row that says which submission of a pipeline is being prepared; there is one at
- * most.
+ * Value of the row that holds the staged submission of a pipeline, at most one at a time.
  *
  * @param record the submission
  * @since 0.1
  */
 public record StagedHead(SubmissionRecord record) {
 
-  /** Prefix of these rows. */
+  /** Prefix of the row keys. */
   public static final String PREFIX = "head/staged/";
 
   static String rowKey(String pipeline) {
--- a/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionRecord.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionRecord.java
@@ -4,17 +4,17 @@
 import org.gradeledge.audit.AuditEntry;
 
 /**
- * Value of a submission's row: what it was and where it stands.
+ * Value of a submission's row: its origin and its current state.
  *
- * @param id the submission
- * @param operator who submitted it
- * @param pipeline which pipeline it changes
- * @param baseVersion version that it was based on
- * @param version version that it becomes if accepted
- * @param digest SHA-256 of the file
- * @param state where it stands
- * @param cause why it was refused
- * @param detail the cause in words, naming the box or version
+ * @param id identifier of the submission
+ * @param operator name of the operator who submitted it
+ * @param pipeline name of the pipeline that it changes
+ * @param baseVersion version that it replaces, 0 for a new pipeline
+ * @param version version that results if accepted
+ * @param digest SHA-256 digest of the file
+ * @param state current state
+ * @param cause why it was refused, {@link RefusalCause#NONE} otherwise
+ * @param detail description of the cause, such as the box or version concerned
  * @since 0.1
  */
 public record SubmissionRecord(
@@ -56,8 +56,8 @@
     return withState(SubmissionState.ACCEPTED, RefusalCause.NONE, "");
   }
 
-  SubmissionRecord refused(RefusalCause why, String detailText) {
-    return withState(SubmissionState.REFUSED, why, detailText);
+  SubmissionRecord refused(RefusalCause newCause, String detailText) {
+    return withState(SubmissionState.REFUSED, newCause, detailText);
   }
 
   SubmissionRecord unknown(String detailText) {
@@ -71,8 +71,8 @@
   }
 
   private SubmissionRecord withState(
-      SubmissionState newState, RefusalCause why, String detailText) {
+      SubmissionState newState, RefusalCause newCause, String detailText) {
     return new SubmissionRecord(
-        id, operator, pipeline, baseVersion, version, digest, newState, why, detailText);
+        id, operator, pipeline, baseVersion, version, digest, newState, newCause, detailText);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionResult.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionResult.java
@@ -4,12 +4,12 @@
 import org.gradeledge.document.Fault;
 
 /**
- * What an operator is told of a submission.
+ * The result of a submission, as reported to the operator.
  *
- * @param record the submission and where it stands
- * @param inForceOn boxes that have said that they serve it; where accepted, all others refuse
- *     requests of the pipeline until they do
- * @param faults what is wrong with the file
+ * @param record the submission and its state
+ * @param inForceOn boxes that confirmed that they have the version in force; if accepted, the other
+ *     boxes refuse requests of the pipeline until they have it
+ * @param faults validation errors of the file
  * @since 0.1
  */
 public record SubmissionResult(
@@ -27,7 +27,7 @@
     return new SubmissionResult(record, List.of(), List.of());
   }
 
-  /** Returns the HTTP status that tells it. */
+  /** Returns the HTTP status of the response to the operator. */
   public int httpStatus() {
     return record.state().isSettled() ? record.cause().httpStatus() : ACCEPTED;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionState.java
@@ -5,18 +5,18 @@
 import java.util.Locale;
 
 /**
- * Where a submission stands. Accepted and refused are final.
+ * The state of a submission. Accepted and refused are final.
  *
  * @since 0.1
  */
 public enum SubmissionState {
-  /** Written to the table; members are preparing. */
+  /** Written to the table; the members are preparing the version. */
   STAGED(false),
-  /** In force, or about to be, everywhere. */
+  /** Accepted; the version is or will be in force on all members. */
   ACCEPTED(true),
-  /** Never in force anywhere. */
+  /** Refused; the version never comes into force. */
   REFUSED(true),
-  /** Not known to whoever answers; asking again later tells. */
+  /** Not determined by the box that answers; a later query returns the final state. */
   UNKNOWN(false);
 
   private final boolean settled;
@@ -25,19 +25,19 @@
     this.settled = settled;
   }
 
-  /** Returns the state with the given name. */
+  /** Returns the state with the given serialized name. */
   @JsonCreator
   public static SubmissionState ofWireName(String name) {
     return valueOf(name.toUpperCase(Locale.ROOT));
   }
 
-  /** Returns the name in answers and rows. */
+  /** Returns the name used in responses and table rows. */
   @JsonValue
   public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Returns whether it will not change any more. */
+  /** Returns whether the state is final. */
   public boolean isSettled() {
     return settled;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionStore.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionStore.java
@@ -15,7 +15,8 @@
 import reactor.util.retry.Retry;
 
 /**
- * Reads and writes the rows of submissions; every verdict is one transaction with its audit row.
+ * Reads and writes the rows of submissions. Each verdict and its audit entry are written in one
+ * transaction.
  */
 final class SubmissionStore {
 
@@ -32,7 +33,7 @@
     this.wallClock = wallClock;
   }
 
-  /** Returns the record of a submission, if there is one. */
+  /** Returns the record of a submission, or empty if there is none. */
   Mono<Optional<SubmissionRecord>> find(String id) {
     return table
         .read(List.of(SubmissionRecord.rowKey(id)))
@@ -44,12 +45,12 @@
                     .findFirst());
   }
 
-  /** As {@link #find}, trying again for a while; fails where the table stays away. */
+  /** Like {@link #find}, but retries; fails if the table stays unavailable. */
   Mono<Optional<SubmissionRecord>> readBack(String id) {
     return find(id).retryWhen(Retry.fixedDelay(READ_BACK_RETRIES, READ_BACK_INTERVAL));
   }
 
-  /** Returns the heads of one pipeline. */
+  /** Reads the heads of one pipeline. */
   Mono<ChangeHeads> heads(String pipeline) {
     return table.read(ChangeHeads.rowPrefixes(pipeline)).map(ChangeHeads::of);
   }
@@ -59,7 +60,7 @@
         PipelineHead.objectKey(submission.pipeline(), submission.digest()), submission.text());
   }
 
-  /** Stages a submission, conditional on the heads as read. */
+  /** Stages a submission on the condition that the heads have not changed since they were read. */
   Mono<CommitResult> stage(Submission submission, ChangeHeads heads) {
     SubmissionRecord record = SubmissionRecord.staged(submission);
     String headKey = PipelineHead.rowKey(submission.pipeline());
@@ -74,7 +75,7 @@
             .build());
   }
 
-  /** Accepts a staged submission, conditional on the members that prepared being all members. */
+  /** Accepts a staged submission on the condition that the member set has not changed. */
   Mono<CommitResult> accept(SubmissionRecord staged, long stagedRevision, MemberSet prepared) {
     SubmissionRecord record = staged.accepted();
     PipelineHead head =
@@ -86,7 +87,7 @@
             .build());
   }
 
-  /** Refuses a staged submission unless it was settled meanwhile. */
+  /** Refuses a staged submission unless it has been accepted or refused in the meantime. */
   Mono<CommitResult> refuseStaged(
       SubmissionRecord staged, long stagedRevision, RefusalCause cause, String detail) {
     return table.commit(
@@ -115,7 +116,7 @@
         .put(entry.rowKey(), RowValues.encode(entry));
   }
 
-  /** Returns the revision of a submission's staged row, absent where it is not staged. */
+  /** Returns the revision of the staged row, or {@link TableRow#ABSENT} if not staged. */
   Mono<Long> stagedRevision(SubmissionRecord record) {
     return heads(record.pipeline())
         .map(
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VerdictApplier.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VerdictApplier.java
@@ -7,8 +7,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Learns verdicts from reads of the table: brings what was accepted into force and drops what was
- * refused. Thread-safe.
+ * Applies verdicts found in reads of the table: installs accepted versions and withdraws prepared
+ * versions that were refused. Thread-safe.
  *
  * @since 0.1
  */
@@ -17,27 +17,30 @@
   private final ConfigurationRegistry registry;
   private final VersionFetcher fetcher;
 
-  /** Creates a learner. */
+  /** Creates an applier for the versions in a registry. */
   public VerdictApplier(ConfigurationRegistry registry, VersionFetcher fetcher) {
     this.registry = registry;
     this.fetcher = fetcher;
   }
 
-  /** Returns what is prepared now, to be given to {@link #apply} with a read that starts later. */
+  /** Returns the versions prepared now, to pass to {@link #apply} with a read that starts later. */
   public List<PipelineVersion> preparedBeforeRead() {
     return registry.allPrepared();
   }
 
   /**
-   * Learns from a read; completes once every accepted version in it is in force.
+   * Applies the verdicts of a read; completes once all its accepted versions are in force.
    *
-   * @param open what was prepared before the read started: only of these does "neither staged nor
-   *     accepted" mean refused, as others may have been staged after the read
+   * @param preparedBeforeRead versions prepared before the read started. They were refused if the
+   *     read contains them neither as staged nor as accepted; versions prepared later may have been
+   *     staged after the read.
    */
-  public Mono<Void> apply(ChangeHeads heads, List<PipelineVersion> open) {
+  public Mono<Void> apply(ChangeHeads heads, List<PipelineVersion> preparedBeforeRead) {
     return Flux.fromIterable(heads.accepted().values())
         .concatMap(fetcher::installAccepted)
-        .then(Mono.fromRunnable(() -> open.forEach(version -> dropIfRefused(heads, version))));
+        .then(
+            Mono.fromRunnable(
+                () -> preparedBeforeRead.forEach(version -> dropIfRefused(heads, version))));
   }
 
   private void dropIfRefused(ChangeHeads heads, PipelineVersion version) {
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
@@ -14,8 +14,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Brings accepted versions into force that this box does not hold: from what it has prepared, from
- * a peer that has it in force, or from the object store. Thread-safe.
+ * Installs accepted versions that are not in force on this box. The version is taken from those
+ * that this box prepared, from a peer that has it in force, or from the object store. Thread-safe.
  *
  * @since 0.1
  */
@@ -28,7 +28,7 @@
   private final ObjectStore objects;
   private final PipelineFileReader reader;
 
-  /** Creates a fetcher. */
+  /** Creates a fetcher for the versions in a registry. */
   public VersionFetcher(
       ConfigurationRegistry registry,
       PeerNetwork peers,
@@ -40,7 +40,7 @@
     this.reader = reader;
   }
 
-  /** Answers peers that fetch from this box. */
+  /** Registers the handler for fetch messages of peers. */
   public void register() {
     peers.register(ChangeMessages.FETCH, (from, fetch) -> Mono.just(answerFetch(fetch)));
   }
@@ -49,16 +49,16 @@
   public Mono<Void> installAccepted(PipelineHead head) {
     return Mono.defer(
         () -> {
-          boolean held =
+          boolean installed =
               registry.versionInForce(head.pipeline()) >= head.version()
                   || registry.installPrepared(head.pipeline(), head.submissionId());
-          return held
+          return installed
               ? Mono.empty()
               : installFromAnyPeer(head).onErrorResume(e -> installFromObjectStore(head));
         });
   }
 
-  /** Completes once this box has a version at least as high as a peer's. */
+  /** Fetches a version from a peer unless this box has that version, or a later one, in force. */
   public Mono<Void> installFromPeer(String peerId, String pipeline, long version) {
     return Mono.defer(
         () ->
@@ -67,7 +67,7 @@
                 : fetchFromPeer(peerId, pipeline, version));
   }
 
-  /** Returns the text of a version as the object store keeps it. */
+  /** Returns the text of a version from the object store. */
   public Mono<byte[]> fetchText(PipelineHead head) {
     return objects
         .get(head.objectKey())
@@ -79,7 +79,8 @@
                         () ->
                             Mono.error(
                                 new PlatformException(
-                                    head.objectKey() + " must be stored", null))));
+                                    head.objectKey() + " is missing in the object store or corrupt",
+                                    null))));
   }
 
   private Mono<Void> installFromAnyPeer(PipelineHead head) {
@@ -90,7 +91,12 @@
                     .thenReturn(Boolean.TRUE)
                     .onErrorResume(PeerException.class, e -> Mono.empty()))
         .next()
-        .switchIfEmpty(Mono.error(() -> new PeerException("no peer has " + head.pipeline(), null)))
+        .switchIfEmpty(
+            Mono.error(
+                () ->
+                    new PeerException(
+                        "no connected peer supplied the accepted version of " + head.pipeline(),
+                        null)))
         .then();
   }
 
@@ -105,7 +111,8 @@
         .flatMap(
             fetched -> {
               if (fetched.version() < version || fetched.text().isEmpty()) {
-                return Mono.error(new PeerException(peerId + " has no such version", null));
+                return Mono.error(
+                    new PeerException(peerId + " does not have the requested version", null));
               }
               install(fetched.version(), fetched.submissionId(), fetched.text().get());
               return Mono.empty();
@@ -128,14 +135,15 @@
                 .read(text)
                 .getOrElseThrow(
                     faults ->
-                        new PlatformException("an accepted file must be valid: " + faults, null))));
+                        new PlatformException(
+                            "an accepted pipeline file is invalid: " + faults, null))));
   }
 
   private ChangeMessages.Fetched answerFetch(ChangeMessages.Fetch fetch) {
-    Optional<PipelineVersion> held = registry.inForce(fetch.pipeline());
+    Optional<PipelineVersion> inForce = registry.inForce(fetch.pipeline());
     return new ChangeMessages.Fetched(
-        held.map(PipelineVersion::version).orElse(0L),
-        held.map(PipelineVersion::submissionId).orElse(""),
-        held.map(PipelineVersion::text));
+        inForce.map(PipelineVersion::version).orElse(0L),
+        inForce.map(PipelineVersion::submissionId).orElse(""),
+        inForce.map(PipelineVersion::text));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/package-info.java
@@ -1,4 +1,4 @@
-/** Accepting a change of configuration: stage, prepare on every member, verdict, install. */
+/** Two-phase commit of configuration changes: stage, prepare on every member, decide, install. */
 @NullMarked
 package org.gradeledge.change;
 
