--- a/gradeledge-core/src/main/java/org/gradeledge/claim/Claim.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/Claim.java
@@ -1,6 +1,6 @@
 package org.gradeledge.claim;
 
-/** A claim that this box holds: its key, its row as written and the row's revision. */
+/** A claim on an idempotency key that this box holds, with its row as written and its revision. */
 public final class Claim {
 
   private final ClaimKey key;
@@ -13,7 +13,7 @@
     this.revision = revision;
   }
 
-  /** Returns what the claim is for. */
+  /** Returns the claimed key. */
   public ClaimKey key() {
     return key;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimKey.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimKey.java
@@ -3,16 +3,16 @@
 import org.gradeledge.configuration.TextDigest;
 
 /**
- * What a claim is for: one idempotency key of one client account of one pipeline.
+ * An idempotency key, scoped to a client account of a pipeline.
  *
  * @param pipeline name of the pipeline
  * @param account name of the client account
- * @param idempotencyKey the key that the caller chose
+ * @param idempotencyKey key chosen by the caller
  * @since 0.1
  */
 public record ClaimKey(String pipeline, String account, String idempotencyKey) {
 
-  /** Returns the key of the claim's row; the caller's key is digested, as it may be of any form. */
+  /** Returns the row key; it contains a digest because the caller's key can have any characters. */
   public String rowKey() {
     return "claim/" + pipeline + "/" + account + "/" + TextDigest.sha256(idempotencyKey);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimOutcome.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimOutcome.java
@@ -3,21 +3,21 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What came of an attempt to claim a key.
+ * The outcome of an attempt to claim an idempotency key.
  *
  * @since 0.1
  */
 public sealed interface ClaimOutcome {
 
-  /** This request holds the key and may run. */
+  /** The request acquired the key and may run. */
   record Acquired(Claim claim) implements ClaimOutcome {}
 
-  /** An earlier request with the key and the same body completed; this is its answer. */
+  /** An earlier request with this key and the same body completed with the given answer. */
   record Answered(JsonNode result) implements ClaimOutcome {}
 
-  /** An earlier request with the key may have run; its answer is not recorded. */
+  /** An earlier request with this key may have run; its answer is not recorded. */
   record InUse() implements ClaimOutcome {}
 
-  /** The key was used with another body. */
+  /** The key was used with a different body. */
   record BodyMismatch() implements ClaimOutcome {}
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimRecord.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimRecord.java
@@ -6,10 +6,10 @@
 /**
  * The value of a claim's row.
  *
- * @param writer unique to the attempt to claim; tells after a lost answer whose row it is
- * @param bodyDigest digest of the request's body; the same key with another body is refused
- * @param expiresAtMillis wall-clock time after which the row counts as absent
- * @param result the recorded answer, once there is one
+ * @param writer unique id of the attempt; identifies the row's owner if a response is lost
+ * @param bodyDigest digest of the request body; the key is refused with a different body
+ * @param expiresAtMillis wall-clock time after which the row is treated as absent
+ * @param result the recorded answer, empty until the request completes
  */
 record ClaimRecord(
     String writer, String bodyDigest, long expiresAtMillis, Optional<JsonNode> result) {
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimService.java
@@ -19,11 +19,12 @@
 import reactor.util.retry.Retry;
 
 /**
- * Lets one request at most run for each idempotency key.
+ * Ensures that at most one request runs for each idempotency key.
  *
- * <p>The claim's row is in the table before anything is dispatched. A claim whose write got no
- * answer is read back by its writer id. Rows outlive their box: whoever asks again learns the
- * recorded answer, or that the request may have run. Thread-safe.
+ * <p>The claim's row is written to the table before the request is dispatched. If the response to
+ * the write is lost, the row is read back and identified by its writer id. Rows outlive the box
+ * that wrote them, so that a repeated request gets the recorded answer or the information that the
+ * first one may have run. Thread-safe.
  *
  * @since 0.1
  */
@@ -36,7 +37,7 @@
   private final TableService table;
   private final Clock wallClock;
 
-  /** Creates the service. */
+  /** Creates a service that writes claims in batches and reads them from the table. */
   public ClaimService(GroupCommit groupCommit, TableService table, Clock wallClock) {
     this.groupCommit = groupCommit;
     this.table = table;
@@ -44,10 +45,10 @@
   }
 
   /**
-   * Tries to claim a key. Fails with {@link RefusalException} "not run" where the table cannot say
-   * who holds it.
+   * Tries to claim a key. Fails with a {@link RefusalException} whose verdict is "not run" if the
+   * table is unavailable.
    *
-   * @param retention how long the row is to be kept
+   * @param retention how long the row is kept
    */
   public Mono<ClaimOutcome> claim(ClaimKey key, String bodyDigest, Duration retention) {
     return Mono.defer(
@@ -62,7 +63,7 @@
         });
   }
 
-  /** Records the answer, so that whoever asks again under the key gets it. */
+  /** Records the answer for repeated requests with the same key. */
   public Mono<Void> complete(Claim claim, JsonNode answer) {
     String value = encode(claim.record().completed(answer));
     return groupCommit
@@ -74,7 +75,7 @@
         .then();
   }
 
-  /** Gives up a claim under which nothing ran, so that the key may be used again. */
+  /** Releases the claim of a request that did not run, so that the key can be used again. */
   public Mono<Void> release(Claim claim) {
     return groupCommit
         .commit(
@@ -85,10 +86,10 @@
         .then();
   }
 
-  private Mono<ClaimOutcome> write(ClaimKey key, ClaimRecord record, long replacedRevision) {
+  private Mono<ClaimOutcome> write(ClaimKey key, ClaimRecord record, long expectedRevision) {
     TableTransaction transaction =
         TableTransaction.builder()
-            .require(key.rowKey(), replacedRevision)
+            .require(key.rowKey(), expectedRevision)
             .put(key.rowKey(), encode(record))
             .build();
     return groupCommit
@@ -112,7 +113,8 @@
         .flatMap(
             rows ->
                 rows.isEmpty()
-                    ? Mono.error(unavailable(new PlatformException("claim was not written", null)))
+                    ? Mono.error(
+                        unavailable(new PlatformException("claim row was not written", null)))
                     : outcomeOfRow(key, record, rows.get(0)));
   }
 
@@ -146,7 +148,7 @@
     try {
       return JsonMappers.json().writeValueAsString(record);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a claim can always be written", e);
+      throw new IllegalStateException("cannot serialize a claim record", e);
     }
   }
 
@@ -154,7 +156,7 @@
     try {
       return JsonMappers.json().readValue(value, ClaimRecord.class);
     } catch (JsonProcessingException e) {
-      throw new PlatformException("a claim's row must hold a claim", e);
+      throw new PlatformException("cannot parse the row of a claim", e);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/GroupCommit.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/GroupCommit.java
@@ -17,11 +17,11 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * Merges small independent transactions into few large ones, so that a box's writes a second to the
- * table do not grow with its requests.
+ * Merges small independent transactions into batches, so that the number of table writes does not
+ * grow with the number of requests.
  *
- * <p>Each small transaction keeps its own outcome: where the conditions of some fail, the others
- * are committed without them. One large transaction is under way at a time. Thread-safe.
+ * <p>Each transaction has its own outcome: if the conditions of some fail, the others are committed
+ * without them. One batch is in flight at a time. Thread-safe.
  *
  * @since 0.1
  */
@@ -46,7 +46,7 @@
       Sinks.many().unicast().onBackpressureBuffer(new LinkedBlockingQueue<>(MAX_QUEUED));
   private final Disposable subscription;
 
-  /** Starts the task that commits; {@link #close} ends it. */
+  /** Starts to commit batches of transactions until {@link #close}. */
   public GroupCommit(TableService table) {
     this.table = table;
     this.subscription =
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Commits a small transaction together with others. Fails as {@link TableService#commit} does;
-   * nothing is sent where too many wait already.
+   * Commits a transaction in a batch with others. Fails like {@link TableService#commit}, or
+   * without sending anything if the queue is full.
    */
   public Mono<CommitResult> commit(TableTransaction transaction) {
     return Mono.defer(
@@ -72,7 +72,7 @@
         });
   }
 
-  /** Ends the task. */
+  /** Stops committing batches. */
   public void close() {
     subscription.dispose();
   }
@@ -81,7 +81,7 @@
     return Flux.fromIterable(groupByDisjointKeys(items)).concatMap(this::commitGroup).then();
   }
 
-  /** Two transactions on one key must not be merged, or both would find it as it was before. */
+  /** Groups transactions without common keys; conditions only see the state before their batch. */
   private static List<List<PendingTransaction>> groupByDisjointKeys(
       List<PendingTransaction> items) {
     List<List<PendingTransaction>> groups = new ArrayList<>();
@@ -132,7 +132,8 @@
     }
     return others.size() < group.size()
         ? commitGroup(others)
-        : Mono.error(new IllegalStateException("a conflict must name a key of the transaction"));
+        : Mono.error(
+            new IllegalStateException("reported conflicts contain no key of the transaction"));
   }
 
   private static TableTransaction merge(List<PendingTransaction> group) {
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/package-info.java
@@ -1,4 +1,4 @@
-/** At most one run for each idempotency key, by claim rows in the platform's table. */
+/** At-most-once execution for each idempotency key, based on claim rows in the platform's table. */
 @NullMarked
 package org.gradeledge.claim;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/claim/GroupCommitTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/claim/GroupCommitTests.java
@@ -17,7 +17,7 @@
 
 class GroupCommitTests {
 
-  /** A table in which some keys are taken; notes each transaction. */
+  /** A table that rejects writes of existing keys and records all transactions. */
   private static final class FakeTable implements TableService {
 
     private final List<TableTransaction> transactions = new CopyOnWriteArrayList<>();
@@ -28,7 +28,7 @@
     public Mono<CommitResult> commit(TableTransaction transaction) {
       transactions.add(transaction);
       if (unavailable) {
-        return Mono.error(new PlatformException("down", null));
+        return Mono.error(new PlatformException("table unavailable", null));
       }
       synchronized (existingKeys) {
         List<String> conflicts =
