--- a/gradeledge-core/src/main/java/org/gradeledge/membership/MemberRow.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/MemberRow.java
@@ -3,14 +3,14 @@
 import org.gradeledge.peer.PeerAddress;
 
 /**
- * One member as its row in the table gives it.
+ * The table row of a member box.
  *
  * @param boxId name of the box
- * @param incarnation counts up each time a box of that name joins
- * @param availabilityZone where it stands
- * @param host IP number at which its peers reach it
- * @param port port at which its peers reach it
- * @param removing whether it is being removed: nobody confirms it any more
+ * @param incarnation increases each time a box of that name joins
+ * @param availabilityZone availability zone of the box
+ * @param host IP address for connections from peers
+ * @param port port for connections from peers
+ * @param removing whether it is marked for removal and no longer confirmed by others
  * @since 0.1
  */
 public record MemberRow(
@@ -21,20 +21,20 @@
     int port,
     boolean removing) {
 
-  /** Prefix of all member rows. */
+  /** Prefix of the keys of all member rows. */
   public static final String PREFIX = "member/";
 
-  /** Returns the key of the row of a box. */
+  /** Returns the row key of a box. */
   public static String rowKey(String boxId) {
     return PREFIX + boxId;
   }
 
-  /** Returns where its peers reach it. */
+  /** Returns the address for connections from peers. */
   public PeerAddress address() {
     return new PeerAddress(boxId, incarnation, host, port);
   }
 
-  /** Returns this row, marked as being removed. */
+  /** Returns a copy of this row that is marked for removal. */
   public MemberRow markedRemoving() {
     return new MemberRow(boxId, incarnation, availabilityZone, host, port, true);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/MemberSet.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/MemberSet.java
@@ -8,18 +8,18 @@
 import org.gradeledge.platform.TableRow;
 
 /**
- * All members as of one read of the table, with the revision that changes whenever the set does.
+ * The set of members as of one read of the table.
  *
- * @param revision revision of the row {@link #EPOCH_KEY}
- * @param epoch number of changes of the set so far
- * @param members members by name
- * @param rowRevisions revisions of their rows by name
+ * @param revision revision of the row {@link #EPOCH_KEY}, which changes with the set
+ * @param epoch number of changes of the set
+ * @param members members by box name
+ * @param rowRevisions revisions of the member rows by box name
  * @since 0.1
  */
 public record MemberSet(
     long revision, long epoch, Map<String, MemberRow> members, Map<String, Long> rowRevisions) {
 
-  /** Key of the row that every change of the set writes. */
+  /** Key of the row that is written with every change of the set. */
   public static final String EPOCH_KEY = "head/members";
 
   /** Value of the row {@link #EPOCH_KEY}. */
@@ -31,12 +31,12 @@
     rowRevisions = Map.copyOf(rowRevisions);
   }
 
-  /** Returns the prefixes to read for {@link #of}. */
+  /** Returns the prefixes of the row keys to read for {@link #of}. */
   public static List<String> prefixes() {
     return List.of(EPOCH_KEY, MemberRow.PREFIX);
   }
 
-  /** Returns the set in some rows; rows of other kinds are passed over. */
+  /** Decodes the set from the given rows; ignores rows of other kinds. */
   public static MemberSet of(List<TableRow> rows) {
     Map<String, MemberRow> members = new HashMap<>();
     Map<String, Long> revisions = new HashMap<>();
@@ -55,12 +55,12 @@
     return new MemberSet(revision, epoch, members, revisions);
   }
 
-  /** Returns the member of a name. */
+  /** Returns the member with the given box name. */
   public Optional<MemberRow> member(String boxId) {
     return Optional.ofNullable(members.get(boxId));
   }
 
-  /** Returns whether a box is a member under this very incarnation and is not being removed. */
+  /** Returns whether a box is a member with this incarnation and not marked for removal. */
   public boolean isActiveMember(String boxId, long incarnation) {
     return member(boxId)
         .filter(member -> member.incarnation() == incarnation && !member.removing())
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/Membership.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/Membership.java
@@ -7,10 +7,10 @@
 import org.tinylog.Logger;
 
 /**
- * What a box knows of the members, and until when its own membership is confirmed.
+ * The members as last read by this box, and the confirmation of its own membership.
  *
- * <p>A confirmation lasts for the membership bound on the monotonic clock, so that a box that was
- * frozen finds itself unconfirmed when it wakes. Thread-safe.
+ * <p>A confirmation is valid for the membership bound on the monotonic clock, so that a box that
+ * was suspended is unconfirmed when it resumes. Thread-safe.
  *
  * @since 0.1
  */
@@ -29,9 +29,10 @@
   private boolean lapseLogged;
 
   /** Creates the membership of a box that has not joined yet. */
-  public Membership(String boxId, Duration bound, MonotonicClock clock, BoxMetrics metrics) {
+  public Membership(
+      String boxId, Duration membershipBound, MonotonicClock clock, BoxMetrics metrics) {
     this.boxId = boxId;
-    this.membershipBound = bound;
+    this.membershipBound = membershipBound;
     this.clock = clock;
     this.metrics = metrics;
   }
@@ -41,7 +42,7 @@
     return boxId;
   }
 
-  /** Returns the incarnation under which this box joined, 0 before it has. */
+  /** Returns the incarnation with which this box joined, or 0 if it has not joined. */
   public long incarnation() {
     return incarnation;
   }
@@ -51,27 +52,28 @@
     return members;
   }
 
-  /** Takes over a read of the members unless a later one is known. */
+  /** Updates the members from a read, unless a later read was applied before. */
   public synchronized void update(MemberSet read) {
     if (read.revision() >= members.revision()) {
       members = read;
     }
   }
 
-  /** Notes that this box has joined, or joined again. */
+  /** Records that this box joined with a new incarnation. */
   public synchronized void recordJoin(long newIncarnation) {
     incarnation = newIncarnation;
     everConfirmed = false;
     metrics.stateChange("joined");
-    Logger.info("joined: box={} incarnation={}", boxId, newIncarnation);
+    Logger.info("joined the member set: box={} incarnation={}", boxId, newIncarnation);
   }
 
   /**
-   * Notes that somebody confirmed this incarnation's membership, as of a moment on the monotonic
-   * clock. To be called only once this box has every version that the confirmer names.
+   * Records a confirmation of this box's membership as of a time on the monotonic clock; ignores
+   * confirmations of other incarnations. Call only after this box has installed all versions that
+   * the confirmer reported.
    */
-  public synchronized void recordConfirmation(long ofIncarnation, long asOfNanos) {
-    if (ofIncarnation != incarnation) {
+  public synchronized void recordConfirmation(long confirmedIncarnation, long asOfNanos) {
+    if (confirmedIncarnation != incarnation) {
       return;
     }
     if (!everConfirmed || asOfNanos - confirmedAtNanos > 0) {
@@ -85,14 +87,14 @@
     }
   }
 
-  /** Returns whether this box may serve now. */
+  /** Returns whether the membership is confirmed, so that this box may serve requests. */
   public synchronized boolean isConfirmed() {
     boolean confirmed =
         everConfirmed && clock.nanos() - confirmedAtNanos < membershipBound.toNanos();
     if (!confirmed && everConfirmed && !lapseLogged) {
       lapseLogged = true;
       metrics.stateChange("membership-lapsed");
-      Logger.warn("membership lapsed: box={}", boxId);
+      Logger.warn("membership confirmation expired: box={}", boxId);
     }
     return confirmed;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/MembershipService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/MembershipService.java
@@ -11,11 +11,11 @@
 import reactor.util.retry.Retry;
 
 /**
- * Writes the members' rows: joining, leaving and removing.
+ * Reads and writes the rows of the members: join, leave, mark for removal and remove.
  *
- * <p>Each change of the set also writes the row {@link MemberSet#EPOCH_KEY}, on which the
- * acceptance of a configuration is conditional. A write without an answer is read back.
- * Thread-safe.
+ * <p>Each change of the set also writes the row {@link MemberSet#EPOCH_KEY}, on whose revision the
+ * acceptance of a configuration is conditional. Joining and leaving read the rows again before each
+ * retry. Thread-safe.
  *
  * @since 0.1
  */
@@ -26,21 +26,21 @@
 
   private final TableService table;
 
-  /** Creates the service. */
+  /** Creates a service that uses the given table. */
   public MembershipService(TableService table) {
     this.table = table;
   }
 
-  /** Returns the members as of now. */
+  /** Reads the current members. */
   public Mono<MemberSet> read() {
     return table.read(MemberSet.prefixes()).map(MemberSet::of);
   }
 
   /**
-   * Enters a box under a new incarnation; tries until the table lets it. The incarnation is the
-   * number of the change of the set, so that it counts up without a clock.
+   * Adds a box with a new incarnation; retries until it succeeds. The incarnation is the epoch of
+   * the changed set, so that it increases without a clock.
    *
-   * @param self the box; its incarnation is not looked at
+   * @param self the row of the box; its incarnation is ignored
    */
   public Mono<MemberRow> join(MemberRow self) {
     return Mono.defer(this::read)
@@ -49,21 +49,25 @@
             Retry.backoff(Long.MAX_VALUE, MIN_BACKOFF)
                 .maxBackoff(MAX_BACKOFF)
                 .doBeforeRetry(
-                    signal -> Logger.debug("join is tried again: {}", signal.failure())));
+                    signal ->
+                        Logger.debug("retrying to join the member set: {}", signal.failure())));
   }
 
-  /** Takes a box off under its own incarnation; does nothing where that one is gone. */
+  /** Removes a box if it is a member with the given incarnation. */
   public Mono<Void> leave(MemberRow self) {
     return Mono.defer(this::read)
         .flatMap(
             members ->
                 isMember(members, self) ? delete(members, self.boxId()) : Mono.just(Boolean.TRUE))
-        .flatMap(done -> done ? Mono.empty() : Mono.error(conflict("leaving")))
+        .flatMap(removed -> removed ? Mono.empty() : Mono.error(conflict("leaving")))
         .retryWhen(Retry.backoff(5, MIN_BACKOFF).maxBackoff(MAX_BACKOFF))
         .then();
   }
 
-  /** Marks a member as being removed, so that nobody confirms it from the next read on. */
+  /**
+   * Marks a member for removal, so that others stop confirming it after their next read; returns
+   * whether the member set was unchanged since it was read.
+   */
   public Mono<Boolean> markRemoving(MemberSet members, MemberRow member) {
     String key = MemberRow.rowKey(member.boxId());
     return startChange(members, member.boxId())
@@ -74,14 +78,14 @@
         .map(CommitResult::committed);
   }
 
-  /** Removes a member; returns whether the set was still as read. */
+  /** Removes a member; returns whether the member set was unchanged since it was read. */
   public Mono<Boolean> delete(MemberSet members, String boxId) {
     return startChange(members, boxId)
         .flatMap(transaction -> table.commit(transaction.delete(MemberRow.rowKey(boxId)).build()))
         .map(CommitResult::committed);
   }
 
-  /** Starts a change of one member, conditional on the set as read. */
+  /** Starts a transaction that changes one member, on the condition that the set is unchanged. */
   private static Mono<TableTransaction.Builder> startChange(MemberSet members, String boxId) {
     return Mono.fromSupplier(
         () ->
@@ -115,7 +119,7 @@
         .isPresent();
   }
 
-  private static PlatformException conflict(String what) {
-    return new PlatformException("the members changed during " + what, null);
+  private static PlatformException conflict(String operation) {
+    return new PlatformException("the members changed during " + operation, null);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/UnlistedMemberTracker.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/UnlistedMemberTracker.java
@@ -10,12 +10,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Watches which members the platform's list no longer shows, and says when one may be marked and
- * when a marked one may be removed.
+ * Tracks members that the platform's list of boxes no longer contains, and determines when to mark
+ * and when to remove them.
  *
- * <p>A member is marked once the list has left it out for the membership bound in every read. It is
- * removed once the mark has been there for the membership bound and two reads more: by then nobody
- * who reads the table confirms it and its last confirmation has lapsed. Not thread-safe.
+ * <p>A member is marked for removal once every read of the list within the membership bound lacked
+ * it. It is removed once it has been marked for the membership bound and two more poll intervals:
+ * by then all readers of the table have stopped confirming it and its last confirmation has
+ * expired. Not thread-safe.
  *
  * @since 0.1
  */
@@ -27,14 +28,15 @@
   private final Map<String, Long> unlistedSince = new HashMap<>();
   private final Map<String, Long> markedSince = new HashMap<>();
 
-  /** Creates a watch with the membership bound and the period of reads. */
-  public UnlistedMemberTracker(Duration bound, Duration poll, MonotonicClock clock) {
-    this.membershipBound = bound;
-    this.pollInterval = poll;
+  /** Creates a tracker with the membership bound and the interval of table reads. */
+  public UnlistedMemberTracker(
+      Duration membershipBound, Duration pollInterval, MonotonicClock clock) {
+    this.membershipBound = membershipBound;
+    this.pollInterval = pollInterval;
     this.nanoTime = clock::nanos;
   }
 
-  /** Takes in one read of the members and the list. */
+  /** Updates the state from a read of the members and the list. */
   public void observe(MemberSet members, Set<String> listed) {
     long now = nanoTime.getAsLong();
     unlistedSince.keySet().removeIf(key -> isAbsent(members, key) || listed.contains(boxIdOf(key)));
@@ -53,12 +55,12 @@
             });
   }
 
-  /** Forgets what was seen of the list, since it could not be read. */
+  /** Restarts the waiting time of unlisted members because the list could not be read. */
   public void listUnavailable() {
     unlistedSince.clear();
   }
 
-  /** Returns the members to mark now. */
+  /** Returns the members to mark for removal now. */
   public List<MemberRow> membersToMark(MemberSet members) {
     return members.members().values().stream()
         .filter(
@@ -75,8 +77,8 @@
         .toList();
   }
 
-  private boolean hasElapsed(@Nullable Long since, Duration age) {
-    return since != null && nanoTime.getAsLong() - since >= age.toNanos();
+  private boolean hasElapsed(@Nullable Long since, Duration duration) {
+    return since != null && nanoTime.getAsLong() - since >= duration.toNanos();
   }
 
   private static boolean isAbsent(MemberSet members, String key) {
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Which boxes are members, how a box joins and leaves, and how it is confirmed. */
+/** The member set: joining, leaving, removal and confirmation of boxes. */
 @NullMarked
 package org.gradeledge.membership;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/membership/MembershipTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/membership/MembershipTests.java
@@ -44,23 +44,23 @@
 
   @Test
   void marksAndRemovesUnlistedMemberOnlyAfterBounds() {
-    UnlistedMemberTracker gone =
+    UnlistedMemberTracker tracker =
         new UnlistedMemberTracker(BOUND, Duration.ofNanos(10), () -> nanos);
     MemberSet members = members(false);
-    gone.observe(members, Set.of());
+    tracker.observe(members, Set.of());
     nanos = 99;
-    assertThat(gone.membersToMark(members)).isEmpty();
+    assertThat(tracker.membersToMark(members)).isEmpty();
     nanos = 100;
-    assertThat(gone.membersToMark(members)).hasSize(1);
-    gone.listUnavailable();
-    assertThat(gone.membersToMark(members)).isEmpty();
+    assertThat(tracker.membersToMark(members)).hasSize(1);
+    tracker.listUnavailable();
+    assertThat(tracker.membersToMark(members)).isEmpty();
 
     MemberSet marked = members(true);
-    gone.observe(marked, Set.of());
+    tracker.observe(marked, Set.of());
     nanos += 119;
-    assertThat(gone.membersToRemove(marked)).isEmpty();
+    assertThat(tracker.membersToRemove(marked)).isEmpty();
     nanos += 1;
-    assertThat(gone.membersToRemove(marked)).hasSize(1);
+    assertThat(tracker.membersToRemove(marked)).hasSize(1);
     assertThat(marked.isActiveMember("box-2", 7)).isFalse();
   }
 
