--- a/gradeledge-core/src/main/java/org/gradeledge/audit/AuditEntry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/audit/AuditEntry.java
@@ -1,17 +1,17 @@
 package org.gradeledge.audit;
 
 /**
- * One verdict on a change of configuration.
+ * The audit record of a verdict on a configuration change.
  *
- * @param atMillis wall-clock time of the verdict; for people, nothing is decided by it
- * @param operator who submitted the change
- * @param pipeline which pipeline it changes
- * @param submissionId the submission
- * @param baseVersion version that it was based on, 0 for a new pipeline
- * @param version version that it became or would have become
- * @param digest SHA-256 of the file
+ * @param atMillis wall-clock time of the verdict, for information only
+ * @param operator name of the operator who submitted the change
+ * @param pipeline name of the changed pipeline
+ * @param submissionId identifier of the submission
+ * @param baseVersion version that the change replaces, 0 for a new pipeline
+ * @param version version that results if accepted
+ * @param digest SHA-256 digest of the pipeline file
  * @param verdict accepted or refused
- * @param reason why it was refused, empty where accepted
+ * @param reason why it was refused, empty if accepted
  * @since 0.1
  */
 public record AuditEntry(
@@ -25,10 +25,10 @@
     String verdict,
     String reason) {
 
-  /** Prefix of all audit rows. */
+  /** Prefix of the keys of all audit rows. */
   public static final String PREFIX = "audit/";
 
-  /** Returns the key of the entry's row; keys of one pipeline sort by time. */
+  /** Returns the row key; the keys of a pipeline sort by time. */
   public String rowKey() {
     return PREFIX + pipeline + "/" + String.format("%013d", atMillis) + "-" + submissionId;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/audit/AuditTrail.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/audit/AuditTrail.java
@@ -7,8 +7,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Reads the audit trail. Entries are written by whoever gives a verdict, in the same transaction.
- * Thread-safe.
+ * Reads the audit trail of configuration changes. The box that decides on a change writes the entry
+ * in the same transaction. Thread-safe.
  *
  * @since 0.1
  */
@@ -16,7 +16,7 @@
 
   private final TableService table;
 
-  /** Creates a reader of the trail in a table. */
+  /** Creates an audit trail that reads from the given table. */
   public AuditTrail(TableService table) {
     this.table = table;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/audit/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/audit/package-info.java
@@ -1,4 +1,4 @@
-/** The audit trail of changes: one row for each verdict, written with it. */
+/** The audit trail of configuration changes: one row for each verdict. */
 @NullMarked
 package org.gradeledge.audit;
 
