--- a/gradeledge-core/src/main/java/org/gradeledge/request/AnswerEvent.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/AnswerEvent.java
@@ -3,25 +3,25 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What goes back to a caller: tokens of the last stage where it generates, then one result.
+ * A part of the answer to a caller: tokens if the last stage streams, and finally one result.
  *
  * @since 0.1
  */
 public sealed interface AnswerEvent {
 
   /**
-   * One token.
+   * One generated token.
    *
-   * @param offset counts up from 0 without gaps
-   * @param text the token
+   * @param offset position in the stream, from 0 without gaps
+   * @param text text of the token
    */
   record Token(long offset, String text) implements AnswerEvent {}
 
   /**
-   * The whole answer; nothing follows it.
+   * The complete answer, as the last event.
    *
-   * @param version version of the pipeline that the request ran under
-   * @param results outputs of the stages by name
+   * @param version pipeline version under which the request ran
+   * @param results outputs of the stages by stage name
    */
   record Result(long version, ObjectNode results) implements AnswerEvent {}
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/AtMostOnceRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/AtMostOnceRunner.java
@@ -15,8 +15,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Runs work under the claim of its idempotency key, records its answer, and gives the claim back
- * where nothing ran. Thread-safe.
+ * Runs a request while it holds the claim on its idempotency key. Records the answer, or releases
+ * the claim if nothing ran. Thread-safe.
  */
 final class AtMostOnceRunner {
 
@@ -30,7 +30,7 @@
     this.metrics = metrics;
   }
 
-  /** Runs the work, unless its key says that it ran or may have run before. */
+  /** Runs the work unless an earlier request with the same key completed or may have run. */
   Flux<AnswerEvent> run(RequestContext context, Supplier<Flux<AnswerEvent>> work) {
     CallerRequest request = context.request();
     ClaimKey key =
--- a/gradeledge-core/src/main/java/org/gradeledge/request/CallerRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/CallerRequest.java
@@ -6,15 +6,15 @@
 import java.util.OptionalLong;
 
 /**
- * A request as a caller made it.
+ * A parsed request of a caller.
  *
- * @param requestId unique; given by the box
+ * @param requestId unique id assigned by the box
  * @param pipeline name of the pipeline
- * @param tokenSha256 digest of the caller's bearer token
- * @param deadlineMs deadline that the caller asked for
- * @param idempotencyKey key under which it must run at most once
- * @param bodyDigest digest of the body as received
- * @param input the body, a JSON object
+ * @param tokenSha256 SHA-256 digest of the caller's bearer token
+ * @param deadlineMs deadline requested by the caller
+ * @param idempotencyKey key for which at most one request runs
+ * @param bodyDigest SHA-256 digest of the received body
+ * @param input the body as a JSON object
  * @since 0.1
  */
 public record CallerRequest(
@@ -26,7 +26,7 @@
     String bodyDigest,
     ObjectNode input) {
 
-  /** Checks that every part is there. */
+  /** Checks the required components for null. */
   public CallerRequest {
     Objects.requireNonNull(requestId, "requestId must be given");
     Objects.requireNonNull(pipeline, "pipeline must be given");
--- a/gradeledge-core/src/main/java/org/gradeledge/request/PipelineRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/PipelineRunner.java
@@ -10,7 +10,7 @@
 import org.gradeledge.upstream.UpstreamEvent;
 import reactor.core.publisher.Flux;
 
-/** Runs the stages of one request one after another and puts the answer together. */
+/** Runs the stages of a request in sequence and assembles the answer. */
 final class PipelineRunner {
 
   private final StageRunner stages;
@@ -19,7 +19,7 @@
     this.stages = stages;
   }
 
-  /** Returns the tokens of the last stage, where it generates, then the result. */
+  /** Returns the tokens of the last stage if it streams, and then the result. */
   Flux<AnswerEvent> run(RequestContext context) {
     return Flux.defer(() -> runFrom(context, 0, new LinkedHashMap<>()));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RecordedAnswer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RecordedAnswer.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The form in which an answer is kept for asking again. */
+/** Converts an answer to and from the JSON form in which its claim row stores it. */
 abstract class RecordedAnswer {
 
   private static final String VERSION = "version";
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestContext.java
@@ -7,14 +7,14 @@
 import org.gradeledge.time.Deadline;
 
 /**
- * One admitted request with everything it keeps to its end.
+ * An admitted request and the state it needs until it ends.
  *
- * @param request as the caller made it
- * @param version the version it was admitted under
- * @param account whose it is
- * @param deadline when it must be answered
- * @param limits limits and times of the pipeline's stages
- * @param progress how far it has come
+ * @param request the request of the caller
+ * @param version pipeline version under which it was admitted
+ * @param account client account of the caller
+ * @param deadline time by which it must be answered
+ * @param limits concurrency limits and latencies of the pipeline's stages
+ * @param progress current stage and calls in flight
  */
 record RequestContext(
     CallerRequest request,
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestLimits.java
@@ -10,7 +10,8 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * The limits of all pipelines and client accounts of a box, kept over versions. Thread-safe.
+ * The limits of all pipelines and client accounts of a box, kept across configuration versions.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -24,14 +25,14 @@
   private final int requestsPerAccount;
   private final MonotonicClock clock;
 
-  /** Creates empty limits; an account may have {@code requestsPerAccount} at a time. */
+  /** Creates limits that admit {@code requestsPerAccount} concurrent requests for each account. */
   public RequestLimits(AdmissionPolicy policy, int requestsPerAccount, MonotonicClock clock) {
     this.policy = policy;
     this.requestsPerAccount = requestsPerAccount;
     this.clock = clock;
   }
 
-  /** Takes over the limits of a version that comes into force; drops accounts it no longer has. */
+  /** Applies the limits of a new version; removes the accounts that it no longer contains. */
   public void update(PipelineFile file) {
     limitsOf(file).update(file);
     accounts
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestProgress.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestProgress.java
@@ -2,7 +2,7 @@
 
 import org.gradeledge.verdict.Verdict;
 
-/** How far one request has come, for the verdict that goes with an early end. Thread-safe. */
+/** Tracks the progress of a request for the verdict in case it is refused. Thread-safe. */
 final class RequestProgress {
 
   private Verdict endedCallsVerdict = Verdict.NOT_RUN;
@@ -13,12 +13,12 @@
     stage = stageName;
   }
 
-  /** Notes that a call starts; until it ends, it may have run. */
+  /** Records the start of an upstream call; it counts as "may have run" until it ends. */
   synchronized void callStarted() {
     callsInFlight++;
   }
 
-  /** Notes that a call ended and whether it may have run. */
+  /** Records the end of an upstream call and its verdict. */
   synchronized void callEnded(Verdict verdict) {
     callsInFlight--;
     endedCallsVerdict = endedCallsVerdict.combine(verdict);
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -21,12 +21,12 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Takes requests of callers from admission to answer.
+ * Admits and runs the requests of callers.
  *
- * <p>The events end with a {@link AnswerEvent.Result}, or fail with {@link RefusalException}, whose
- * verdict is "not run" only where nothing was handed to an upstream. Cancelling the events cancels
- * the stages of a repeatable request; one that runs at most once goes on, so that its answer can be
- * asked for again. Thread-safe.
+ * <p>The events end with an {@link AnswerEvent.Result} or fail with a {@link RefusalException},
+ * whose verdict is "not run" only if nothing was sent to an upstream. Cancelling the events cancels
+ * the stages of a request without an idempotency key. A request with a key continues, so that its
+ * answer can be requested again. Thread-safe.
  *
  * @since 0.1
  */
@@ -42,7 +42,7 @@
   private final BoxMetrics metrics;
   private final MonotonicClock clock;
 
-  /** Creates the service from its collaborators. */
+  /** Creates the service. */
   public RequestService(
       ConfigurationRegistry configuration,
       ServingGate gate,
@@ -61,7 +61,7 @@
     this.clock = clock;
   }
 
-  /** Serves a request; its deadline runs from this call's subscription. */
+  /** Serves a request; the deadline starts at subscription. */
   public Flux<AnswerEvent> serve(CallerRequest request) {
     return Flux.defer(
         () -> {
@@ -120,7 +120,7 @@
     return request.idempotencyKey().isPresent() ? continueWithoutCaller(answer) : answer;
   }
 
-  /** Lets the work go on to its end although its caller has left. */
+  /** Runs the request to its end even if the caller cancels. */
   private static Flux<AnswerEvent> continueWithoutCaller(Flux<AnswerEvent> answer) {
     return Flux.defer(
         () -> {
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestValidator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestValidator.java
@@ -8,12 +8,18 @@
 import org.gradeledge.verdict.RefusalException;
 import org.gradeledge.verdict.RefusalReason;
 
-/** What must hold of a request against the pipeline file; each refuses "not run". */
+/**
+ * Validates caller requests against the pipeline file. Each method throws a {@link
+ * RefusalException} with the verdict "not run" if the request is invalid.
+ */
 abstract class RequestValidator {
 
   private RequestValidator() {}
 
-  /** Returns the account whose token the caller gave; all are compared, in constant time each. */
+  /**
+   * Returns the account with the caller's token. Compares all accounts in constant time, so that
+   * the response time does not reveal valid tokens.
+   */
   static AccountDefinition authenticate(PipelineVersion version, CallerRequest request) {
     AccountDefinition found = null;
     for (AccountDefinition account : version.file().accounts()) {
@@ -29,18 +35,18 @@
     return found;
   }
 
-  /** Returns the deadline asked for, the account's where none is. */
+  /** Returns the requested deadline, or the account's if none was requested. */
   static Duration resolveDeadline(AccountDefinition account, CallerRequest request) {
-    long asked = request.deadlineMs().orElse(account.deadlineMs());
-    if (asked < 1 || asked > account.deadlineMs()) {
+    long deadlineMs = request.deadlineMs().orElse(account.deadlineMs());
+    if (deadlineMs < 1 || deadlineMs > account.deadlineMs()) {
       throw RefusalException.forReason(RefusalReason.DEADLINE_INVALID)
           .detail("the deadline must be from 1 to " + account.deadlineMs() + " ms")
           .build();
     }
-    return Duration.ofMillis(asked);
+    return Duration.ofMillis(deadlineMs);
   }
 
-  /** Requires a key where a stage must not be repeated. */
+  /** Requires an idempotency key if a stage of the pipeline must not run twice. */
   static void requireIdempotencyKey(PipelineFile file, CallerRequest request) {
     if (file.runsAtMostOnce() && request.idempotencyKey().isEmpty()) {
       throw RefusalException.forReason(RefusalReason.IDEMPOTENCY_KEY_MISSING)
--- a/gradeledge-core/src/main/java/org/gradeledge/request/ServingGate.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/ServingGate.java
@@ -6,21 +6,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Says whether this box may take in new work, and counts the work in progress. Thread-safe.
+ * Decides whether this box accepts new requests, and counts those in progress. Thread-safe.
  *
  * @since 0.1
  */
 public final class ServingGate {
 
   /**
-   * One reason why a box may have to refuse all new work.
+   * A condition for accepting new requests.
    *
    * @since 0.1
    */
   @FunctionalInterface
   public interface Condition {
 
-    /** Returns whether new work may be taken in now; must not block. */
+    /** Returns whether new requests may be accepted now; must not block. */
     boolean holds();
   }
 
@@ -28,12 +28,12 @@
   private final AtomicLong inProgress = new AtomicLong();
   private volatile @Nullable RefusalReason closeReason;
 
-  /** Creates an open gate; {@code membership} is asked at each request. */
+  /** Creates an open gate that checks {@code membership} for each request. */
   public ServingGate(Condition membership) {
     this.membership = membership;
   }
 
-  /** Refuses "not run" where the box may take in nothing. */
+  /** Throws a {@link RefusalException} if this box does not accept new requests. */
   public void checkOpen() {
     RefusalReason reason = closeReason;
     if (reason != null) {
@@ -46,12 +46,12 @@
     }
   }
 
-  /** Refuses all new work from now on. */
+  /** Refuses all new requests from now on. */
   public void close(RefusalReason reason) {
     closeReason = reason;
   }
 
-  /** Returns the requests in progress. */
+  /** Returns the number of requests in progress. */
   public long inProgress() {
     return inProgress.get();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageInput.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageInput.java
@@ -7,15 +7,15 @@
 import org.gradeledge.configuration.PipelineFile;
 import org.gradeledge.configuration.StageDefinition;
 
-/** Puts together what a stage takes in: the caller's input and the outputs of earlier stages. */
+/** Builds the input of a stage from the caller's input and the outputs of earlier stages. */
 abstract class StageInput {
 
   private StageInput() {}
 
   /**
-   * Returns the input of a stage. Keys of later outputs replace those of earlier ones, so that
-   * reranked documents take the place of retrieved ones. Without {@code after}, all earlier stages
-   * count.
+   * Returns the input of a stage: the caller's input merged with the outputs of the stages in
+   * {@code after}, or of all earlier stages if it is not set. Later outputs override earlier ones,
+   * so that reranked documents replace retrieved ones.
    */
   static ObjectNode of(
       PipelineFile file, int stageIndex, ObjectNode callerInput, Map<String, JsonNode> outputs) {
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -27,12 +27,11 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Runs one stage of a request: waits for a permit, chooses an upstream at dispatch, calls it, and
- * tries again where that cannot do harm.
+ * Runs one stage of a request: waits for a permit, selects an upstream, calls it, and retries if
+ * that is safe.
  *
- * <p>A stage goes again only where it is repeatable or the upstream said that it did not run, where
- * the retry budget allows it and the deadline has not passed. A stream goes on after its last
- * token.
+ * <p>A failed stage is retried only if it is repeatable or did not run, the retry budget allows it
+ * and the deadline has not passed. A retried stream resumes after its last token.
  */
 final class StageRunner {
 
@@ -53,7 +52,7 @@
     this.clock = clock;
   }
 
-  /** Returns the events of a stage: tokens where it streams, then one answer. */
+  /** Returns the events of a stage: tokens if it streams, and then one answer. */
   Flux<UpstreamEvent> run(RequestContext context, int stageIndex, JsonNode input) {
     return Flux.defer(
         () -> {
@@ -62,7 +61,7 @@
         });
   }
 
-  /** The attempts of one stage of one request; used by one subscriber. */
+  /** The attempts of a stage of one request; has one subscriber. */
   private final class StageExecution {
 
     private final RequestContext context;
@@ -90,11 +89,12 @@
     }
 
     private StageTicket ticket() {
-      var rest = context.file().stages().subList(stageIndex, context.file().stages().size());
+      var remainingStages =
+          context.file().stages().subList(stageIndex, context.file().stages().size());
       return new StageTicket(
           context.account(),
           context.deadline(),
-          context.limits().neededToStart(rest, context.account()));
+          context.limits().neededToStart(remainingStages, context.account()));
     }
 
     private Flux<UpstreamEvent> dispatch() {
@@ -112,33 +112,34 @@
       triedUpstreamIds.add(upstream.definition().id());
       upstream.recordCallStarted();
       context.progress().callStarted();
-      CallRecorder end = new CallRecorder(upstream, clock.nanos());
+      CallRecorder recorder = new CallRecorder(upstream, clock.nanos());
       return withAttemptTimeout(protocol.call(upstreamCall(upstream)))
-          .doOnNext(end::recordEvent)
-          .doOnComplete(() -> end.finish(AttemptResult.USED, Verdict.MAY_HAVE_RUN))
-          .doOnError(UpstreamException.class, e -> end.finish(AttemptResult.FAILED, e.verdict()))
-          .doOnCancel(() -> end.finish(AttemptResult.CANCELLED, Verdict.MAY_HAVE_RUN));
+          .doOnNext(recorder::recordEvent)
+          .doOnComplete(() -> recorder.finish(AttemptResult.USED, Verdict.MAY_HAVE_RUN))
+          .doOnError(
+              UpstreamException.class, e -> recorder.finish(AttemptResult.FAILED, e.verdict()))
+          .doOnCancel(() -> recorder.finish(AttemptResult.CANCELLED, Verdict.MAY_HAVE_RUN));
     }
 
     /**
-     * Ends an attempt of a repeatable stage that takes far longer than calls of the stage do, so
-     * that a frozen upstream is found out and another one asked while there is time.
+     * Fails an attempt of a repeatable stage that takes much longer than the slow calls of the
+     * stage, so that a hanging upstream leaves time for a retry at another one.
      */
     private Flux<UpstreamEvent> withAttemptTimeout(Flux<UpstreamEvent> events) {
-      Duration slow = context.limits().times(stage).slow();
-      if (!stage.repeatable() || slow.isZero()) {
+      Duration slowCall = context.limits().times(stage).slow();
+      if (!stage.repeatable() || slowCall.isZero()) {
         return events;
       }
-      Duration limit = slow.multipliedBy(ATTEMPT_TIMEOUT_FACTOR).plus(ATTEMPT_TIMEOUT_EXTRA);
+      Duration timeout = slowCall.multipliedBy(ATTEMPT_TIMEOUT_FACTOR).plus(ATTEMPT_TIMEOUT_EXTRA);
       return events
-          .timeout(Mono.delay(limit))
+          .timeout(Mono.delay(timeout))
           .onErrorMap(
               TimeoutException.class,
               e ->
                   new UpstreamException(
                       Verdict.MAY_HAVE_RUN,
                       RefusalReason.UPSTREAM_FAILED,
-                      "no answer within " + limit.toMillis() + " ms",
+                      "no answer within " + timeout.toMillis() + " ms",
                       e));
     }
 
@@ -155,13 +156,13 @@
     }
 
     private Flux<UpstreamEvent> retryOrRefuse(UpstreamException e) {
-      boolean harmless = stage.repeatable() || e.verdict().allowsRetry();
-      boolean again =
-          harmless
+      boolean safeToRepeat = stage.repeatable() || e.verdict().allowsRetry();
+      boolean retry =
+          safeToRepeat
               && attempts < MAX_ATTEMPTS
               && !context.deadline().passed()
               && retryBudget.takeExtra();
-      return again ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
+      return retry ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
     }
 
     private RefusalException refusal(
@@ -174,7 +175,7 @@
           .build();
     }
 
-    /** What one call came to; tells the upstream's state, the times and the metrics once. */
+    /** Records the result of a call once, in the upstream's state, the limiter and the metrics. */
     private final class CallRecorder {
 
       private final UpstreamState upstream;
--- a/gradeledge-core/src/main/java/org/gradeledge/request/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/package-info.java
@@ -1,4 +1,4 @@
-/** One request from admission to answer: stages, attempts, deadlines and cancellation. */
+/** Handling of caller requests: admission, stages, retries, deadlines and cancellation. */
 @NullMarked
 package org.gradeledge.request;
 
