--- a/gradeledge-core/src/main/java/org/gradeledge/operator/BoxStatus.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/BoxStatus.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * What this box knows of a member.
+ * The status of a member as observed by this box.
  *
  * @param boxId name of the box
- * @param incarnation incarnation under which it is a member
- * @param availabilityZone where it stands
- * @param reached whether this box hears of it, or is it
- * @param serving whether it serves, as far as it said
- * @param removing whether it is being removed
- * @param versions versions in force there, as far as it said
+ * @param incarnation incarnation of the member
+ * @param availabilityZone availability zone of the box
+ * @param reached whether it is this box or this box receives its heartbeats
+ * @param serving whether it serves requests, empty if not reported
+ * @param removing whether it is marked for removal
+ * @param versions reported pipeline versions in force on the box
  */
 record BoxStatus(
     String boxId,
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorAuthenticator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorAuthenticator.java
@@ -8,7 +8,7 @@
 import org.gradeledge.verdict.RefusalReason;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Tells operators by their bearer tokens, in a time that does not depend on the token. */
+/** Authenticates operators by their bearer tokens, in constant time for each operator. */
 final class OperatorAuthenticator {
 
   private final List<OperatorSettings> operators;
@@ -17,7 +17,7 @@
     this.operators = List.copyOf(operators);
   }
 
-  /** Returns the name of the operator who makes a request, or refuses. */
+  /** Returns the name of the operator who sent the request, or refuses the request. */
   String authenticate(HttpServerRequest request) {
     String digest = BearerTokens.digest(request);
     String found = "";
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorRoutes.java
@@ -30,7 +30,7 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * The routes of the operators' port; each asks for an operator's token.
+ * The HTTP routes of the operator port. Each requires the bearer token of an operator.
  *
  * @since 0.1
  */
@@ -57,7 +57,7 @@
   /**
    * Creates the routes.
    *
-   * @param drain starts a planned stop of this box
+   * @param drain initiates a planned stop of this box
    */
   public OperatorRoutes(
       List<OperatorSettings> operators,
@@ -78,7 +78,7 @@
     this.drain = drain;
   }
 
-  /** Adds the routes to a port. */
+  /** Adds the routes to an HTTP server. */
   public void addTo(HttpServerRoutes routes) {
     routes
         .put("/v1/pipelines/{pipeline}", authenticated(this::submit))
@@ -113,8 +113,8 @@
 
   private static Mono<Void> refuse(Throwable e, HttpServerResponse response) {
     RefusalException refusal =
-        e instanceof RefusalException known
-            ? known
+        e instanceof RefusalException refusalException
+            ? refusalException
             : RefusalException.forReason(
                     e instanceof PlatformException
                         ? RefusalReason.TABLE_UNAVAILABLE
@@ -180,19 +180,19 @@
   }
 
   private Mono<Void> boxes(HttpServerResponse response) {
-    Map<String, Heartbeat> heard = heartbeats.lastByPeer();
+    Map<String, Heartbeat> heartbeatsByPeer = heartbeats.lastByPeer();
     return HttpReplies.json(
         response,
         OK,
         membership.members().members().values().stream()
-            .map(member -> statusOf(member, heard))
+            .map(member -> statusOf(member, heartbeatsByPeer))
             .sorted(Comparator.comparing(BoxStatus::boxId))
             .collect(Collectors.toList()));
   }
 
-  private BoxStatus statusOf(MemberRow member, Map<String, Heartbeat> heard) {
+  private BoxStatus statusOf(MemberRow member, Map<String, Heartbeat> heartbeatsByPeer) {
     boolean self = member.boxId().equals(membership.boxId());
-    Optional<Heartbeat> heartbeat = Optional.ofNullable(heard.get(member.boxId()));
+    Optional<Heartbeat> heartbeat = Optional.ofNullable(heartbeatsByPeer.get(member.boxId()));
     return new BoxStatus(
         member.boxId(),
         member.incarnation(),
@@ -222,7 +222,7 @@
     return HttpReplies.json(response, ACCEPTED, Map.of("draining", membership.boxId()));
   }
 
-  private static Mono<Void> notFound(HttpServerResponse response, String what) {
-    return HttpReplies.json(response, NOT_FOUND, new NotFoundReply(what));
+  private static Mono<Void> notFound(HttpServerResponse response, String title) {
+    return HttpReplies.json(response, NOT_FOUND, new NotFoundReply(title));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/PipelineStatus.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/PipelineStatus.java
@@ -1,4 +1,4 @@
 package org.gradeledge.operator;
 
-/** A pipeline and its version in force on this box. */
+/** The version of a pipeline that is in force on this box. */
 record PipelineStatus(String pipeline, long version, String digest, String submissionId) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionReply.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionReply.java
@@ -8,15 +8,15 @@
 import org.gradeledge.document.Fault;
 
 /**
- * What an operator gets for a submission.
+ * The response to a submission.
  *
- * @param submissionId the submission, absent where the file could not be read
- * @param state accepted, refused or unknown
- * @param version the version it became, where accepted
+ * @param submissionId identifier of the submission, empty if the request was invalid
+ * @param state state of the submission
+ * @param version the resulting pipeline version, empty unless accepted
  * @param cause why it was refused
- * @param detail the cause in words
- * @param inForceOn boxes that serve the version
- * @param faults what is wrong with the file
+ * @param detail description of the cause
+ * @param inForceOn boxes on which the version is in force
+ * @param faults validation errors
  * @since 0.1
  */
 public record SubmissionReply(
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionRequestReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionRequestReader.java
@@ -9,7 +9,7 @@
 import org.gradeledge.document.Fault;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Makes a submission of an operator's request, or says everything that is wrong with it. */
+/** Parses the submission in an operator's request, or returns the validation errors. */
 final class SubmissionRequestReader {
 
   private static final String ANY = "*";
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/package-info.java
@@ -1,4 +1,4 @@
-/** The HTTP interface that operators use. */
+/** The HTTP interface for operators. */
 @NullMarked
 package org.gradeledge.operator;
 
