--- a/gradeledge-core/src/main/java/org/gradeledge/caller/Answer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/Answer.java
@@ -2,5 +2,5 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The whole answer as a caller gets it. */
+/** The JSON form of a complete answer. */
 record Answer(String requestId, long version, String verdict, ObjectNode results) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/AnswerWriter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/AnswerWriter.java
@@ -14,7 +14,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Writes answers and refusals: whole as JSON, or as server-sent events. */
+/** Writes answers and refusals as one JSON document or as server-sent events. */
 abstract class AnswerWriter {
 
   private static final String VERDICT_HEADER = "Gradeledge-Verdict";
@@ -37,21 +37,25 @@
                     answer(requestId, result)));
   }
 
-  /** A refusal before the first event is a plain refusal; a later one ends the stream. */
+  /**
+   * Streams the events. Fails if the request is refused before the first event; a later refusal is
+   * sent as the last event.
+   */
   static Mono<Void> writeEventStream(
       String requestId, Flux<AnswerEvent> events, HttpServerResponse response) {
     return events
         .switchOnFirst(
-            (first, all) -> {
+            (first, eventFlux) -> {
               if (first.isOnError()) {
-                return all.thenMany(Flux.<Void>empty());
+                return eventFlux.thenMany(Flux.<Void>empty());
               }
               response.sse().header("Cache-Control", "no-store");
-              Flux<ByteBuf> written =
-                  all.map(event -> answerEvent(requestId, event))
+              Flux<ByteBuf> frames =
+                  eventFlux
+                      .map(event -> answerEvent(requestId, event))
                       .onErrorResume(
                           RefusalException.class, e -> Flux.just(errorEvent(requestId, e)));
-              return response.send(written, buffer -> true).then().flux();
+              return response.send(frames, buffer -> true).then().flux();
             })
         .then();
   }
@@ -63,10 +67,10 @@
         .retryAfter()
         .ifPresent(
             after -> response.header("Retry-After", String.valueOf(roundUpToSeconds(after))));
-    boolean closes =
+    boolean closeConnection =
         refusal.reason() == RefusalReason.STOPPING
             || refusal.reason() == RefusalReason.BODY_TOO_LARGE;
-    if (closes) {
+    if (closeConnection) {
       response.keepAlive(false);
     }
     return HttpReplies.send(
@@ -94,9 +98,9 @@
   }
 
   private static ByteBuf serverSentEvent(String name, String id, byte[] data) {
-    String head = (id.isEmpty() ? "" : "id: " + id + "\n") + "event: " + name + "\ndata: ";
+    String header = (id.isEmpty() ? "" : "id: " + id + "\n") + "event: " + name + "\ndata: ";
     return Unpooled.wrappedBuffer(
-        Unpooled.copiedBuffer(head, StandardCharsets.UTF_8),
+        Unpooled.copiedBuffer(header, StandardCharsets.UTF_8),
         Unpooled.wrappedBuffer(data),
         Unpooled.copiedBuffer("\n\n", StandardCharsets.UTF_8));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRequestReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRequestReader.java
@@ -15,7 +15,7 @@
 import org.jspecify.annotations.Nullable;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Makes a caller's request of its head and body, or refuses it with what is wrong. */
+/** Parses a caller's request from its headers and body, or refuses it if it is malformed. */
 abstract class CallerRequestReader {
 
   private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 255;
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRoutes.java
@@ -19,7 +19,7 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * The routes of the callers' port.
+ * The HTTP routes of the caller port.
  *
  * @since 0.1
  */
@@ -36,7 +36,7 @@
   /**
    * Creates the routes.
    *
-   * @param ready whether the balancer is to send work here
+   * @param ready whether the load balancer should send requests to this box
    */
   public CallerRoutes(
       RequestService requests, BoxMetrics metrics, BooleanSupplier ready, int maxBodyBytes) {
@@ -46,7 +46,7 @@
     this.maxBodyBytes = maxBodyBytes;
   }
 
-  /** Adds the routes to a port. */
+  /** Adds the routes to an HTTP server. */
   public void addTo(HttpServerRoutes routes) {
     routes
         .post("/v1/pipelines/{" + PIPELINE_PARAMETER + "}/requests", this::serve)
@@ -75,10 +75,10 @@
   }
 
   private static RefusalException refusal(String requestId, Throwable e) {
-    if (e instanceof RefusalException known) {
-      return known;
+    if (e instanceof RefusalException refusalException) {
+      return refusalException;
     }
-    Logger.error(e, "request failed before it was admitted: id={}", requestId);
+    Logger.error(e, "request failed before admission: id={}", requestId);
     return RefusalException.forReason(RefusalReason.INTERNAL).cause(e).build();
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/package-info.java
@@ -1,4 +1,4 @@
-/** The HTTP interface that callers use. */
+/** The HTTP interface for callers. */
 @NullMarked
 package org.gradeledge.caller;
 
