--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeCoordinator.java
@@ -48,7 +48,7 @@
     this.installTimeout = installTimeout;
   }
 
-  /** Submits a file; reports every outcome, also a failure, as a state of the result. */
+  /** Submits a file; reports every outcome, including failures, in the result. */
   public Mono<SubmissionResult> submit(Submission submission) {
     return store
         .find(submission.id())
@@ -211,8 +211,8 @@
     return store
         .readBack(record.id())
         .flatMap(
-            found -> {
-              SubmissionRecord current = found.orElse(record);
+            stored -> {
+              SubmissionRecord current = stored.orElse(record);
               return switch (current.state()) {
                 case ACCEPTED ->
                     membership.read().flatMap(members -> install(submission, current, members));
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VerdictApplier.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VerdictApplier.java
@@ -40,10 +40,10 @@
         .concatMap(fetcher::installAccepted)
         .then(
             Mono.fromRunnable(
-                () -> preparedBeforeRead.forEach(version -> dropIfRefused(heads, version))));
+                () -> preparedBeforeRead.forEach(version -> withdrawIfRefused(heads, version))));
   }
 
-  private void dropIfRefused(ChangeHeads heads, PipelineVersion version) {
+  private void withdrawIfRefused(ChangeHeads heads, PipelineVersion version) {
     boolean stillStaged =
         heads
             .stagedOf(version.pipeline())
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimService.java
@@ -119,18 +119,18 @@
   }
 
   private Mono<ClaimOutcome> outcomeOfRow(ClaimKey key, ClaimRecord own, TableRow row) {
-    ClaimRecord found = decode(row.value());
-    if (found.writer().equals(own.writer())) {
+    ClaimRecord stored = decode(row.value());
+    if (stored.writer().equals(own.writer())) {
       return Mono.just(new ClaimOutcome.Acquired(new Claim(key, own, row.revision())));
     }
-    if (found.expiresAtMillis() < wallClock.millis()) {
+    if (stored.expiresAtMillis() < wallClock.millis()) {
       return write(key, own, row.revision());
     }
-    if (!found.bodyDigest().equals(own.bodyDigest())) {
+    if (!stored.bodyDigest().equals(own.bodyDigest())) {
       return Mono.just(new ClaimOutcome.BodyMismatch());
     }
     return Mono.just(
-        found
+        stored
             .result()
             .filter(JsonNode::isObject)
             .<ClaimOutcome>map(ClaimOutcome.Answered::new)
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/GroupCommit.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/GroupCommit.java
@@ -122,16 +122,16 @@
       return Mono.empty();
     }
     Set<String> conflicts = Set.copyOf(result.conflicts());
-    List<PendingTransaction> others = new ArrayList<>();
+    List<PendingTransaction> remaining = new ArrayList<>();
     for (PendingTransaction item : group) {
       if (item.keys().stream().anyMatch(conflicts::contains)) {
         item.result().tryEmitValue(result);
       } else {
-        others.add(item);
+        remaining.add(item);
       }
     }
-    return others.size() < group.size()
-        ? commitGroup(others)
+    return remaining.size() < group.size()
+        ? commitGroup(remaining)
         : Mono.error(
             new IllegalStateException("reported conflicts contain no key of the transaction"));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/MembershipService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/MembershipService.java
@@ -40,11 +40,11 @@
    * Adds a box with a new incarnation; retries until it succeeds. The incarnation is the epoch of
    * the changed set, so that it increases without a clock.
    *
-   * @param self the row of the box; its incarnation is ignored
+   * @param box the row of the box; its incarnation is ignored
    */
-  public Mono<MemberRow> join(MemberRow self) {
+  public Mono<MemberRow> join(MemberRow box) {
     return Mono.defer(this::read)
-        .flatMap(members -> tryJoin(self, members))
+        .flatMap(members -> tryJoin(box, members))
         .retryWhen(
             Retry.backoff(Long.MAX_VALUE, MIN_BACKOFF)
                 .maxBackoff(MAX_BACKOFF)
@@ -54,11 +54,11 @@
   }
 
   /** Removes a box if it is a member with the given incarnation. */
-  public Mono<Void> leave(MemberRow self) {
+  public Mono<Void> leave(MemberRow box) {
     return Mono.defer(this::read)
         .flatMap(
             members ->
-                isMember(members, self) ? delete(members, self.boxId()) : Mono.just(Boolean.TRUE))
+                isMember(members, box) ? delete(members, box.boxId()) : Mono.just(Boolean.TRUE))
         .flatMap(removed -> removed ? Mono.empty() : Mono.error(conflict("leaving")))
         .retryWhen(Retry.backoff(5, MIN_BACKOFF).maxBackoff(MAX_BACKOFF))
         .then();
@@ -95,27 +95,27 @@
                 .put(MemberSet.EPOCH_KEY, members.nextEpochValue()));
   }
 
-  private Mono<MemberRow> tryJoin(MemberRow self, MemberSet members) {
-    String key = MemberRow.rowKey(self.boxId());
+  private Mono<MemberRow> tryJoin(MemberRow box, MemberSet members) {
+    String key = MemberRow.rowKey(box.boxId());
     MemberRow joining =
         new MemberRow(
-            self.boxId(),
+            box.boxId(),
             members.epoch() + 1,
-            self.availabilityZone(),
-            self.host(),
-            self.port(),
+            box.availabilityZone(),
+            box.host(),
+            box.port(),
             false);
-    return startChange(members, self.boxId())
+    return startChange(members, box.boxId())
         .flatMap(
             transaction -> table.commit(transaction.put(key, RowValues.encode(joining)).build()))
         .flatMap(
             result -> result.committed() ? Mono.just(joining) : Mono.error(conflict("joining")));
   }
 
-  private static boolean isMember(MemberSet members, MemberRow self) {
+  private static boolean isMember(MemberSet members, MemberRow box) {
     return members
-        .member(self.boxId())
-        .filter(member -> member.incarnation() == self.incarnation())
+        .member(box.boxId())
+        .filter(member -> member.incarnation() == box.incarnation())
         .isPresent();
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionRequestReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionRequestReader.java
@@ -14,10 +14,10 @@
 
   private static final String ANY = "*";
 
-  private final PipelineFileReader files = new PipelineFileReader();
+  private final PipelineFileReader fileReader = new PipelineFileReader();
 
   Either<List<Fault>, Submission> read(HttpServerRequest request, String operator, byte[] body) {
-    return files
+    return fileReader
         .read(body)
         .flatMap(file -> checkName(request, file))
         .flatMap(
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -162,9 +162,9 @@
 
   private void recordMetrics(
       CallerRequest request, String account, Verdict verdict, String reason, long startNanos) {
-    boolean known = configuration.inForce(request.pipeline()).isPresent();
+    boolean pipelineExists = configuration.inForce(request.pipeline()).isPresent();
     metrics.request(
-        known ? request.pipeline() : UNKNOWN,
+        pipelineExists ? request.pipeline() : UNKNOWN,
         account,
         verdict.wireName(),
         reason,
