--- a/gradeledge-core/src/main/java/org/gradeledge/change/ParticipantClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ParticipantClient.java
@@ -52,7 +52,7 @@
    */
   void withdraw(Submission submission) {
     registry.withdraw(submission.pipeline(), submission.id());
-    peers.tellAll(
+    peers.sendToAll(
         ChangeMessages.WITHDRAW,
         new ChangeMessages.Withdraw(submission.pipeline(), submission.id()));
   }
@@ -76,7 +76,7 @@
     Mono<ChangeMessages.Prepared> response =
         member.boxId().equals(membership.boxId())
             ? Mono.fromSupplier(() -> participant.prepare(prepare))
-            : peers.ask(
+            : peers.request(
                 member.boxId(),
                 ChangeMessages.PREPARE,
                 prepare,
@@ -97,7 +97,7 @@
       return Mono.just(member.boxId());
     }
     Mono<ChangeMessages.Installed> response =
-        peers.ask(
+        peers.request(
             member.boxId(),
             ChangeMessages.INSTALL,
             new ChangeMessages.Install(accepted.pipeline(), accepted.version(), accepted.id()),
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
@@ -84,7 +84,7 @@
   }
 
   private Mono<Void> installFromAnyPeer(PipelineHead head) {
-    return Flux.fromIterable(peers.connected())
+    return Flux.fromIterable(peers.connectedPeers())
         .concatMapDelayError(
             peer ->
                 fetchFromPeer(peer.boxId(), head.pipeline(), head.version())
@@ -102,7 +102,7 @@
 
   private Mono<Void> fetchFromPeer(String peerId, String pipeline, long version) {
     return peers
-        .ask(
+        .request(
             peerId,
             ChangeMessages.FETCH,
             new ChangeMessages.Fetch(pipeline),
--- a/gradeledge-core/src/main/java/org/gradeledge/request/AtMostOnceRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/AtMostOnceRunner.java
@@ -38,7 +38,7 @@
             request.pipeline(), context.account().name(), request.idempotencyKey().orElse(""));
     return claims
         .claim(key, request.bodyDigest(), context.file().retention())
-        .timeout(context.deadline().left())
+        .timeout(context.deadline().remaining())
         .onErrorMap(TimeoutException.class, e -> claimTimedOut(e))
         .flatMapMany(outcome -> handleOutcome(outcome, work));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -96,7 +96,7 @@
     Duration limit = RequestValidator.resolveDeadline(account, request);
     RequestValidator.requireIdempotencyKey(version.file(), request);
     PipelineLimits stageLimits = limits.limitsOf(version.file());
-    stageLimits.checkReachable(version.file(), account, limit);
+    stageLimits.checkDeadline(version.file(), account, limit);
     RequestContext context =
         new RequestContext(
             request,
@@ -106,7 +106,7 @@
             stageLimits,
             new RequestProgress());
     var accountLimiter = limits.limiterOf(version.file(), account);
-    accountLimiter.enter(account);
+    accountLimiter.acquire(account);
     gate.requestStarted();
     Flux<AnswerEvent> answer =
         (request.idempotencyKey().isPresent()
@@ -114,7 +114,7 @@
                 : runUntilDeadline(context))
             .doFinally(
                 signal -> {
-                  accountLimiter.leave();
+                  accountLimiter.release();
                   gate.requestEnded();
                 });
     return request.idempotencyKey().isPresent() ? continueWithoutCaller(answer) : answer;
@@ -139,7 +139,7 @@
   }
 
   private static Flux<AnswerEvent> failAtDeadline(RequestContext context) {
-    return Mono.delay(context.deadline().left())
+    return Mono.delay(context.deadline().remaining())
         .<AnswerEvent>flatMap(tick -> Mono.error(new TimeoutException()))
         .flux();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.TimeoutException;
-import org.gradeledge.admission.RetryBudget;
+import org.gradeledge.admission.RetryTokenBucket;
 import org.gradeledge.admission.StageTicket;
 import org.gradeledge.configuration.StageDefinition;
 import org.gradeledge.metrics.AttemptResult;
@@ -43,7 +43,7 @@
   private final UpstreamProtocol protocol;
   private final BoxMetrics metrics;
   private final MonotonicClock clock;
-  private final RetryBudget retryBudget = new RetryBudget();
+  private final RetryTokenBucket retryBudget = new RetryTokenBucket();
 
   StageRunner(Router router, UpstreamProtocol protocol, BoxMetrics metrics, MonotonicClock clock) {
     this.router = router;
@@ -56,7 +56,7 @@
   Flux<UpstreamEvent> run(RequestContext context, int stageIndex, JsonNode input) {
     return Flux.defer(
         () -> {
-          retryBudget.firstAttempt(context.file().retryShare());
+          retryBudget.recordFirstAttempt(context.file().retryShare());
           return new StageExecution(context, stageIndex, input).attempt();
         });
   }
@@ -94,11 +94,11 @@
       return new StageTicket(
           context.account(),
           context.deadline(),
-          context.limits().neededToStart(remainingStages, context.account()));
+          context.limits().minimumTimeToStart(remainingStages, context.account()));
     }
 
     private Flux<UpstreamEvent> dispatch() {
-      if (context.deadline().passed()) {
+      if (context.deadline().hasPassed()) {
         return Flux.error(refusal(RefusalReason.DEADLINE_PASSED, Verdict.NOT_RUN, null));
       }
       return router
@@ -126,7 +126,7 @@
      * stage, so that a hanging upstream leaves time for a retry at another one.
      */
     private Flux<UpstreamEvent> withAttemptTimeout(Flux<UpstreamEvent> events) {
-      Duration slowCall = context.limits().times(stage).slow();
+      Duration slowCall = context.limits().latencies(stage).percentile99();
       if (!stage.repeatable() || slowCall.isZero()) {
         return events;
       }
@@ -150,7 +150,7 @@
           attempts,
           upstream.definition(),
           input,
-          context.deadline().left(),
+          context.deadline().remaining(),
           stage.repeatable() ? "" : context.request().idempotencyKey().orElse(""),
           lastOffset < 0 ? OptionalLong.empty() : OptionalLong.of(lastOffset));
     }
@@ -160,8 +160,8 @@
       boolean retry =
           safeToRepeat
               && attempts < MAX_ATTEMPTS
-              && !context.deadline().passed()
-              && retryBudget.takeExtra();
+              && !context.deadline().hasPassed()
+              && retryBudget.tryAcquire();
       return retry ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
     }
 
@@ -209,7 +209,7 @@
         switch (result) {
           case USED -> {
             upstream.recordCallSucceeded(nanos);
-            context.limits().limiter(stage).completed(nanos);
+            context.limits().limiter(stage).recordCompletion(nanos);
           }
           case FAILED -> upstream.recordCallFailed();
           default -> upstream.recordCallCancelled();
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
@@ -33,7 +33,7 @@
  */
 public final class PlatformReader {
 
-  private static final List<String> HEADS = List.of("head/");
+  private static final List<String> HEAD_KEY_PREFIXES = List.of("head/");
 
   private final TableService table;
   private final BoxList boxList;
@@ -42,7 +42,7 @@
   private final ChangeService changes;
   private final PeerNetwork peers;
   private final UpstreamDirectory upstreams;
-  private final UnlistedMemberTracker gone;
+  private final UnlistedMemberTracker goneMembers;
   private final MonotonicClock clock;
   private final Supplier<Mono<Void>> rejoin;
 
@@ -68,7 +68,7 @@
     this.changes = changes;
     this.peers = peers;
     this.upstreams = upstreams;
-    this.gone = gone;
+    this.goneMembers = gone;
     this.clock = clock;
     this.rejoin = rejoin;
   }
@@ -81,11 +81,11 @@
           long incarnation = membership.incarnation();
           List<PipelineVersion> open = changes.verdictApplier().preparedBeforeRead();
           return table
-              .read(HEADS)
+              .read(HEAD_KEY_PREFIXES)
               .flatMap(
                   rows ->
                       readMembersIfChanged(rows)
-                          .then(learn(ChangeHeads.of(rows), open))
+                          .then(applyHeads(ChangeHeads.of(rows), open))
                           .then(confirmOrRejoin(incarnation, startNanos)));
         });
   }
@@ -94,14 +94,14 @@
   public Mono<Void> readList() {
     return boxList
         .list()
-        .doOnError(e -> gone.listUnavailable())
+        .doOnError(e -> goneMembers.listUnavailable())
         .flatMap(
             boxes -> {
-              noteLeavingUpstreams(boxes);
+              markLeavingUpstreams(boxes);
               Set<String> listed = boxes.stream().map(ListedBox::id).collect(Collectors.toSet());
               MemberSet members = membership.members();
-              gone.observe(members, listed);
-              return removeGone(members);
+              goneMembers.observe(members, listed);
+              return removeGoneMembers(members);
             });
   }
 
@@ -120,7 +120,7 @@
         .then();
   }
 
-  private Mono<Void> learn(ChangeHeads heads, List<PipelineVersion> open) {
+  private Mono<Void> applyHeads(ChangeHeads heads, List<PipelineVersion> open) {
     return changes
         .verdictApplier()
         .apply(heads, open)
@@ -149,20 +149,20 @@
             .toList());
   }
 
-  private Mono<Void> removeGone(MemberSet members) {
+  private Mono<Void> removeGoneMembers(MemberSet members) {
     Mono<Void> marking =
-        Flux.fromIterable(gone.membersToMark(members))
+        Flux.fromIterable(goneMembers.membersToMark(members))
             .filter(member -> !member.boxId().equals(membership.boxId()))
             .concatMap(member -> membershipService.markRemoving(members, member))
             .then();
     Mono<Void> removing =
-        Flux.fromIterable(gone.membersToRemove(members))
+        Flux.fromIterable(goneMembers.membersToRemove(members))
             .concatMap(member -> membershipService.delete(members, member.boxId()))
             .then();
     return marking.then(removing);
   }
 
-  private void noteLeavingUpstreams(List<ListedBox> boxes) {
+  private void markLeavingUpstreams(List<ListedBox> boxes) {
     Set<String> leaving =
         boxes.stream()
             .filter(box -> box.state() == BoxState.LEAVING)
