--- a/gradeledge-core/src/main/java/org/gradeledge/caller/AnswerWriter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/AnswerWriter.java
@@ -14,7 +14,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Writes answers and refusals: whole as JSON, or as server-sent events. */
+/** Writes answers and refusals as one JSON document or as server-sent events. */
 abstract class AnswerWriter {
 
   private static final String VERDICT_HEADER = "Gradeledge-Verdict";
@@ -22,7 +22,8 @@
 
   private AnswerWriter() {}
 
-  static Mono<Void> whole(String requestId, Flux<AnswerEvent> events, HttpServerResponse response) {
+  static Mono<Void> writeJson(
+      String requestId, Flux<AnswerEvent> events, HttpServerResponse response) {
     return events
         .ofType(AnswerEvent.Result.class)
         .last()
@@ -36,34 +37,40 @@
                     answer(requestId, result)));
   }
 
-  /** A refusal before the first event is a plain refusal; a later one ends the stream. */
-  static Mono<Void> stream(
+  /**
+   * Streams the events. Fails if the request is refused before the first event; a later refusal is
+   * sent as the last event.
+   */
+  static Mono<Void> writeEventStream(
       String requestId, Flux<AnswerEvent> events, HttpServerResponse response) {
     return events
         .switchOnFirst(
-            (first, all) -> {
+            (first, eventFlux) -> {
               if (first.isOnError()) {
-                return all.thenMany(Flux.<Void>empty());
+                return eventFlux.thenMany(Flux.<Void>empty());
               }
               response.sse().header("Cache-Control", "no-store");
-              Flux<ByteBuf> written =
-                  all.map(event -> event(requestId, event))
-                      .onErrorResume(RefusalException.class, e -> Flux.just(error(requestId, e)));
-              return response.send(written, buffer -> true).then().flux();
+              Flux<ByteBuf> frames =
+                  eventFlux
+                      .map(event -> answerEvent(requestId, event))
+                      .onErrorResume(
+                          RefusalException.class, e -> Flux.just(errorEvent(requestId, e)));
+              return response.send(frames, buffer -> true).then().flux();
             })
         .then();
   }
 
-  static Mono<Void> refuse(
+  static Mono<Void> writeRefusal(
       String requestId, RefusalException refusal, HttpServerResponse response) {
     response.header(VERDICT_HEADER, refusal.verdict().wireName());
     refusal
         .retryAfter()
-        .ifPresent(after -> response.header("Retry-After", String.valueOf(wholeSeconds(after))));
-    boolean closes =
+        .ifPresent(
+            after -> response.header("Retry-After", String.valueOf(roundUpToSeconds(after))));
+    boolean closeConnection =
         refusal.reason() == RefusalReason.STOPPING
             || refusal.reason() == RefusalReason.BODY_TOO_LARGE;
-    if (closes) {
+    if (closeConnection) {
       response.keepAlive(false);
     }
     return HttpReplies.send(
@@ -77,27 +84,28 @@
     return new Answer(requestId, result.version(), Verdict.COMPLETED.wireName(), result.results());
   }
 
-  private static ByteBuf event(String requestId, AnswerEvent event) {
+  private static ByteBuf answerEvent(String requestId, AnswerEvent event) {
     if (event instanceof AnswerEvent.Token token) {
-      return sse("token", String.valueOf(token.offset()), HttpReplies.bytes(token.text()));
+      return serverSentEvent(
+          "token", String.valueOf(token.offset()), HttpReplies.bytes(token.text()));
     }
     Answer answer = answer(requestId, (AnswerEvent.Result) event);
-    return sse("result", "", HttpReplies.bytes(answer));
+    return serverSentEvent("result", "", HttpReplies.bytes(answer));
   }
 
-  private static ByteBuf error(String requestId, RefusalException refusal) {
-    return sse("error", "", HttpReplies.bytes(Problem.of(refusal, requestId)));
+  private static ByteBuf errorEvent(String requestId, RefusalException refusal) {
+    return serverSentEvent("error", "", HttpReplies.bytes(Problem.of(refusal, requestId)));
   }
 
-  private static ByteBuf sse(String name, String id, byte[] data) {
-    String head = (id.isEmpty() ? "" : "id: " + id + "\n") + "event: " + name + "\ndata: ";
+  private static ByteBuf serverSentEvent(String name, String id, byte[] data) {
+    String header = (id.isEmpty() ? "" : "id: " + id + "\n") + "event: " + name + "\ndata: ";
     return Unpooled.wrappedBuffer(
-        Unpooled.copiedBuffer(head, StandardCharsets.UTF_8),
+        Unpooled.copiedBuffer(header, StandardCharsets.UTF_8),
         Unpooled.wrappedBuffer(data),
         Unpooled.copiedBuffer("\n\n", StandardCharsets.UTF_8));
   }
 
-  private static long wholeSeconds(Duration duration) {
+  private static long roundUpToSeconds(Duration duration) {
     return Math.max(1, duration.plusMillis(999).toSeconds());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRoutes.java
@@ -19,13 +19,13 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * The routes of the callers' port.
+ * The HTTP routes of the caller port.
  *
  * @since 0.1
  */
 public final class CallerRoutes {
 
-  private static final String PIPELINE = "pipeline";
+  private static final String PIPELINE_PARAMETER = "pipeline";
   private static final String EVENT_STREAM = "text/event-stream";
 
   private final RequestService requests;
@@ -36,7 +36,7 @@
   /**
    * Creates the routes.
    *
-   * @param ready whether the balancer is to send work here
+   * @param ready whether the load balancer should send requests to this box
    */
   public CallerRoutes(
       RequestService requests, BoxMetrics metrics, BooleanSupplier ready, int maxBodyBytes) {
@@ -46,11 +46,11 @@
     this.maxBodyBytes = maxBodyBytes;
   }
 
-  /** Adds the routes to a port. */
+  /** Adds the routes to an HTTP server. */
   public void addTo(HttpServerRoutes routes) {
     routes
-        .post("/v1/pipelines/{" + PIPELINE + "}/requests", this::serve)
-        .get("/healthz", (request, response) -> text(response, 200, "ok\n"))
+        .post("/v1/pipelines/{" + PIPELINE_PARAMETER + "}/requests", this::serve)
+        .get("/healthz", (request, response) -> sendText(response, 200, "ok\n"))
         .get("/readyz", (request, response) -> readiness(response))
         .get(
             "/metrics",
@@ -68,27 +68,27 @@
             callerRequest -> {
               Flux<AnswerEvent> events = requests.serve(callerRequest);
               return stream
-                  ? AnswerWriter.stream(requestId, events, response)
-                  : AnswerWriter.whole(requestId, events, response);
+                  ? AnswerWriter.writeEventStream(requestId, events, response)
+                  : AnswerWriter.writeJson(requestId, events, response);
             })
-        .onErrorResume(e -> AnswerWriter.refuse(requestId, refusal(requestId, e), response));
+        .onErrorResume(e -> AnswerWriter.writeRefusal(requestId, refusal(requestId, e), response));
   }
 
   private static RefusalException refusal(String requestId, Throwable e) {
-    if (e instanceof RefusalException known) {
-      return known;
+    if (e instanceof RefusalException refusalException) {
+      return refusalException;
     }
-    Logger.error(e, "request failed before it was admitted: id={}", requestId);
+    Logger.error(e, "request failed before admission: id={}", requestId);
     return RefusalException.forReason(RefusalReason.INTERNAL).cause(e).build();
   }
 
   private Publisher<Void> readiness(HttpServerResponse response) {
     return ready.getAsBoolean()
-        ? text(response, 200, "ready\n")
-        : text(response, 503, "not ready\n");
+        ? sendText(response, 200, "ready\n")
+        : sendText(response, 503, "not ready\n");
   }
 
-  private static Mono<Void> text(HttpServerResponse response, int status, String body) {
+  private static Mono<Void> sendText(HttpServerResponse response, int status, String body) {
     return HttpReplies.send(
         response, status, "text/plain", body.getBytes(StandardCharsets.US_ASCII));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionStore.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionStore.java
@@ -15,12 +15,13 @@
 import reactor.util.retry.Retry;
 
 /**
- * Reads and writes the rows of submissions; every verdict is one transaction with its audit row.
+ * Reads and writes the rows of submissions. Each verdict and its audit entry are written in one
+ * transaction.
  */
 final class SubmissionStore {
 
-  private static final int READ_BACKS = 5;
-  private static final Duration READ_BACK_PAUSE = Duration.ofMillis(200);
+  private static final int READ_BACK_RETRIES = 5;
+  private static final Duration READ_BACK_INTERVAL = Duration.ofMillis(200);
 
   private final TableService table;
   private final ObjectStore objects;
@@ -32,7 +33,7 @@
     this.wallClock = wallClock;
   }
 
-  /** Returns the record of a submission, if there is one. */
+  /** Returns the record of a submission, or empty if there is none. */
   Mono<Optional<SubmissionRecord>> find(String id) {
     return table
         .read(List.of(SubmissionRecord.rowKey(id)))
@@ -44,14 +45,14 @@
                     .findFirst());
   }
 
-  /** As {@link #find}, trying again for a while; fails where the table stays away. */
+  /** Like {@link #find}, but retries; fails if the table stays unavailable. */
   Mono<Optional<SubmissionRecord>> readBack(String id) {
-    return find(id).retryWhen(Retry.fixedDelay(READ_BACKS, READ_BACK_PAUSE));
+    return find(id).retryWhen(Retry.fixedDelay(READ_BACK_RETRIES, READ_BACK_INTERVAL));
   }
 
-  /** Returns the heads of one pipeline. */
+  /** Reads the heads of one pipeline. */
   Mono<ChangeHeads> heads(String pipeline) {
-    return table.read(ChangeHeads.prefixesOf(pipeline)).map(ChangeHeads::of);
+    return table.read(ChangeHeads.rowPrefixes(pipeline)).map(ChangeHeads::of);
   }
 
   Mono<Void> storeText(Submission submission) {
@@ -59,7 +60,7 @@
         PipelineHead.objectKey(submission.pipeline(), submission.digest()), submission.text());
   }
 
-  /** Stages a submission, conditional on the heads as read. */
+  /** Stages a submission on the condition that the heads have not changed since they were read. */
   Mono<CommitResult> stage(Submission submission, ChangeHeads heads) {
     SubmissionRecord record = SubmissionRecord.staged(submission);
     String headKey = PipelineHead.rowKey(submission.pipeline());
@@ -74,37 +75,40 @@
             .build());
   }
 
-  /** Accepts a staged submission, conditional on the members that prepared being all members. */
+  /** Accepts a staged submission on the condition that the member set has not changed. */
   Mono<CommitResult> accept(SubmissionRecord staged, long stagedRevision, MemberSet prepared) {
     SubmissionRecord record = staged.accepted();
     PipelineHead head =
         new PipelineHead(record.pipeline(), record.version(), record.id(), record.digest());
     return table.commit(
-        settle(record, stagedRevision)
+        settlementTransaction(record, stagedRevision)
             .require(MemberSet.EPOCH_KEY, prepared.revision())
             .put(PipelineHead.rowKey(record.pipeline()), RowValues.encode(head))
             .build());
   }
 
-  /** Refuses a staged submission unless it was settled meanwhile. */
+  /** Refuses a staged submission unless it has been accepted or refused in the meantime. */
   Mono<CommitResult> refuseStaged(
       SubmissionRecord staged, long stagedRevision, RefusalCause cause, String detail) {
-    return table.commit(settle(staged.refused(cause, detail), stagedRevision).build());
+    return table.commit(
+        settlementTransaction(staged.refused(cause, detail), stagedRevision).build());
   }
 
   /** Records the refusal of a submission that was never staged. */
   Mono<CommitResult> refuseUnstaged(SubmissionRecord refused) {
     return table.commit(
-        withAudit(TableTransaction.builder().requireAbsent(refused.rowKey()), refused).build());
+        withAuditEntry(TableTransaction.builder().requireAbsent(refused.rowKey()), refused)
+            .build());
   }
 
-  private TableTransaction.Builder settle(SubmissionRecord settled, long stagedRevision) {
+  private TableTransaction.Builder settlementTransaction(
+      SubmissionRecord settled, long stagedRevision) {
     String stagedKey = StagedHead.rowKey(settled.pipeline());
-    return withAudit(
+    return withAuditEntry(
         TableTransaction.builder().require(stagedKey, stagedRevision).delete(stagedKey), settled);
   }
 
-  private TableTransaction.Builder withAudit(
+  private TableTransaction.Builder withAuditEntry(
       TableTransaction.Builder transaction, SubmissionRecord record) {
     var entry = record.auditEntry(wallClock.millis());
     return transaction
@@ -112,7 +116,7 @@
         .put(entry.rowKey(), RowValues.encode(entry));
   }
 
-  /** Returns the revision of a submission's staged row, absent where it is not staged. */
+  /** Returns the revision of the staged row, or {@link TableRow#ABSENT} if not staged. */
   Mono<Long> stagedRevision(SubmissionRecord record) {
     return heads(record.pipeline())
         .map(
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/GroupCommit.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/GroupCommit.java
@@ -17,21 +17,21 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * Merges small independent transactions into few large ones, so that a box's writes a second to the
- * table do not grow with its requests.
+ * Merges small independent transactions into batches, so that the number of table writes does not
+ * grow with the number of requests.
  *
- * <p>Each small transaction keeps its own outcome: where the conditions of some fail, the others
- * are committed without them. One large transaction is under way at a time. Thread-safe.
+ * <p>Each transaction has its own outcome: if the conditions of some fail, the others are committed
+ * without them. One batch is in flight at a time. Thread-safe.
  *
  * @since 0.1
  */
 public final class GroupCommit {
 
-  private static final int MOST_IN_ONE = 64;
-  private static final int MOST_WAITING = 10_000;
-  private static final Duration LONGEST_WAIT = Duration.ofMillis(2);
+  private static final int MAX_BATCH_SIZE = 64;
+  private static final int MAX_QUEUED = 10_000;
+  private static final Duration MAX_BATCH_DELAY = Duration.ofMillis(2);
 
-  private record Item(TableTransaction transaction, Sinks.One<CommitResult> result) {
+  private record PendingTransaction(TableTransaction transaction, Sinks.One<CommitResult> result) {
 
     Set<String> keys() {
       Set<String> keys = new HashSet<>();
@@ -42,29 +42,29 @@
   }
 
   private final TableService table;
-  private final Sinks.Many<Item> incoming =
-      Sinks.many().unicast().onBackpressureBuffer(new LinkedBlockingQueue<>(MOST_WAITING));
-  private final Disposable task;
+  private final Sinks.Many<PendingTransaction> incoming =
+      Sinks.many().unicast().onBackpressureBuffer(new LinkedBlockingQueue<>(MAX_QUEUED));
+  private final Disposable subscription;
 
-  /** Starts the task that commits; {@link #close} ends it. */
+  /** Starts to commit batches of transactions until {@link #close}. */
   public GroupCommit(TableService table) {
     this.table = table;
-    this.task =
+    this.subscription =
         incoming
             .asFlux()
-            .bufferTimeout(MOST_IN_ONE, LONGEST_WAIT, true)
+            .bufferTimeout(MAX_BATCH_SIZE, MAX_BATCH_DELAY, true)
             .concatMap(this::commitAll)
             .subscribe();
   }
 
   /**
-   * Commits a small transaction together with others. Fails as {@link TableService#commit} does;
-   * nothing is sent where too many wait already.
+   * Commits a transaction in a batch with others. Fails like {@link TableService#commit}, or
+   * without sending anything if the queue is full.
    */
   public Mono<CommitResult> commit(TableTransaction transaction) {
     return Mono.defer(
         () -> {
-          Item item = new Item(transaction, Sinks.one());
+          PendingTransaction item = new PendingTransaction(transaction, Sinks.one());
           synchronized (incoming) {
             incoming.emitNext(item, Sinks.EmitFailureHandler.FAIL_FAST);
           }
@@ -72,20 +72,21 @@
         });
   }
 
-  /** Ends the task. */
+  /** Stops committing batches. */
   public void close() {
-    task.dispose();
+    subscription.dispose();
   }
 
-  private Mono<Void> commitAll(List<Item> items) {
-    return Flux.fromIterable(inDisjointGroups(items)).concatMap(this::commitGroup).then();
+  private Mono<Void> commitAll(List<PendingTransaction> items) {
+    return Flux.fromIterable(groupByDisjointKeys(items)).concatMap(this::commitGroup).then();
   }
 
-  /** Two transactions on one key must not be merged, or both would find it as it was before. */
-  private static List<List<Item>> inDisjointGroups(List<Item> items) {
-    List<List<Item>> groups = new ArrayList<>();
+  /** Groups transactions without common keys; conditions only see the state before their batch. */
+  private static List<List<PendingTransaction>> groupByDisjointKeys(
+      List<PendingTransaction> items) {
+    List<List<PendingTransaction>> groups = new ArrayList<>();
     List<Set<String>> keysOfGroups = new ArrayList<>();
-    for (Item item : items) {
+    for (PendingTransaction item : items) {
       Set<String> keys = item.keys();
       int group = 0;
       while (group < groups.size() && keys.stream().anyMatch(keysOfGroups.get(group)::contains)) {
@@ -101,13 +102,13 @@
     return groups;
   }
 
-  private Mono<Void> commitGroup(List<Item> group) {
+  private Mono<Void> commitGroup(List<PendingTransaction> group) {
     if (group.isEmpty()) {
       return Mono.empty();
     }
     return table
         .commit(merge(group))
-        .flatMap(result -> settle(group, result))
+        .flatMap(result -> completeGroup(group, result))
         .onErrorResume(
             e -> {
               group.forEach(item -> item.result().tryEmitError(e));
@@ -115,26 +116,27 @@
             });
   }
 
-  private Mono<Void> settle(List<Item> group, CommitResult result) {
+  private Mono<Void> completeGroup(List<PendingTransaction> group, CommitResult result) {
     if (result.committed()) {
       group.forEach(item -> item.result().tryEmitValue(result));
       return Mono.empty();
     }
     Set<String> conflicts = Set.copyOf(result.conflicts());
-    List<Item> others = new ArrayList<>();
-    for (Item item : group) {
+    List<PendingTransaction> remaining = new ArrayList<>();
+    for (PendingTransaction item : group) {
       if (item.keys().stream().anyMatch(conflicts::contains)) {
         item.result().tryEmitValue(result);
       } else {
-        others.add(item);
+        remaining.add(item);
       }
     }
-    return others.size() < group.size()
-        ? commitGroup(others)
-        : Mono.error(new IllegalStateException("a conflict must name a key of the transaction"));
+    return remaining.size() < group.size()
+        ? commitGroup(remaining)
+        : Mono.error(
+            new IllegalStateException("reported conflicts contain no key of the transaction"));
   }
 
-  private static TableTransaction merge(List<Item> group) {
+  private static TableTransaction merge(List<PendingTransaction> group) {
     List<TableCondition> conditions =
         group.stream().flatMap(item -> item.transaction().conditions().stream()).toList();
     List<TableWrite> writes =
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/Membership.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/Membership.java
@@ -7,31 +7,32 @@
 import org.tinylog.Logger;
 
 /**
- * What a box knows of the members, and until when its own membership is confirmed.
+ * The members as last read by this box, and the confirmation of its own membership.
  *
- * <p>A confirmation lasts for the membership bound on the monotonic clock, so that a box that was
- * frozen finds itself unconfirmed when it wakes. Thread-safe.
+ * <p>A confirmation is valid for the membership bound on the monotonic clock, so that a box that
+ * was suspended is unconfirmed when it resumes. Thread-safe.
  *
  * @since 0.1
  */
 public final class Membership {
 
-  private static final MemberSet NOBODY = new MemberSet(0, 0, Map.of(), Map.of());
+  private static final MemberSet NO_MEMBERS = new MemberSet(0, 0, Map.of(), Map.of());
 
   private final String boxId;
-  private final Duration bound;
+  private final Duration membershipBound;
   private final MonotonicClock clock;
   private final BoxMetrics metrics;
-  private volatile MemberSet members = NOBODY;
+  private volatile MemberSet members = NO_MEMBERS;
   private volatile long incarnation;
-  private long confirmedNanos;
+  private long confirmedAtNanos;
   private boolean everConfirmed;
   private boolean lapseLogged;
 
   /** Creates the membership of a box that has not joined yet. */
-  public Membership(String boxId, Duration bound, MonotonicClock clock, BoxMetrics metrics) {
+  public Membership(
+      String boxId, Duration membershipBound, MonotonicClock clock, BoxMetrics metrics) {
     this.boxId = boxId;
-    this.bound = bound;
+    this.membershipBound = membershipBound;
     this.clock = clock;
     this.metrics = metrics;
   }
@@ -41,7 +42,7 @@
     return boxId;
   }
 
-  /** Returns the incarnation under which this box joined, 0 before it has. */
+  /** Returns the incarnation with which this box joined, or 0 if it has not joined. */
   public long incarnation() {
     return incarnation;
   }
@@ -51,31 +52,32 @@
     return members;
   }
 
-  /** Takes over a read of the members unless a later one is known. */
+  /** Updates the members from a read, unless a later read was applied before. */
   public synchronized void update(MemberSet read) {
     if (read.revision() >= members.revision()) {
       members = read;
     }
   }
 
-  /** Notes that this box has joined, or joined again. */
-  public synchronized void joined(long newIncarnation) {
+  /** Records that this box joined with a new incarnation. */
+  public synchronized void recordJoin(long newIncarnation) {
     incarnation = newIncarnation;
     everConfirmed = false;
     metrics.stateChange("joined");
-    Logger.info("joined: box={} incarnation={}", boxId, newIncarnation);
+    Logger.info("joined the member set: box={} incarnation={}", boxId, newIncarnation);
   }
 
   /**
-   * Notes that somebody confirmed this incarnation's membership, as of a moment on the monotonic
-   * clock. To be called only once this box has every version that the confirmer names.
+   * Records a confirmation of this box's membership as of a time on the monotonic clock; ignores
+   * confirmations of other incarnations. Call only after this box has installed all versions that
+   * the confirmer reported.
    */
-  public synchronized void confirmed(long ofIncarnation, long asOfNanos) {
-    if (ofIncarnation != incarnation) {
+  public synchronized void recordConfirmation(long confirmedIncarnation, long asOfNanos) {
+    if (confirmedIncarnation != incarnation) {
       return;
     }
-    if (!everConfirmed || asOfNanos - confirmedNanos > 0) {
-      confirmedNanos = asOfNanos;
+    if (!everConfirmed || asOfNanos - confirmedAtNanos > 0) {
+      confirmedAtNanos = asOfNanos;
       everConfirmed = true;
     }
     if (lapseLogged && isConfirmed()) {
@@ -85,13 +87,14 @@
     }
   }
 
-  /** Returns whether this box may serve now. */
+  /** Returns whether the membership is confirmed, so that this box may serve requests. */
   public synchronized boolean isConfirmed() {
-    boolean confirmed = everConfirmed && clock.nanos() - confirmedNanos < bound.toNanos();
+    boolean confirmed =
+        everConfirmed && clock.nanos() - confirmedAtNanos < membershipBound.toNanos();
     if (!confirmed && everConfirmed && !lapseLogged) {
       lapseLogged = true;
       metrics.stateChange("membership-lapsed");
-      Logger.warn("membership lapsed: box={}", boxId);
+      Logger.warn("membership confirmation expired: box={}", boxId);
     }
     return confirmed;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/MembershipService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/MembershipService.java
@@ -11,62 +11,66 @@
 import reactor.util.retry.Retry;
 
 /**
- * Writes the members' rows: joining, leaving and removing.
+ * Reads and writes the rows of the members: join, leave, mark for removal and remove.
  *
- * <p>Each change of the set also writes the row {@link MemberSet#EPOCH_KEY}, on which the
- * acceptance of a configuration is conditional. A write without an answer is read back.
- * Thread-safe.
+ * <p>Each change of the set also writes the row {@link MemberSet#EPOCH_KEY}, on whose revision the
+ * acceptance of a configuration is conditional. Joining and leaving read the rows again before each
+ * retry. Thread-safe.
  *
  * @since 0.1
  */
 public final class MembershipService {
 
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
-  private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
+  private static final Duration MIN_BACKOFF = Duration.ofMillis(100);
+  private static final Duration MAX_BACKOFF = Duration.ofSeconds(1);
 
   private final TableService table;
 
-  /** Creates the service. */
+  /** Creates a service that uses the given table. */
   public MembershipService(TableService table) {
     this.table = table;
   }
 
-  /** Returns the members as of now. */
+  /** Reads the current members. */
   public Mono<MemberSet> read() {
     return table.read(MemberSet.prefixes()).map(MemberSet::of);
   }
 
   /**
-   * Enters a box under a new incarnation; tries until the table lets it. The incarnation is the
-   * number of the change of the set, so that it counts up without a clock.
+   * Adds a box with a new incarnation; retries until it succeeds. The incarnation is the epoch of
+   * the changed set, so that it increases without a clock.
    *
-   * @param self the box; its incarnation is not looked at
+   * @param box the row of the box; its incarnation is ignored
    */
-  public Mono<MemberRow> join(MemberRow self) {
+  public Mono<MemberRow> join(MemberRow box) {
     return Mono.defer(this::read)
-        .flatMap(members -> enter(self, members))
+        .flatMap(members -> tryJoin(box, members))
         .retryWhen(
-            Retry.backoff(Long.MAX_VALUE, FIRST_PAUSE)
-                .maxBackoff(LONGEST_PAUSE)
+            Retry.backoff(Long.MAX_VALUE, MIN_BACKOFF)
+                .maxBackoff(MAX_BACKOFF)
                 .doBeforeRetry(
-                    signal -> Logger.debug("join is tried again: {}", signal.failure())));
+                    signal ->
+                        Logger.debug("retrying to join the member set: {}", signal.failure())));
   }
 
-  /** Takes a box off under its own incarnation; does nothing where that one is gone. */
-  public Mono<Void> leave(MemberRow self) {
+  /** Removes a box if it is a member with the given incarnation. */
+  public Mono<Void> leave(MemberRow box) {
     return Mono.defer(this::read)
         .flatMap(
             members ->
-                isSame(members, self) ? delete(members, self.boxId()) : Mono.just(Boolean.TRUE))
-        .flatMap(done -> done ? Mono.empty() : Mono.error(conflict("leaving")))
-        .retryWhen(Retry.backoff(5, FIRST_PAUSE).maxBackoff(LONGEST_PAUSE))
+                isMember(members, box) ? delete(members, box.boxId()) : Mono.just(Boolean.TRUE))
+        .flatMap(removed -> removed ? Mono.empty() : Mono.error(conflict("leaving")))
+        .retryWhen(Retry.backoff(5, MIN_BACKOFF).maxBackoff(MAX_BACKOFF))
         .then();
   }
 
-  /** Marks a member as being removed, so that nobody confirms it from the next read on. */
+  /**
+   * Marks a member for removal, so that others stop confirming it after their next read; returns
+   * whether the member set was unchanged since it was read.
+   */
   public Mono<Boolean> markRemoving(MemberSet members, MemberRow member) {
     String key = MemberRow.rowKey(member.boxId());
-    return change(members, member.boxId())
+    return startChange(members, member.boxId())
         .flatMap(
             transaction ->
                 table.commit(
@@ -74,15 +78,15 @@
         .map(CommitResult::committed);
   }
 
-  /** Removes a member; returns whether the set was still as read. */
+  /** Removes a member; returns whether the member set was unchanged since it was read. */
   public Mono<Boolean> delete(MemberSet members, String boxId) {
-    return change(members, boxId)
+    return startChange(members, boxId)
         .flatMap(transaction -> table.commit(transaction.delete(MemberRow.rowKey(boxId)).build()))
         .map(CommitResult::committed);
   }
 
-  /** Starts a change of one member, conditional on the set as read. */
-  private static Mono<TableTransaction.Builder> change(MemberSet members, String boxId) {
+  /** Starts a transaction that changes one member, on the condition that the set is unchanged. */
+  private static Mono<TableTransaction.Builder> startChange(MemberSet members, String boxId) {
     return Mono.fromSupplier(
         () ->
             TableTransaction.builder()
@@ -91,31 +95,31 @@
                 .put(MemberSet.EPOCH_KEY, members.nextEpochValue()));
   }
 
-  private Mono<MemberRow> enter(MemberRow self, MemberSet members) {
-    String key = MemberRow.rowKey(self.boxId());
+  private Mono<MemberRow> tryJoin(MemberRow box, MemberSet members) {
+    String key = MemberRow.rowKey(box.boxId());
     MemberRow joining =
         new MemberRow(
-            self.boxId(),
+            box.boxId(),
             members.epoch() + 1,
-            self.availabilityZone(),
-            self.host(),
-            self.port(),
+            box.availabilityZone(),
+            box.host(),
+            box.port(),
             false);
-    return change(members, self.boxId())
+    return startChange(members, box.boxId())
         .flatMap(
             transaction -> table.commit(transaction.put(key, RowValues.encode(joining)).build()))
         .flatMap(
             result -> result.committed() ? Mono.just(joining) : Mono.error(conflict("joining")));
   }
 
-  private static boolean isSame(MemberSet members, MemberRow self) {
+  private static boolean isMember(MemberSet members, MemberRow box) {
     return members
-        .member(self.boxId())
-        .filter(member -> member.incarnation() == self.incarnation())
+        .member(box.boxId())
+        .filter(member -> member.incarnation() == box.incarnation())
         .isPresent();
   }
 
-  private static PlatformException conflict(String what) {
-    return new PlatformException("the members changed during " + what, null);
+  private static PlatformException conflict(String operation) {
+    return new PlatformException("the members changed during " + operation, null);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorTokens.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorAuthenticator.java
@@ -8,17 +8,17 @@
 import org.gradeledge.verdict.RefusalReason;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Tells operators by their bearer tokens, in a time that does not depend on the token. */
-final class OperatorTokens {
+/** Authenticates operators by their bearer tokens, in constant time for each operator. */
+final class OperatorAuthenticator {
 
   private final List<OperatorSettings> operators;
 
-  OperatorTokens(List<OperatorSettings> operators) {
+  OperatorAuthenticator(List<OperatorSettings> operators) {
     this.operators = List.copyOf(operators);
   }
 
-  /** Returns the name of the operator who makes a request, or refuses. */
-  String operator(HttpServerRequest request) {
+  /** Returns the name of the operator who sent the request, or refuses the request. */
+  String authenticate(HttpServerRequest request) {
     String digest = BearerTokens.digest(request);
     String found = "";
     for (OperatorSettings operator : operators) {
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestLimits.java
@@ -10,30 +10,31 @@
 import org.gradeledge.time.MonotonicClock;
 
 /**
- * The limits of all pipelines and client accounts of a box, kept over versions. Thread-safe.
+ * The limits of all pipelines and client accounts of a box, kept across configuration versions.
+ * Thread-safe.
  *
  * @since 0.1
  */
 public final class RequestLimits {
 
-  private record AccountOf(String pipeline, String account) {}
+  private record AccountKey(String pipeline, String account) {}
 
   private final Map<String, PipelineLimits> pipelines = new ConcurrentHashMap<>();
-  private final Map<AccountOf, AccountLimiter> accounts = new ConcurrentHashMap<>();
+  private final Map<AccountKey, AccountLimiter> accounts = new ConcurrentHashMap<>();
   private final AdmissionPolicy policy;
   private final int requestsPerAccount;
   private final MonotonicClock clock;
 
-  /** Creates empty limits; an account may have {@code requestsPerAccount} at a time. */
+  /** Creates limits that admit {@code requestsPerAccount} concurrent requests for each account. */
   public RequestLimits(AdmissionPolicy policy, int requestsPerAccount, MonotonicClock clock) {
     this.policy = policy;
     this.requestsPerAccount = requestsPerAccount;
     this.clock = clock;
   }
 
-  /** Takes over the limits of a version that comes into force; drops accounts it no longer has. */
+  /** Applies the limits of a new version; removes the accounts that it no longer contains. */
   public void update(PipelineFile file) {
-    pipeline(file).update(file);
+    limitsOf(file).update(file);
     accounts
         .keySet()
         .removeIf(
@@ -43,13 +44,13 @@
                         .noneMatch(account -> account.name().equals(key.account())));
   }
 
-  PipelineLimits pipeline(PipelineFile file) {
+  PipelineLimits limitsOf(PipelineFile file) {
     return pipelines.computeIfAbsent(file.pipeline(), name -> new PipelineLimits(policy, clock));
   }
 
-  AccountLimiter account(PipelineFile file, AccountDefinition account) {
+  AccountLimiter limiterOf(PipelineFile file, AccountDefinition account) {
     return accounts.computeIfAbsent(
-        new AccountOf(file.pipeline(), account.name()),
+        new AccountKey(file.pipeline(), account.name()),
         key -> new AccountLimiter(account, requestsPerAccount, clock));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -21,12 +21,12 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Takes requests of callers from admission to answer.
+ * Admits and runs the requests of callers.
  *
- * <p>The events end with a {@link AnswerEvent.Result}, or fail with {@link RefusalException}, whose
- * verdict is "not run" only where nothing was handed to an upstream. Cancelling the events cancels
- * the stages of a repeatable request; one that runs at most once goes on, so that its answer can be
- * asked for again. Thread-safe.
+ * <p>The events end with an {@link AnswerEvent.Result} or fail with a {@link RefusalException},
+ * whose verdict is "not run" only if nothing was sent to an upstream. Cancelling the events cancels
+ * the stages of a request without an idempotency key. A request with a key continues, so that its
+ * answer can be requested again. Thread-safe.
  *
  * @since 0.1
  */
@@ -42,7 +42,7 @@
   private final BoxMetrics metrics;
   private final MonotonicClock clock;
 
-  /** Creates the service from its collaborators. */
+  /** Creates the service. */
   public RequestService(
       ConfigurationRegistry configuration,
       ServingGate gate,
@@ -61,7 +61,7 @@
     this.clock = clock;
   }
 
-  /** Serves a request; its deadline runs from this call's subscription. */
+  /** Serves a request; the deadline starts at subscription. */
   public Flux<AnswerEvent> serve(CallerRequest request) {
     return Flux.defer(
         () -> {
@@ -69,14 +69,16 @@
           AtomicReference<String> account = new AtomicReference<>(UNKNOWN);
           return admitAndRun(request, account)
               .doOnComplete(
-                  () -> count(request, account.get(), Verdict.COMPLETED, "none", startNanos))
+                  () ->
+                      recordMetrics(request, account.get(), Verdict.COMPLETED, "none", startNanos))
               .doOnError(
                   RefusalException.class,
                   e ->
-                      count(request, account.get(), e.verdict(), e.reason().wireName(), startNanos))
+                      recordMetrics(
+                          request, account.get(), e.verdict(), e.reason().wireName(), startNanos))
               .doOnCancel(
                   () ->
-                      count(
+                      recordMetrics(
                           request,
                           account.get(),
                           Verdict.MAY_HAVE_RUN,
@@ -89,11 +91,11 @@
       CallerRequest request, AtomicReference<String> accountName) {
     gate.checkOpen();
     PipelineVersion version = configuration.serving(request.pipeline());
-    AccountDefinition account = CallerChecks.account(version, request);
+    AccountDefinition account = RequestValidator.authenticate(version, request);
     accountName.set(account.name());
-    Duration limit = CallerChecks.deadline(account, request);
-    CallerChecks.idempotencyKey(version.file(), request);
-    PipelineLimits stageLimits = limits.pipeline(version.file());
+    Duration limit = RequestValidator.resolveDeadline(account, request);
+    RequestValidator.requireIdempotencyKey(version.file(), request);
+    PipelineLimits stageLimits = limits.limitsOf(version.file());
     stageLimits.checkDeadline(version.file(), account, limit);
     RequestContext context =
         new RequestContext(
@@ -103,23 +105,23 @@
             Deadline.after(clock, limit),
             stageLimits,
             new RequestProgress());
-    var accountLimiter = limits.account(version.file(), account);
+    var accountLimiter = limits.limiterOf(version.file(), account);
     accountLimiter.acquire(account);
-    gate.started();
+    gate.requestStarted();
     Flux<AnswerEvent> answer =
         (request.idempotencyKey().isPresent()
-                ? atMostOnce.run(context, () -> runBounded(context))
-                : runBounded(context))
+                ? atMostOnce.run(context, () -> runUntilDeadline(context))
+                : runUntilDeadline(context))
             .doFinally(
                 signal -> {
                   accountLimiter.release();
-                  gate.ended();
+                  gate.requestEnded();
                 });
-    return request.idempotencyKey().isPresent() ? detached(answer) : answer;
+    return request.idempotencyKey().isPresent() ? continueWithoutCaller(answer) : answer;
   }
 
-  /** Lets the work go on to its end although its caller has left. */
-  private static Flux<AnswerEvent> detached(Flux<AnswerEvent> answer) {
+  /** Runs the request to its end even if the caller cancels. */
+  private static Flux<AnswerEvent> continueWithoutCaller(Flux<AnswerEvent> answer) {
     return Flux.defer(
         () -> {
           var shared = answer.replay();
@@ -128,12 +130,12 @@
         });
   }
 
-  private Flux<AnswerEvent> runBounded(RequestContext context) {
+  private Flux<AnswerEvent> runUntilDeadline(RequestContext context) {
     return runner
         .run(context)
         .mergeWith(Flux.defer(() -> failAtDeadline(context)))
         .takeUntil(AnswerEvent.Result.class::isInstance)
-        .onErrorMap(e -> explain(context, e));
+        .onErrorMap(e -> toRefusal(context, e));
   }
 
   private static Flux<AnswerEvent> failAtDeadline(RequestContext context) {
@@ -142,7 +144,7 @@
         .flux();
   }
 
-  private static RefusalException explain(RequestContext context, Throwable e) {
+  private static RefusalException toRefusal(RequestContext context, Throwable e) {
     RequestProgress progress = context.progress();
     if (e instanceof RefusalException refusal) {
       return refusal.withEarlierVerdict(progress.verdict());
@@ -158,11 +160,11 @@
         .build();
   }
 
-  private void count(
+  private void recordMetrics(
       CallerRequest request, String account, Verdict verdict, String reason, long startNanos) {
-    boolean known = configuration.inForce(request.pipeline()).isPresent();
+    boolean pipelineExists = configuration.inForce(request.pipeline()).isPresent();
     metrics.request(
-        known ? request.pipeline() : UNKNOWN,
+        pipelineExists ? request.pipeline() : UNKNOWN,
         account,
         verdict.wireName(),
         reason,
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -27,24 +27,23 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Runs one stage of a request: waits for a permit, chooses an upstream at dispatch, calls it, and
- * tries again where that cannot do harm.
+ * Runs one stage of a request: waits for a permit, selects an upstream, calls it, and retries if
+ * that is safe.
  *
- * <p>A stage goes again only where it is repeatable or the upstream said that it did not run, where
- * the retry budget allows it and the deadline has not passed. A stream goes on after its last
- * token.
+ * <p>A failed stage is retried only if it is repeatable or did not run, the retry budget allows it
+ * and the deadline has not passed. A retried stream resumes after its last token.
  */
 final class StageRunner {
 
-  private static final int MOST_ATTEMPTS = 3;
-  private static final int ATTEMPT_LIMIT_OVER_SLOW = 2;
-  private static final Duration ATTEMPT_LIMIT_BASE = Duration.ofMillis(50);
+  private static final int MAX_ATTEMPTS = 3;
+  private static final int ATTEMPT_TIMEOUT_FACTOR = 2;
+  private static final Duration ATTEMPT_TIMEOUT_EXTRA = Duration.ofMillis(50);
 
   private final Router router;
   private final UpstreamProtocol protocol;
   private final BoxMetrics metrics;
   private final MonotonicClock clock;
-  private final RetryTokenBucket budget = new RetryTokenBucket();
+  private final RetryTokenBucket retryBudget = new RetryTokenBucket();
 
   StageRunner(Router router, UpstreamProtocol protocol, BoxMetrics metrics, MonotonicClock clock) {
     this.router = router;
@@ -53,27 +52,27 @@
     this.clock = clock;
   }
 
-  /** Returns the events of a stage: tokens where it streams, then one answer. */
+  /** Returns the events of a stage: tokens if it streams, and then one answer. */
   Flux<UpstreamEvent> run(RequestContext context, int stageIndex, JsonNode input) {
     return Flux.defer(
         () -> {
-          budget.recordFirstAttempt(context.file().retryShare());
-          return new Run(context, stageIndex, input).attempt();
+          retryBudget.recordFirstAttempt(context.file().retryShare());
+          return new StageExecution(context, stageIndex, input).attempt();
         });
   }
 
-  /** The attempts of one stage of one request; used by one subscriber. */
-  private final class Run {
+  /** The attempts of a stage of one request; has one subscriber. */
+  private final class StageExecution {
 
     private final RequestContext context;
     private final StageDefinition stage;
     private final int stageIndex;
     private final JsonNode input;
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedUpstreamIds = new HashSet<>();
     private int attempts;
     private long lastOffset = -1;
 
-    Run(RequestContext context, int stageIndex, JsonNode input) {
+    StageExecution(RequestContext context, int stageIndex, JsonNode input) {
       this.context = context;
       this.stageIndex = stageIndex;
       this.stage = context.file().stages().get(stageIndex);
@@ -86,15 +85,16 @@
           .limiter(stage)
           .acquire(ticket())
           .flatMapMany(release -> dispatch().doFinally(signal -> release.run()))
-          .onErrorResume(UpstreamException.class, this::againOrRefuse);
+          .onErrorResume(UpstreamException.class, this::retryOrRefuse);
     }
 
     private StageTicket ticket() {
-      var rest = context.file().stages().subList(stageIndex, context.file().stages().size());
+      var remainingStages =
+          context.file().stages().subList(stageIndex, context.file().stages().size());
       return new StageTicket(
           context.account(),
           context.deadline(),
-          context.limits().minimumTimeToStart(rest, context.account()));
+          context.limits().minimumTimeToStart(remainingStages, context.account()));
     }
 
     private Flux<UpstreamEvent> dispatch() {
@@ -102,43 +102,44 @@
         return Flux.error(refusal(RefusalReason.DEADLINE_PASSED, Verdict.NOT_RUN, null));
       }
       return router
-          .route(context.file(), stage, tried)
+          .route(context.file(), stage, triedUpstreamIds)
           .map(this::call)
           .orElseGet(() -> Flux.error(refusal(RefusalReason.NO_UPSTREAM, Verdict.NOT_RUN, null)));
     }
 
     private Flux<UpstreamEvent> call(UpstreamState upstream) {
       attempts++;
-      tried.add(upstream.definition().id());
+      triedUpstreamIds.add(upstream.definition().id());
       upstream.recordCallStarted();
       context.progress().callStarted();
-      CallEnd end = new CallEnd(upstream, clock.nanos());
-      return withinAttemptLimit(protocol.call(upstreamCall(upstream)))
-          .doOnNext(end::note)
-          .doOnComplete(() -> end.finish(AttemptResult.USED, Verdict.MAY_HAVE_RUN))
-          .doOnError(UpstreamException.class, e -> end.finish(AttemptResult.FAILED, e.verdict()))
-          .doOnCancel(() -> end.finish(AttemptResult.CANCELLED, Verdict.MAY_HAVE_RUN));
+      CallRecorder recorder = new CallRecorder(upstream, clock.nanos());
+      return withAttemptTimeout(protocol.call(upstreamCall(upstream)))
+          .doOnNext(recorder::recordEvent)
+          .doOnComplete(() -> recorder.finish(AttemptResult.USED, Verdict.MAY_HAVE_RUN))
+          .doOnError(
+              UpstreamException.class, e -> recorder.finish(AttemptResult.FAILED, e.verdict()))
+          .doOnCancel(() -> recorder.finish(AttemptResult.CANCELLED, Verdict.MAY_HAVE_RUN));
     }
 
     /**
-     * Ends an attempt of a repeatable stage that takes far longer than calls of the stage do, so
-     * that a frozen upstream is found out and another one asked while there is time.
+     * Fails an attempt of a repeatable stage that takes much longer than the slow calls of the
+     * stage, so that a hanging upstream leaves time for a retry at another one.
      */
-    private Flux<UpstreamEvent> withinAttemptLimit(Flux<UpstreamEvent> events) {
-      Duration slow = context.limits().latencies(stage).percentile99();
-      if (!stage.repeatable() || slow.isZero()) {
+    private Flux<UpstreamEvent> withAttemptTimeout(Flux<UpstreamEvent> events) {
+      Duration slowCall = context.limits().latencies(stage).percentile99();
+      if (!stage.repeatable() || slowCall.isZero()) {
         return events;
       }
-      Duration limit = slow.multipliedBy(ATTEMPT_LIMIT_OVER_SLOW).plus(ATTEMPT_LIMIT_BASE);
+      Duration timeout = slowCall.multipliedBy(ATTEMPT_TIMEOUT_FACTOR).plus(ATTEMPT_TIMEOUT_EXTRA);
       return events
-          .timeout(Mono.delay(limit))
+          .timeout(Mono.delay(timeout))
           .onErrorMap(
               TimeoutException.class,
               e ->
                   new UpstreamException(
                       Verdict.MAY_HAVE_RUN,
                       RefusalReason.UPSTREAM_FAILED,
-                      "no answer within " + limit.toMillis() + " ms",
+                      "no answer within " + timeout.toMillis() + " ms",
                       e));
     }
 
@@ -154,14 +155,14 @@
           lastOffset < 0 ? OptionalLong.empty() : OptionalLong.of(lastOffset));
     }
 
-    private Flux<UpstreamEvent> againOrRefuse(UpstreamException e) {
-      boolean harmless = stage.repeatable() || e.verdict().allowsRetry();
-      boolean again =
-          harmless
-              && attempts < MOST_ATTEMPTS
+    private Flux<UpstreamEvent> retryOrRefuse(UpstreamException e) {
+      boolean safeToRepeat = stage.repeatable() || e.verdict().allowsRetry();
+      boolean retry =
+          safeToRepeat
+              && attempts < MAX_ATTEMPTS
               && !context.deadline().hasPassed()
-              && budget.tryAcquire();
-      return again ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
+              && retryBudget.tryAcquire();
+      return retry ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
     }
 
     private RefusalException refusal(
@@ -174,21 +175,21 @@
           .build();
     }
 
-    /** What one call came to; tells the upstream's state, the times and the metrics once. */
-    private final class CallEnd {
+    /** Records the result of a call once, in the upstream's state, the limiter and the metrics. */
+    private final class CallRecorder {
 
       private final UpstreamState upstream;
       private final long startNanos;
       private long tokensIn;
       private long tokensOut;
-      private boolean ended;
+      private boolean finished;
 
-      CallEnd(UpstreamState upstream, long startNanos) {
+      CallRecorder(UpstreamState upstream, long startNanos) {
         this.upstream = upstream;
         this.startNanos = startNanos;
       }
 
-      void note(UpstreamEvent event) {
+      void recordEvent(UpstreamEvent event) {
         if (event instanceof UpstreamEvent.Token token) {
           lastOffset = token.offset();
           tokensOut++;
@@ -199,10 +200,10 @@
       }
 
       synchronized void finish(AttemptResult result, Verdict verdict) {
-        if (ended) {
+        if (finished) {
           return;
         }
-        ended = true;
+        finished = true;
         context.progress().callEnded(verdict);
         long nanos = clock.nanos() - startNanos;
         switch (result) {
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
@@ -61,7 +61,7 @@
         .forEach(
             peer -> {
               boolean confirms =
-                  serving && membership.members().confirms(peer.boxId(), peer.incarnation());
+                  serving && membership.members().isActiveMember(peer.boxId(), peer.incarnation());
               Heartbeat heartbeat =
                   new Heartbeat(
                       new Heartbeat.Stamp(membership.incarnation(), clock.nanos()),
@@ -86,7 +86,7 @@
     heartbeat.leaving().forEach(this::markLeaving);
     return Flux.fromIterable(heartbeat.versions().entrySet())
         .concatMap(
-            version -> fetcher.bringInForceFrom(from.boxId(), version.getKey(), version.getValue()))
+            version -> fetcher.installFromPeer(from.boxId(), version.getKey(), version.getValue()))
         .then(
             Mono.fromRunnable(
                 () -> {
@@ -101,7 +101,7 @@
    * box that was frozen receives heartbeats that were queued meanwhile.
    */
   private void confirmMembership(Heartbeat.Stamp echo) {
-    membership.confirmed(echo.incarnation(), echo.nanos());
+    membership.recordConfirmation(echo.incarnation(), echo.nanos());
   }
 
   private void markLeaving(Heartbeat.LeavingUpstream leaving) {
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
@@ -7,11 +7,11 @@
 import org.gradeledge.change.ChangeHeads;
 import org.gradeledge.change.ChangeService;
 import org.gradeledge.configuration.PipelineVersion;
-import org.gradeledge.membership.GoneMembers;
 import org.gradeledge.membership.MemberRow;
 import org.gradeledge.membership.MemberSet;
 import org.gradeledge.membership.Membership;
 import org.gradeledge.membership.MembershipService;
+import org.gradeledge.membership.UnlistedMemberTracker;
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.platform.BoxList;
 import org.gradeledge.platform.BoxState;
@@ -42,7 +42,7 @@
   private final ChangeService changes;
   private final PeerNetwork peers;
   private final UpstreamDirectory upstreams;
-  private final GoneMembers goneMembers;
+  private final UnlistedMemberTracker goneMembers;
   private final MonotonicClock clock;
   private final Supplier<Mono<Void>> rejoin;
 
@@ -58,7 +58,7 @@
       ChangeService changes,
       PeerNetwork peers,
       UpstreamDirectory upstreams,
-      GoneMembers goneMembers,
+      UnlistedMemberTracker goneMembers,
       MonotonicClock clock,
       Supplier<Mono<Void>> rejoin) {
     this.table = table;
@@ -79,7 +79,7 @@
         () -> {
           long startNanos = clock.nanos();
           long incarnation = membership.incarnation();
-          List<PipelineVersion> openVersions = changes.learner().openBeforeRead();
+          List<PipelineVersion> openVersions = changes.verdictApplier().preparedBeforeRead();
           return table
               .read(HEAD_KEY_PREFIXES)
               .flatMap(
@@ -94,7 +94,7 @@
   public Mono<Void> readList() {
     return boxList
         .list()
-        .doOnError(e -> goneMembers.listUnknown())
+        .doOnError(e -> goneMembers.listUnavailable())
         .flatMap(
             boxes -> {
               markLeavingUpstreams(boxes);
@@ -121,14 +121,17 @@
   }
 
   private Mono<Void> applyHeads(ChangeHeads heads, List<PipelineVersion> openVersions) {
-    return changes.learner().learn(heads, openVersions).then(changes.abandoned().observe(heads));
+    return changes
+        .verdictApplier()
+        .apply(heads, openVersions)
+        .then(changes.abandonedSubmissionCleaner().refuseExpired(heads));
   }
 
   private Mono<Void> confirmOrRejoin(long incarnation, long startNanos) {
     return Mono.defer(
         () -> {
-          if (membership.members().confirms(membership.boxId(), incarnation)) {
-            membership.confirmed(incarnation, startNanos);
+          if (membership.members().isActiveMember(membership.boxId(), incarnation)) {
+            membership.recordConfirmation(incarnation, startNanos);
             return Mono.empty();
           }
           return rejoin.get();
@@ -148,12 +151,12 @@
 
   private Mono<Void> removeGoneMembers(MemberSet members) {
     Mono<Void> marking =
-        Flux.fromIterable(goneMembers.toMark(members))
+        Flux.fromIterable(goneMembers.membersToMark(members))
             .filter(member -> !member.boxId().equals(membership.boxId()))
             .concatMap(member -> membershipService.markRemoving(members, member))
             .then();
     Mono<Void> removing =
-        Flux.fromIterable(goneMembers.toRemove(members))
+        Flux.fromIterable(goneMembers.membersToRemove(members))
             .concatMap(member -> membershipService.delete(members, member.boxId()))
             .then();
     return marking.then(removing);
