--- a/gradeledge-box/src/main/java/org/gradeledge/box/BoxCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/BoxCommand.java
@@ -34,7 +34,7 @@
         .fold(
             faults -> {
               faults.forEach(
-                  fault -> spec.commandLine().getErr().println(settings + " " + fault.line()));
+                  fault -> spec.commandLine().getErr().println(settings + " " + fault.toLine()));
               return ExitCode.INVALID.code();
             },
             valid -> checkOnly ? ExitCode.OK.code() : run(valid));
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/AnswerWriter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/AnswerWriter.java
@@ -28,7 +28,7 @@
         .last()
         .flatMap(
             result ->
-                HttpReplies.json(
+                HttpReplies.sendJson(
                     response
                         .header(VERDICT_HEADER, Verdict.COMPLETED.wireName())
                         .header(VERSION_HEADER, String.valueOf(result.version())),
@@ -70,7 +70,7 @@
         response,
         refusal.reason().httpStatus(),
         HttpReplies.PROBLEM,
-        HttpReplies.bytes(Problem.of(refusal, requestId)));
+        HttpReplies.encodeJson(Problem.of(refusal, requestId)));
   }
 
   private static Answer answer(String requestId, AnswerEvent.Result result) {
@@ -79,14 +79,14 @@
 
   private static ByteBuf event(String requestId, AnswerEvent event) {
     if (event instanceof AnswerEvent.Token token) {
-      return sse("token", String.valueOf(token.offset()), HttpReplies.bytes(token.text()));
+      return sse("token", String.valueOf(token.offset()), HttpReplies.encodeJson(token.text()));
     }
     Answer answer = answer(requestId, (AnswerEvent.Result) event);
-    return sse("result", "", HttpReplies.bytes(answer));
+    return sse("result", "", HttpReplies.encodeJson(answer));
   }
 
   private static ByteBuf error(String requestId, RefusalException refusal) {
-    return sse("error", "", HttpReplies.bytes(Problem.of(refusal, requestId)));
+    return sse("error", "", HttpReplies.encodeJson(Problem.of(refusal, requestId)));
   }
 
   private static ByteBuf sse(String name, String id, byte[] data) {
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRequestReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRequestReader.java
@@ -26,7 +26,7 @@
     return new CallerRequest(
         requestId,
         Objects.requireNonNull(request.param("pipeline")),
-        BearerTokens.digest(request),
+        BearerTokens.requireTokenDigest(request),
         deadline(request.requestHeaders().get("Gradeledge-Deadline-Ms")),
         idempotencyKey(request.requestHeaders().get("Idempotency-Key")),
         TextDigest.sha256(body),
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VerdictLearner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VerdictLearner.java
@@ -25,7 +25,7 @@
 
   /** Returns what is prepared now, to be given to {@link #learn} with a read that starts later. */
   public List<PipelineVersion> openBeforeRead() {
-    return registry.allPrepared();
+    return registry.preparedVersions();
   }
 
   /**
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -88,7 +88,7 @@
   private Flux<AnswerEvent> admitAndRun(
       CallerRequest request, AtomicReference<String> accountName) {
     gate.checkOpen();
-    PipelineVersion version = configuration.serving(request.pipeline());
+    PipelineVersion version = configuration.requireServing(request.pipeline());
     AccountDefinition account = CallerChecks.account(version, request);
     accountName.set(account.name());
     Duration limit = CallerChecks.deadline(account, request);
@@ -160,7 +160,7 @@
 
   private void count(
       CallerRequest request, String account, Verdict verdict, String reason, long startNanos) {
-    boolean known = configuration.inForce(request.pipeline()).isPresent();
+    boolean known = configuration.findActive(request.pipeline()).isPresent();
     metrics.request(
         known ? request.pipeline() : UNKNOWN,
         account,
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -57,7 +57,7 @@
   Flux<UpstreamEvent> run(RequestContext context, int stageIndex, JsonNode input) {
     return Flux.defer(
         () -> {
-          budget.firstAttempt(context.file().retryShare());
+          budget.firstAttempt(context.file().retryBudgetOrDefault());
           return new Run(context, stageIndex, input).attempt();
         });
   }
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/load/LoadRun.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/load/LoadRun.java
@@ -66,7 +66,7 @@
 
   private Mono<Outcome> send(int number, Target target, long dueNanos) {
     String text = SampleText.of(target.file().pipeline(), number);
-    Duration own = target.account().deadline();
+    Duration own = target.account().maxDeadline();
     Duration limit = own.compareTo(longestDeadline) < 0 ? own : longestDeadline;
     return client
         .headers(
