--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/AccountDefinition.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/AccountDefinition.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /**
- * One client account that may use a pipeline.
+ * A client account that may use a pipeline.
  *
- * @param name unique in the pipeline
- * @param tokenSha256 lower-case hexadecimal SHA-256 digest of its bearer token
- * @param priority 0 to 9; the share under overload grows with it
- * @param weight share under overload, multiplied by one more than the priority
- * @param deadlineMs longest deadline that its requests may ask for, and the default
- * @param requestsPerSecond rate above which requests are refused
+ * @param name name, unique in the pipeline
+ * @param tokenSha256 lower-case hexadecimal SHA-256 digest of the bearer token
+ * @param priority 0 to 9; a higher value gives a larger share under overload
+ * @param weight share under overload, multiplied by the priority plus one
+ * @param deadlineMs maximum and default deadline of requests
+ * @param requestsPerSecond rate limit; requests above it are refused
  * @since 0.1
  */
 public record AccountDefinition(
@@ -22,13 +22,13 @@
     long deadlineMs,
     double requestsPerSecond) {
 
-  /** Checks that every required part is there. */
+  /** Validates required components. */
   public AccountDefinition {
     Objects.requireNonNull(name, "name must be given");
     Objects.requireNonNull(tokenSha256, "tokenSha256 must be given");
   }
 
-  /** Returns the longest deadline of a request. */
+  /** Returns the maximum deadline of a request. */
   public Duration maxDeadline() {
     return Duration.ofMillis(deadlineMs);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/ConfigurationListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/ConfigurationListener.java
@@ -1,13 +1,13 @@
 package org.gradeledge.configuration;
 
 /**
- * Told of each version that comes into force on this box.
+ * Receives each version that becomes active on this box.
  *
  * @since 0.1
  */
 @FunctionalInterface
 public interface ConfigurationListener {
 
-  /** Called once the version is in force; must not block. */
+  /** Handles a version that has become active; must not block. */
   void onVersionActivated(PipelineVersion version);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/ConfigurationRegistry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/ConfigurationRegistry.java
@@ -14,11 +14,12 @@
 import org.tinylog.Logger;
 
 /**
- * The versions that a box has in force and those it has prepared.
+ * Registry of the active and the prepared version of each pipeline.
  *
- * <p>Only a higher version replaces a lower one. A box that has prepared a version and has not
- * learned its verdict within the doubt bound serves nothing of that pipeline until it has; the
- * bound is checked at each look-up, so that a frozen box checks before it serves. Thread-safe.
+ * <p>An active version is replaced only by a higher one. While a version has been prepared for
+ * longer than the doubt bound and its verdict is still pending, the box refuses requests for that
+ * pipeline. The bound is checked on each lookup, so it also holds after the process was suspended.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -38,12 +39,12 @@
     this.metrics = metrics;
   }
 
-  /** Calls the listener after each version that comes into force. */
+  /** Adds a listener that is called after each activation of a version. */
   public void addListener(ConfigurationListener listener) {
     listeners.add(listener);
   }
 
-  /** Returns the version to admit a request under, or refuses "not run". */
+  /** Returns the version for a new request, or throws a {@link RefusalException}. */
   public PipelineVersion requireServing(String pipeline) {
     PreparedVersion pending = prepared.get(pipeline);
     if (pending != null && isVerdictOverdue(pending)) {
@@ -59,43 +60,43 @@
                     .build());
   }
 
-  /** Returns the version in force, in doubt or not. */
+  /** Returns the active version, even if a verdict is overdue. */
   public Optional<PipelineVersion> findActive(String pipeline) {
     return Optional.ofNullable(active.get(pipeline));
   }
 
-  /** Returns the number of the version in force, 0 where there is none. */
+  /** Returns the number of the active version, 0 if there is none. */
   public long activeVersionNumber(String pipeline) {
     return findActive(pipeline).map(PipelineVersion::version).orElse(0L);
   }
 
-  /** Returns the numbers of all versions in force by pipeline. */
+  /** Returns the numbers of all active versions by pipeline. */
   public Map<String, Long> activeVersionNumbers() {
     return active.values().stream()
         .collect(Collectors.toMap(PipelineVersion::pipeline, PipelineVersion::version));
   }
 
-  /** Returns everything in force. */
+  /** Returns all active versions. */
   public List<PipelineVersion> activeVersions() {
     return List.copyOf(active.values());
   }
 
-  /** Returns the version prepared for a pipeline, if its verdict is still open. */
+  /** Returns the prepared version of a pipeline whose verdict is pending. */
   public Optional<PipelineVersion> findPrepared(String pipeline) {
     return Optional.ofNullable(prepared.get(pipeline)).map(PreparedVersion::version);
   }
 
-  /** Returns all versions whose verdicts are open. */
+  /** Returns all prepared versions whose verdicts are pending. */
   public List<PipelineVersion> preparedVersions() {
     return prepared.values().stream().map(PreparedVersion::version).toList();
   }
 
   /**
-   * Holds a version beside the one in force; its doubt bound runs from now. Preparing the same
-   * submission again leaves the first time in place.
+   * Stores a proposed version beside the active one and starts its doubt bound. Preparing the same
+   * submission again does not restart the bound.
    *
-   * @return whether it is prepared; not where another is, or where it is not newer than the one in
-   *     force
+   * @return whether the version is prepared; false if another submission is prepared or the version
+   *     is not higher than the active one
    */
   public synchronized boolean prepare(PipelineVersion proposed) {
     PreparedVersion pending = prepared.get(proposed.pipeline());
@@ -109,7 +110,7 @@
     return true;
   }
 
-  /** Brings an accepted version into force unless a higher one is; ends any doubt it settles. */
+  /** Activates an accepted version unless a higher one is active; drops superseded proposals. */
   public synchronized void install(PipelineVersion accepted) {
     String pipeline = accepted.pipeline();
     PreparedVersion pending = prepared.get(pipeline);
@@ -122,19 +123,19 @@
     active.put(pipeline, accepted);
     metrics.versionInForce(pipeline, accepted.version());
     metrics.stateChange("version-in-force");
-    Logger.info("version in force: pipeline={} version={}", pipeline, accepted.version());
+    Logger.info("activated pipeline {} version {}", pipeline, accepted.version());
     listeners.forEach(listener -> listener.onVersionActivated(accepted));
   }
 
-  /** Brings the prepared version of a submission into force; returns whether it was held. */
+  /** Activates the prepared version of a submission; returns whether there was one. */
   public synchronized boolean installPrepared(String pipeline, String submissionId) {
-    Optional<PipelineVersion> held =
+    Optional<PipelineVersion> matching =
         findPrepared(pipeline).filter(version -> version.submissionId().equals(submissionId));
-    held.ifPresent(this::install);
-    return held.isPresent();
+    matching.ifPresent(this::install);
+    return matching.isPresent();
   }
 
-  /** Drops the prepared version of a submission that was refused. */
+  /** Drops the prepared version of a refused submission. */
   public synchronized void withdraw(String pipeline, String submissionId) {
     prepared.computeIfPresent(
         pipeline,
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/DeadlineCheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/DeadlineCheck.java
@@ -3,7 +3,7 @@
 import java.util.stream.Stream;
 import org.gradeledge.document.Fault;
 
-/** The stages' shares of the deadline add up to no more than the whole. */
+/** Requires that the deadline shares of all stages add up to at most 1. */
 final class DeadlineCheck implements PipelineCheck {
 
   private static final double ROUNDING_TOLERANCE = 1e-9;
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/PipelineCheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/PipelineCheck.java
@@ -3,9 +3,9 @@
 import java.util.stream.Stream;
 import org.gradeledge.document.Fault;
 
-/** One rule that a pipeline file must keep beyond its schema. */
+/** A semantic check of a pipeline file that has passed schema validation. */
 interface PipelineCheck {
 
-  /** Returns what breaks the rule, nothing where it is kept. */
+  /** Returns the violations, empty if the file is valid. */
   Stream<Fault> findFaults(PipelineFile file);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/PipelineFile.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/PipelineFile.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 
 /**
- * A whole pipeline, as operators submit it.
+ * A pipeline definition as submitted by operators.
  *
- * @param pipeline its name
- * @param stages stages in the order in which they run
+ * @param pipeline name of the pipeline
+ * @param stages stages in execution order
  * @param accounts client accounts that may use it
- * @param upstreams upstreams that its stages may name
- * @param retryBudget share of extra attempts over first attempts, 0 to 1
- * @param resultRetentionMs how long results of non-repeatable requests are kept for asking again
+ * @param upstreams upstreams that its stages may refer to
+ * @param retryBudget ratio of retries to first attempts, 0 to 1
+ * @param resultRetentionMs how long results of non-repeatable requests are kept for retries
  * @since 0.1
  */
 public record PipelineFile(
@@ -27,7 +27,7 @@
   private static final double DEFAULT_RETRY_BUDGET = 0.1;
   private static final Duration DEFAULT_RESULT_RETENTION = Duration.ofHours(1);
 
-  /** Checks that every required part is there. */
+  /** Validates required components. */
   public PipelineFile {
     Objects.requireNonNull(pipeline, "pipeline must be given");
     stages = List.copyOf(stages);
@@ -35,17 +35,17 @@
     upstreams = List.copyOf(upstreams);
   }
 
-  /** Returns whether a request must run at most once because one of its stages must. */
+  /** Returns whether requests must run at most once, since a stage is not repeatable. */
   public boolean runsAtMostOnce() {
     return stages.stream().anyMatch(stage -> !stage.repeatable());
   }
 
-  /** Returns the share of extra attempts over first attempts. */
+  /** Returns the ratio of retries to first attempts, or the default if not set. */
   public double retryBudgetOrDefault() {
     return retryBudget.orElse(DEFAULT_RETRY_BUDGET);
   }
 
-  /** Returns how long recorded results are kept. */
+  /** Returns how long results are kept, or the default if not set. */
   public Duration resultRetention() {
     return resultRetentionMs.map(Duration::ofMillis).orElse(DEFAULT_RESULT_RETENTION);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/PipelineFileReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/PipelineFileReader.java
@@ -6,10 +6,10 @@
 import org.gradeledge.document.Fault;
 
 /**
- * Reads and checks pipeline files.
+ * Parses and validates pipeline files.
  *
- * <p>All faults of the schema come back at once; where there are none, all faults of meaning do.
- * Never throws for bad text. Thread-safe.
+ * <p>Returns all schema violations or, if there are none, all semantic faults. Never throws on
+ * invalid input. Thread-safe.
  *
  * @since 0.1
  */
@@ -25,7 +25,7 @@
           new StageUpstreamsCheck(),
           new DeadlineCheck());
 
-  /** Returns the pipeline in a text, or everything that is wrong with it. */
+  /** Returns the parsed pipeline, or all faults of the text. */
   public Either<List<Fault>, PipelineFile> read(byte[] text) {
     return reader.read(text).flatMap(this::checkSemantics);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/PipelineVersion.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/PipelineVersion.java
@@ -3,19 +3,19 @@
 import java.util.Objects;
 
 /**
- * One accepted or proposed version of a pipeline.
+ * An accepted or proposed version of a pipeline.
  *
- * <p>Immutable; the text is kept byte for byte so that its digest holds on every box.
+ * <p>Immutable. Keeps the submitted bytes, so that the digest is the same on every box.
  *
- * @param version counts up from 1 for each pipeline
- * @param submissionId the submission that brought it
- * @param text the file as submitted
- * @param file the file as read
+ * @param version number, increasing from 1 per pipeline
+ * @param submissionId id of the submission
+ * @param text submitted file
+ * @param file parsed file
  * @since 0.1
  */
 public record PipelineVersion(long version, String submissionId, byte[] text, PipelineFile file) {
 
-  /** Checks the version. */
+  /** Validates the version. */
   public PipelineVersion {
     Objects.requireNonNull(submissionId, "submissionId must be given");
     if (version < 1) {
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/PreparedVersion.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/PreparedVersion.java
@@ -1,9 +1,9 @@
 package org.gradeledge.configuration;
 
 /**
- * A version that this box has prepared and whose verdict it does not know yet.
+ * A prepared version whose verdict is pending.
  *
- * @param version the version proposed
- * @param preparedAtNanos when it was prepared, on the box's monotonic clock
+ * @param version proposed version
+ * @param preparedAtNanos time of preparation on the monotonic clock
  */
 record PreparedVersion(PipelineVersion version, long preparedAtNanos) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/StageDefinition.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/StageDefinition.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 
 /**
- * One stage of a pipeline, as its file gives it.
+ * A stage of a pipeline as defined in the pipeline file.
  *
- * @param name unique in the pipeline
- * @param kind what the stage does
- * @param after stages whose output it takes; the one before it where absent
- * @param model model it needs, for kinds that need one
- * @param adapter adapter of that model
- * @param modelVersion version of that model
- * @param upstreams ids of the upstreams that may serve it
- * @param repeatable whether a call may be made again without harm
- * @param deadlineShare share of the whole deadline that this stage is given, above 0 and up to 1
- * @param concurrencyLimit most calls of this stage in progress on one box
- * @param maxTokens most tokens to generate
- * @param path path of the call at a plain service
+ * @param name name, unique in the pipeline
+ * @param kind type of work
+ * @param after stages whose output is the input of this one; the preceding stage if absent
+ * @param model required model, for kinds that use one
+ * @param adapter adapter of the model
+ * @param modelVersion version of the model
+ * @param upstreams ids of the upstreams that can serve it
+ * @param repeatable whether a call is safe to retry
+ * @param deadlineShare fraction of the request deadline for this stage, above 0 and up to 1
+ * @param concurrencyLimit maximum number of concurrent calls per box
+ * @param maxTokens maximum number of tokens to generate
+ * @param path request path of a plain service
  * @since 0.1
  */
 public record StageDefinition(
@@ -37,14 +37,14 @@
 
   private static final int DEFAULT_MAX_TOKENS = 64;
 
-  /** Checks that every required part is there. */
+  /** Validates required components. */
   public StageDefinition {
     Objects.requireNonNull(name, "name must be given");
     Objects.requireNonNull(kind, "kind must be given");
     upstreams = List.copyOf(upstreams);
   }
 
-  /** Returns the most tokens to generate, a small default where the file sets none. */
+  /** Returns the maximum number of tokens to generate, or the default if not set. */
   public int maxTokensOrDefault() {
     return maxTokens.orElse(DEFAULT_MAX_TOKENS);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/StageKind.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/StageKind.java
@@ -6,18 +6,18 @@
 import java.util.Locale;
 
 /**
- * What a stage does, and what follows from it.
+ * Type of work of a stage.
  *
  * @since 0.1
  */
 public enum StageKind {
-  /** Turns text into vectors. */
+  /** Computes embedding vectors of text. */
   ENCODE(true, false),
-  /** Finds documents by vector and text. */
+  /** Retrieves documents by vector and text. */
   RETRIEVE(false, false),
-  /** Orders documents by relevance. */
+  /** Ranks documents by relevance. */
   RERANK(true, false),
-  /** Generates text, as a stream of tokens. */
+  /** Generates text as a stream of tokens. */
   GENERATE(true, true),
   /** Calls a plain service with JSON. */
   SERVICE(false, false);
@@ -39,7 +39,7 @@
         .orElseThrow(() -> new IllegalArgumentException("unknown stage kind: " + name));
   }
 
-  /** Returns the name used in pipeline files, metrics and calls. */
+  /** Returns the name in pipeline files, metrics and calls. */
   @JsonValue
   public String wireName() {
     return name().toLowerCase(Locale.ROOT);
@@ -50,7 +50,7 @@
     return requiresModel;
   }
 
-  /** Returns whether answers of this kind arrive as a stream of tokens. */
+  /** Returns whether answers are streams of tokens. */
   public boolean isStreaming() {
     return streaming;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/StageUpstreamsCheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/StageUpstreamsCheck.java
@@ -7,7 +7,8 @@
 import org.gradeledge.document.Fault;
 
 /**
- * Each stage names upstreams that are defined, play its role, hold its model and can be trusted.
+ * Requires that the upstreams of each stage are defined, have its role and model, and report
+ * whether a call ran if the stage is not repeatable.
  */
 final class StageUpstreamsCheck implements PipelineCheck {
 
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/TextDigest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/TextDigest.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 
 /**
- * SHA-256 digests, as lower-case hexadecimal.
+ * Computes and compares SHA-256 digests in lower-case hexadecimal.
  *
  * @since 0.1
  */
@@ -14,21 +14,21 @@
 
   private TextDigest() {}
 
-  /** Returns the digest of some bytes. */
+  /** Returns the digest of the bytes. */
   public static String sha256(byte[] bytes) {
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has SHA-256", e);
+      throw new IllegalStateException("SHA-256 is not available", e);
     }
   }
 
-  /** Returns the digest of a text in UTF-8. */
+  /** Returns the digest of the UTF-8 encoded text. */
   public static String sha256(String text) {
     return sha256(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Returns whether two digests are equal, in a time that does not depend on where they differ. */
+  /** Compares two digests in constant time. */
   public static boolean matches(String digest, String other) {
     return MessageDigest.isEqual(
         digest.getBytes(StandardCharsets.US_ASCII), other.getBytes(StandardCharsets.US_ASCII));
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/UniqueNamesCheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/UniqueNamesCheck.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import org.gradeledge.document.Fault;
 
-/** Names of stages, accounts and upstreams, and tokens of accounts, stand once each. */
+/** Requires unique names of stages and accounts, ids of upstreams and tokens of accounts. */
 final class UniqueNamesCheck implements PipelineCheck {
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/UpstreamDefinition.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/UpstreamDefinition.java
@@ -5,17 +5,17 @@
 import java.util.Objects;
 
 /**
- * One upstream that stages may name.
+ * An upstream that stages may refer to.
  *
- * @param id unique in the pipeline
- * @param host IP number
+ * @param id id, unique in the pipeline
+ * @param host IP address
  * @param port TCP port
- * @param availabilityZone where it stands
- * @param roles stage kinds that it may serve
- * @param models models that it may hold; empty for a plain service
- * @param slots calls that it works on at a time
- * @param checksOrders whether it refuses orders with an old fencing token
- * @param tellsWhetherItRan whether its refusals say if the call ran
+ * @param availabilityZone its availability zone
+ * @param roles stage kinds that it serves
+ * @param models models that it serves; empty for a plain service
+ * @param slots number of calls that it processes concurrently
+ * @param checksOrders whether it rejects calls with an outdated fencing token
+ * @param tellsWhetherItRan whether its refusals report if the call ran
  * @since 0.1
  */
 public record UpstreamDefinition(
@@ -29,7 +29,7 @@
     boolean checksOrders,
     boolean tellsWhetherItRan) {
 
-  /** Checks that every required part is there. */
+  /** Validates required components. */
   public UpstreamDefinition {
     Objects.requireNonNull(id, "id must be given");
     Objects.requireNonNull(host, "host must be given");
@@ -37,7 +37,7 @@
     models = List.copyOf(models);
   }
 
-  /** Returns where to connect; the host is an IP number, so nothing is looked up. */
+  /** Returns the socket address; the host is an IP address, so no name is resolved. */
   public InetSocketAddress address() {
     return new InetSocketAddress(host, port);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/package-info.java
@@ -1,4 +1,4 @@
-/** Pipeline files: their shape, their checks and the versions a box has in force. */
+/** Format and validation of pipeline files, and the registry of active and prepared versions. */
 @NullMarked
 package org.gradeledge.configuration;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/configuration/ConfigurationRegistryTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/configuration/ConfigurationRegistryTests.java
@@ -18,14 +18,14 @@
       new ConfigurationRegistry(() -> nanos, Duration.ofNanos(100), new BoxMetrics());
 
   @Test
-  void neverGoesBackToALowerVersion() {
+  void ignoresLowerVersion() {
     registry.install(PipelineFixture.version(2, "b"));
     registry.install(PipelineFixture.version(1, "a"));
     assertThat(registry.activeVersionNumber(NAME)).isEqualTo(2);
   }
 
   @Test
-  void servesThePreparedPipelinesOldVersionOnlyUntilTheDoubtBound() {
+  void servesActiveVersionUntilDoubtBoundExpires() {
     registry.install(PipelineFixture.version(1, "a"));
     registry.prepare(PipelineFixture.version(2, "b"));
     nanos = 99;
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void preparingAgainDoesNotProlongTheDoubtBound() {
+  void preparingAgainDoesNotExtendDoubtBound() {
     registry.install(PipelineFixture.version(1, "a"));
     registry.prepare(PipelineFixture.version(2, "b"));
     nanos = 60;
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void preparesOneSubmissionOfAPipelineAtATime() {
+  void preparesOneSubmissionPerPipeline() {
     registry.prepare(PipelineFixture.version(1, "a"));
     assertThat(registry.prepare(PipelineFixture.version(1, "b"))).isFalse();
     registry.withdraw(NAME, "a");
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void doesNotPrepareWhatIsNotNewer() {
+  void rejectsPreparationOfVersionThatIsNotHigher() {
     registry.install(PipelineFixture.version(2, "b"));
     assertThat(registry.prepare(PipelineFixture.version(2, "c"))).isFalse();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/configuration/PipelineFileReaderTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/configuration/PipelineFileReaderTests.java
@@ -12,7 +12,7 @@
 class PipelineFileReaderTests {
 
   @Test
-  void readsAGoodFile() {
+  void readsValidFile() {
     PipelineFile file = PipelineFixture.file();
     assertThat(file.runsAtMostOnce()).isTrue();
     assertThat(file.stages())
@@ -38,16 +38,16 @@
         "\"127.0.0.1\",\"port\":9001 | \"encoder\",\"port\":9001 | /upstreams/0/host",
         "\"slots\":8 | \"slotz\":8 | /upstreams/0/slotz"
       })
-  void namesThePlaceOfAFault(String part, String replaced, String pointer) {
-    String from = part.equals("bbbb") ? "b".repeat(64) : part;
-    String to = replaced.equals("aaaa") ? "a".repeat(64) : replaced;
+  void reportsPointerOfFault(String original, String replacement, String pointer) {
+    String from = original.equals("bbbb") ? "b".repeat(64) : original;
+    String to = replacement.equals("aaaa") ? "a".repeat(64) : replacement;
     assertThat(faults(PipelineFixture.VALID_FILE.replace(from, to)))
         .extracting(Fault::pointer)
         .contains(pointer);
   }
 
   @Test
-  void refusesANonRepeatableStageOnAnUpstreamThatCannotSayWhetherItRan() {
+  void rejectsNonRepeatableStageOnUpstreamWithoutRunReports() {
     String text =
         PipelineFixture.VALID_FILE.replaceAll(
             "\"checksOrders\":false,\\s+\"tellsWhetherItRan\":true",
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void saysAllFaultsAtOnce() {
+  void reportsAllFaults() {
     String text =
         PipelineFixture.VALID_FILE
             .replace("[\"encoder-1\"]", "[\"encoder-9\"]")
--- a/gradeledge-core/src/test/java/org/gradeledge/configuration/PipelineFixture.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/configuration/PipelineFixture.java
@@ -2,10 +2,10 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A valid pipeline file to be changed by tests. */
+/** A valid pipeline file for tests. */
 public abstract class PipelineFixture {
 
-  /** The file. */
+  /** Text of the file. */
   public static final String VALID_FILE =
       """
       {"pipeline":"seat-matching",
@@ -32,12 +32,12 @@
 
   private PipelineFixture() {}
 
-  /** Returns the file as read. */
+  /** Returns the parsed file. */
   public static PipelineFile file() {
     return new PipelineFileReader().read(VALID_FILE.getBytes(StandardCharsets.UTF_8)).get();
   }
 
-  /** Returns the file as a version. */
+  /** Returns a version that consists of the file. */
   public static PipelineVersion version(long number, String submissionId) {
     return new PipelineVersion(
         number, submissionId, VALID_FILE.getBytes(StandardCharsets.UTF_8), file());
