--- a/gradeledge-core/src/main/java/org/gradeledge/settings/BoxSettings.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/BoxSettings.java
@@ -5,17 +5,17 @@
 import java.util.Optional;
 
 /**
- * All settings of one box.
+ * Settings of a box.
  *
- * @param boxId name of the box, unique in the deployment
- * @param availabilityZone where the box stands
- * @param caller the port for callers
- * @param operator the port for operators
- * @param peer the port for other boxes
- * @param platform where the platform's services are
- * @param operators who may change configuration
- * @param timing bounds and periods
- * @param limits what the box takes in at most
+ * @param boxId id of the box, unique in the deployment
+ * @param availabilityZone availability zone of the box
+ * @param caller port for callers
+ * @param operator port for operators
+ * @param peer port for other boxes
+ * @param platform addresses of the platform's services
+ * @param operators operators who may change the configuration
+ * @param timing timeouts and periods
+ * @param limits limits on callers and upstream answers
  * @param routing name of the routing policy, see {@code RoutingPolicy}
  * @param admission name of the admission policy, see {@code AdmissionPolicy}
  * @since 0.1
@@ -33,19 +33,19 @@
     Optional<String> routing,
     Optional<String> admission) {
 
-  /** Checks that every part is there. */
+  /** Validates required components. */
   public BoxSettings {
     Objects.requireNonNull(boxId, "boxId must be given");
     Objects.requireNonNull(availabilityZone, "availabilityZone must be given");
     operators = List.copyOf(operators);
   }
 
-  /** Returns the bounds and periods, defaults where none are set. */
+  /** Returns the timeouts and periods, or the defaults if not set. */
   public TimingSettings timingOrDefault() {
     return timing.orElseGet(TimingSettings::defaults);
   }
 
-  /** Returns the limits, defaults where none are set. */
+  /** Returns the limits, or the defaults if not set. */
   public LimitSettings limitsOrDefault() {
     return limits.orElseGet(LimitSettings::defaults);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/settings/LimitSettings.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/LimitSettings.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * What a box takes in at most; each limit has a default.
+ * Limits on callers and upstream answers; each has a default.
  *
- * @param maxBodyBytes largest request body of a caller or operator
- * @param maxHeaderBytes largest request head
- * @param maxAnswerBytes largest answer of one stage
- * @param maxConnections most caller connections at a time
- * @param maxRequestsPerAccount most requests of one client account at a time
- * @param readTimeoutMs how long a request may take to arrive
- * @param idleTimeoutMs how long an idle caller connection is kept
- * @param callerWriteTimeoutMs how long a caller may take no byte of its answer
+ * @param maxBodyBytes maximum size of a request body from a caller or operator
+ * @param maxHeaderBytes maximum size of a request head
+ * @param maxAnswerBytes maximum size of the answer of a stage
+ * @param maxConnections maximum number of concurrent caller connections
+ * @param maxRequestsPerAccount maximum number of concurrent requests per client account
+ * @param readTimeoutMs timeout for receiving a request
+ * @param idleTimeoutMs timeout of idle caller connections
+ * @param callerWriteTimeoutMs timeout for writes to a caller that does not read its answer
  * @since 0.1
  */
 public record LimitSettings(
@@ -26,49 +26,50 @@
     Optional<Long> idleTimeoutMs,
     Optional<Long> callerWriteTimeoutMs) {
 
-  /** Returns the defaults. */
+  /** Returns settings without any value set. */
   public static LimitSettings defaults() {
-    Optional<Integer> none = Optional.empty();
+    Optional<Integer> noNumber = Optional.empty();
     Optional<Long> noTime = Optional.empty();
-    return new LimitSettings(none, none, none, none, none, noTime, noTime, noTime);
+    return new LimitSettings(
+        noNumber, noNumber, noNumber, noNumber, noNumber, noTime, noTime, noTime);
   }
 
-  /** Returns the largest request body in bytes. */
+  /** Returns the maximum size of a request body in bytes. */
   public int bodyBytes() {
     return maxBodyBytes.orElse(256 * 1024);
   }
 
-  /** Returns the largest request head in bytes. */
+  /** Returns the maximum size of a request head in bytes. */
   public int headerBytes() {
     return maxHeaderBytes.orElse(8 * 1024);
   }
 
-  /** Returns the largest answer of one stage in bytes. */
+  /** Returns the maximum size of the answer of a stage in bytes. */
   public int answerBytes() {
     return maxAnswerBytes.orElse(1024 * 1024);
   }
 
-  /** Returns the most caller connections at a time. */
+  /** Returns the maximum number of concurrent caller connections. */
   public int connections() {
     return maxConnections.orElse(2_000);
   }
 
-  /** Returns the most requests of one client account at a time. */
+  /** Returns the maximum number of concurrent requests per client account. */
   public int requestsPerAccount() {
     return maxRequestsPerAccount.orElse(500);
   }
 
-  /** Returns how long a request may take to arrive. */
+  /** Returns the timeout for receiving a request. */
   public Duration readTimeout() {
     return Duration.ofMillis(readTimeoutMs.orElse(5_000L));
   }
 
-  /** Returns how long an idle caller connection is kept. */
+  /** Returns the timeout of idle caller connections. */
   public Duration idleTimeout() {
     return Duration.ofMillis(idleTimeoutMs.orElse(60_000L));
   }
 
-  /** Returns how long a caller may take no byte of its answer. */
+  /** Returns the timeout for writes to a caller. */
   public Duration callerWriteTimeout() {
     return Duration.ofMillis(callerWriteTimeoutMs.orElse(5_000L));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/settings/ListenSettings.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/ListenSettings.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * One port that a box listens on.
+ * A port that a box listens on.
  *
- * @param host IP number to bind
- * @param port port to bind, 0 for any free one
+ * @param host IP address to bind
+ * @param port port to bind, 0 for any free port
  * @param tls certificate and key; plain text where absent
- * @param allowPlain whether plain text is allowed off the loopback interface
+ * @param allowPlain whether plain text is allowed on interfaces other than loopback
  * @since 0.1
  */
 public record ListenSettings(
@@ -20,7 +20,7 @@
     return new InetSocketAddress(host, port);
   }
 
-  /** Returns whether plain text would leave the machine without being allowed to. */
+  /** Returns whether plain text is exposed on a non-loopback interface without permission. */
   public boolean exposesPlainText() {
     boolean loopback = new InetSocketAddress(host, 0).getAddress().isLoopbackAddress();
     return tls.isEmpty() && !loopback && !allowPlain.orElse(false);
--- a/gradeledge-core/src/main/java/org/gradeledge/settings/OperatorSettings.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/OperatorSettings.java
@@ -1,9 +1,9 @@
 package org.gradeledge.settings;
 
 /**
- * One operator who may change configuration.
+ * An operator who may change the configuration.
  *
- * @param name the name that the audit trail shows
+ * @param name name in the audit trail
  * @param tokenSha256 lower-case hexadecimal SHA-256 digest of the bearer token
  * @since 0.1
  */
--- a/gradeledge-core/src/main/java/org/gradeledge/settings/PeerSettings.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/PeerSettings.java
@@ -3,10 +3,10 @@
 import java.nio.file.Path;
 
 /**
- * The port for other boxes and the secret that they share.
+ * Port for other boxes and the shared secret.
  *
- * @param listen where to listen
- * @param secretFile file whose trimmed content is the shared secret, at least 16 bytes
+ * @param listen address to listen on
+ * @param secretFile file whose trimmed content, at least 16 characters, is the secret
  * @since 0.1
  */
 public record PeerSettings(ListenSettings listen, Path secretFile) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/settings/SettingsReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/SettingsReader.java
@@ -10,10 +10,10 @@
 import org.gradeledge.document.Fault;
 
 /**
- * Reads and checks the settings file of a box.
+ * Parses and validates the settings file of a box.
  *
- * <p>All faults come back at once, each with its JSON Pointer; relative file names count from the
- * settings file. Thread-safe.
+ * <p>Returns all faults, each with its JSON Pointer. Relative file names are resolved against the
+ * working directory. Thread-safe.
  *
  * @since 0.1
  */
@@ -24,7 +24,7 @@
   private final DocumentReader<BoxSettings> reader =
       new DocumentReader<>(BoxSettings.class, "box-settings.schema.json");
 
-  /** Returns the settings in a file, or what is wrong with them. */
+  /** Returns the settings in a file, or all faults. */
   public Either<List<Fault>, BoxSettings> read(Path file) {
     try {
       return read(Files.readAllBytes(file));
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Returns the settings in a text, or what is wrong with them. */
+  /** Returns the settings in a text, or all faults. */
   public Either<List<Fault>, BoxSettings> read(byte[] text) {
     return reader.read(text).flatMap(SettingsReader::checkSemantics);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/settings/TimingSettings.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/TimingSettings.java
@@ -4,16 +4,17 @@
 import java.util.Optional;
 
 /**
- * The bounds and periods of a box, in milliseconds; each has a default.
+ * Timeouts and periods of a box in milliseconds; each has a default.
  *
- * @param membershipBoundMs how long a confirmation of membership lasts
- * @param prepareBoundMs how long a submitter waits for a member to prepare
- * @param doubtBoundMs how long a prepared box serves on without knowing the verdict
+ * @param membershipBoundMs how long a confirmation of membership is valid
+ * @param prepareBoundMs timeout for a member to prepare a submission
+ * @param doubtBoundMs how long a box keeps serving after it prepared a version whose verdict is
+ *     pending
  * @param heartbeatMs period of heartbeats to each peer
- * @param pollMs period of reads of the table and the box list
- * @param platformCallMs time limit of one call to the platform
- * @param balancerLagMs how long a stopping box still serves after it fails readiness
- * @param drainBoundMs how long a stopping box waits for work in progress
+ * @param pollMs polling period of the table and the box list
+ * @param platformCallMs timeout of a call to the platform
+ * @param balancerLagMs how long a stopping box keeps serving after it reports not ready
+ * @param drainBoundMs how long a stopping box waits for requests in flight
  * @since 0.1
  */
 public record TimingSettings(
@@ -26,53 +27,53 @@
     Optional<Long> balancerLagMs,
     Optional<Long> drainBoundMs) {
 
-  /** Returns the defaults. */
+  /** Returns settings without any value set. */
   public static TimingSettings defaults() {
     Optional<Long> none = Optional.empty();
     return new TimingSettings(none, none, none, none, none, none, none, none);
   }
 
-  /** Returns how long a confirmation of membership lasts. */
+  /** Returns how long a confirmation of membership is valid. */
   public Duration membershipBound() {
-    return millis(membershipBoundMs, 5_000);
+    return durationOrDefault(membershipBoundMs, 5_000);
   }
 
-  /** Returns how long a submitter waits for a member to prepare. */
+  /** Returns the timeout for a member to prepare a submission. */
   public Duration prepareBound() {
-    return millis(prepareBoundMs, 1_500);
+    return durationOrDefault(prepareBoundMs, 1_500);
   }
 
-  /** Returns how long a prepared box serves on without knowing the verdict. */
+  /** Returns how long a box keeps serving while the verdict of a prepared version is pending. */
   public Duration doubtBound() {
-    return millis(doubtBoundMs, 2_000);
+    return durationOrDefault(doubtBoundMs, 2_000);
   }
 
-  /** Returns the period of heartbeats. */
+  /** Returns the heartbeat period. */
   public Duration heartbeat() {
-    return millis(heartbeatMs, 500);
+    return durationOrDefault(heartbeatMs, 500);
   }
 
-  /** Returns the period of reads of the platform. */
+  /** Returns the polling period of the table and the box list. */
   public Duration poll() {
-    return millis(pollMs, 1_000);
+    return durationOrDefault(pollMs, 1_000);
   }
 
-  /** Returns the time limit of one call to the platform. */
+  /** Returns the timeout of a call to the platform. */
   public Duration platformCall() {
-    return millis(platformCallMs, 1_000);
+    return durationOrDefault(platformCallMs, 1_000);
   }
 
-  /** Returns how long a stopping box still serves after it fails readiness. */
+  /** Returns how long a stopping box keeps serving after it reports not ready. */
   public Duration balancerLag() {
-    return millis(balancerLagMs, 1_000);
+    return durationOrDefault(balancerLagMs, 1_000);
   }
 
-  /** Returns how long a stopping box waits for work in progress. */
+  /** Returns how long a stopping box waits for requests in flight. */
   public Duration drainBound() {
-    return millis(drainBoundMs, 120_000);
+    return durationOrDefault(drainBoundMs, 120_000);
   }
 
-  private static Duration millis(Optional<Long> value, long otherwise) {
-    return Duration.ofMillis(value.orElse(otherwise));
+  private static Duration durationOrDefault(Optional<Long> value, long defaultMillis) {
+    return Duration.ofMillis(value.orElse(defaultMillis));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/settings/TlsSettings.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/TlsSettings.java
@@ -3,9 +3,9 @@
 import java.nio.file.Path;
 
 /**
- * Where a port finds its certificate chain and private key, both PEM files.
+ * PEM files of the certificate chain and private key of a port.
  *
- * @param certificateFile certificate chain, the server's own first
+ * @param certificateFile certificate chain, starting with the server certificate
  * @param keyFile private key in PKCS#8, never logged
  * @since 0.1
  */
--- a/gradeledge-core/src/main/java/org/gradeledge/settings/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/settings/package-info.java
@@ -1,4 +1,4 @@
-/** The settings of a box, read once at start and never changed while it runs. */
+/** Settings of a box, read once at startup. */
 @NullMarked
 package org.gradeledge.settings;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/settings/SettingsReaderTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/settings/SettingsReaderTests.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void readsGoodSettingsWithDefaults() {
+  void appliesDefaultsToValidSettings() {
     BoxSettings settings = read(validSettings).get();
     assertThat(settings.timingOrDefault().heartbeat()).hasMillis(100);
     assertThat(settings.timingOrDefault().doubtBound()).hasMillis(2_000);
@@ -59,13 +59,14 @@
         "\"host\":\"127.0.0.1\",\"port\":8080 | \"host\":\"10.0.0.1\",\"port\":8080 | /caller",
         "\"operators\":[ | \"operator\":[ | ''"
       })
-  void namesThePlaceOfAFault(String part, String replaced, String pointer) {
-    List<Fault> faults = read(validSettings.replaceFirst(Pattern.quote(part), replaced)).getLeft();
+  void reportsPointerOfFault(String original, String replacement, String pointer) {
+    List<Fault> faults =
+        read(validSettings.replaceFirst(Pattern.quote(original), replacement)).getLeft();
     assertThat(faults).extracting(Fault::pointer).contains(pointer);
   }
 
   @Test
-  void namesAMissingCertificateAndAMissingSecretAtOnce() throws IOException {
+  void reportsMissingCertificateAndSecretTogether() throws IOException {
     Files.delete(directory.resolve("secret"));
     String text =
         validSettings.replace(
