--- a/gradeledge-core/src/main/java/org/gradeledge/document/DocumentReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/document/DocumentReader.java
@@ -15,11 +15,11 @@
 import java.util.Objects;
 
 /**
- * Reads JSON text into one type, checking it against a shipped schema first.
+ * Reads JSON text into a type after validation against a schema on the class path.
  *
- * <p>Never throws for bad text: each fault comes back with its JSON Pointer. Thread-safe.
+ * <p>Never throws on invalid input but returns the faults with their JSON Pointers. Thread-safe.
  *
- * @param <T> the type that a valid document becomes
+ * @param <T> type of the document
  * @since 0.1
  */
 public final class DocumentReader<T> {
@@ -30,8 +30,8 @@
   /**
    * Creates a reader.
    *
-   * @param type the type that a valid document becomes
-   * @param schemaResource class-path name of the JSON Schema (2020-12), beside {@code type}
+   * @param type type of the document
+   * @param schemaResource resource name of the JSON Schema (2020-12), relative to {@code type}
    */
   public DocumentReader(Class<T> type, String schemaResource) {
     this.type = Objects.requireNonNull(type, "type must be given");
@@ -40,7 +40,7 @@
             .getSchema(loadSchema(type, schemaResource));
   }
 
-  /** Returns the document, or every fault that the schema finds in it. */
+  /** Returns the document, or all violations of the schema. */
   public Either<List<Fault>, T> read(byte[] text) {
     return parse(text).flatMap(this::checkSchema).flatMap(this::convert);
   }
@@ -52,7 +52,7 @@
           ? Either.left(List.of(new Fault("", "must be a JSON document, but is empty")))
           : Either.right(node);
     } catch (JsonProcessingException e) {
-      String place =
+      String position =
           e.getLocation() == null
               ? ""
               : " at line "
@@ -60,7 +60,7 @@
                   + " column "
                   + e.getLocation().getColumnNr();
       return Either.left(
-          List.of(new Fault("", "must be valid JSON" + place + ": " + e.getOriginalMessage())));
+          List.of(new Fault("", "must be valid JSON" + position + ": " + e.getOriginalMessage())));
     } catch (IOException e) {
       return Either.left(List.of(new Fault("", "must be readable text: " + e.getMessage())));
     }
@@ -95,7 +95,7 @@
       Objects.requireNonNull(in, () -> "schema " + resource + " must be on the class path");
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new UncheckedIOException("cannot read schema " + resource, e);
+      throw new UncheckedIOException("failed to read schema " + resource, e);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/document/JsonMappers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/document/JsonMappers.java
@@ -9,9 +9,9 @@
 import com.fasterxml.jackson.module.paramnames.ParameterNamesModule;
 
 /**
- * The JSON mapper that every package shares.
+ * Provides the shared JSON mapper.
  *
- * <p>Duplicate keys are refused; {@code Optional} and record components are understood.
+ * <p>It rejects duplicate keys and supports {@code Optional} and records.
  *
  * @since 0.1
  */
@@ -31,7 +31,7 @@
 
   private JsonMappers() {}
 
-  /** Returns the shared mapper; it must not be reconfigured. */
+  /** Returns the shared mapper; callers must not reconfigure it. */
   public static ObjectMapper json() {
     return JSON;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/document/JsonTrees.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/document/JsonTrees.java
@@ -14,15 +14,14 @@
 import java.util.Map;
 
 /**
- * Reads JSON text into trees and writes them, straight on the streaming parser. Unlike a mapper
- * this loads nothing for binding, dates and locales, which is a tenth of what the start of a box
- * costs (by samples of its threads). Thread-safe.
+ * Reads and writes JSON trees with the streaming API. Avoids the startup cost of loading an {@code
+ * ObjectMapper}. Thread-safe.
  *
  * @since 0.3
  */
 public abstract class JsonTrees {
 
-  /** Deeper trees than any document that is read here has; bounds the depth of calls. */
+  /** Limits the recursion depth. */
   private static final int MAX_DEPTH = 64;
 
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -36,10 +35,10 @@
   }
 
   /**
-   * Reads one value. As a mapper does, it takes the last of several fields of one name, gives a
-   * missing node for an empty text, and does not look at what follows the value.
+   * Reads a value like {@code ObjectMapper}: the last of several fields with the same name wins,
+   * empty text yields a missing node, and content after the value is ignored.
    *
-   * @throws IOException if the text is no JSON, or is nested too deep
+   * @throws IOException if the text is not valid JSON or is nested too deeply
    */
   public static JsonNode read(byte[] text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
@@ -100,18 +99,18 @@
     }
   }
 
-  /** Returns a tree as text. */
+  /** Serializes a tree. */
   public static byte[] write(JsonNode tree) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     try (JsonGenerator generator = FACTORY.createGenerator(text)) {
-      write(generator, tree);
+      writeNode(generator, tree);
     } catch (IOException e) {
-      throw new IllegalStateException("a tree can always be written", e);
+      throw new IllegalStateException("cannot serialize a JSON tree", e);
     }
     return text.toByteArray();
   }
 
-  private static void write(JsonGenerator generator, JsonNode node) throws IOException {
+  private static void writeNode(JsonGenerator generator, JsonNode node) throws IOException {
     switch (node.getNodeType()) {
       case OBJECT -> writeObject(generator, node);
       case ARRAY -> writeArray(generator, node);
@@ -128,7 +127,7 @@
     while (fields.hasNext()) {
       Map.Entry<String, JsonNode> field = fields.next();
       generator.writeFieldName(field.getKey());
-      write(generator, field.getValue());
+      writeNode(generator, field.getValue());
     }
     generator.writeEndObject();
   }
@@ -136,7 +135,7 @@
   private static void writeArray(JsonGenerator generator, JsonNode array) throws IOException {
     generator.writeStartArray();
     for (JsonNode element : array) {
-      write(generator, element);
+      writeNode(generator, element);
     }
     generator.writeEndArray();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/document/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/document/package-info.java
@@ -1,4 +1,4 @@
-/** Reading JSON documents strictly: schema first, one fault for each place that is wrong. */
+/** Reading and writing of JSON, with schema validation of documents. */
 @NullMarked
 package org.gradeledge.document;
 
--- a/gradeledge-core/src/test/java/org/gradeledge/document/JsonTreesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/document/JsonTreesTests.java
@@ -16,13 +16,13 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Trees are read and written as a mapper does it. */
+/** Checks that trees are read and written as by {@code ObjectMapper}. */
 class JsonTreesTests {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   @Property(tries = 500, shrinking = ShrinkingMode.OFF)
-  void treesAreTheSameTextAndBack(@ForAll long seed) throws IOException {
+  void readsAndWritesLikeMapper(@ForAll long seed) throws IOException {
     JsonNode tree = randomTree(new Random(seed), 4);
     byte[] text = MAPPER.writeValueAsBytes(tree);
     assertThat(JsonTrees.write(tree)).isEqualTo(text);
@@ -30,11 +30,11 @@
   }
 
   @Property(tries = 5_000, shrinking = ShrinkingMode.OFF)
-  void damagedTextIsReadAsAMapperDoesItOrRefused(
-      @ForAll @IntRange(max = 10_000) int place, @ForAll byte value, @ForAll int seed)
+  void readsDamagedTextLikeMapper(
+      @ForAll @IntRange(max = 10_000) int position, @ForAll byte value, @ForAll int seed)
       throws IOException {
     byte[] text = MAPPER.writeValueAsBytes(randomTree(new Random(seed), 3));
-    text[place % text.length] = value;
+    text[position % text.length] = value;
     JsonNode expected;
     try {
       expected = MAPPER.readTree(text);
@@ -46,12 +46,12 @@
   }
 
   @Test
-  void anEmptyTextIsAMissingNode() throws IOException {
+  void readsEmptyTextAsMissingNode() throws IOException {
     assertThat(JsonTrees.read(new byte[0]).isMissingNode()).isTrue();
   }
 
   @Test
-  void whatIsNestedTooDeepIsRefused() {
+  void rejectsTooDeepNesting() {
     byte[] text = "[".repeat(100_000).getBytes(StandardCharsets.UTF_8);
     assertThatThrownBy(() -> JsonTrees.read(text)).isInstanceOf(IOException.class);
   }
