--- a/gradeledge-core/src/main/java/org/gradeledge/http/BearerTokens.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/BearerTokens.java
@@ -6,7 +6,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /**
- * Takes bearer tokens (RFC 6750) out of requests; only their digests go any further.
+ * Extracts bearer tokens (RFC 6750) from requests as digests.
  *
  * @since 0.1
  */
@@ -16,7 +16,7 @@
 
   private BearerTokens() {}
 
-  /** Returns the SHA-256 digest of the request's token, or refuses. */
+  /** Returns the SHA-256 digest of the token, or throws a {@link RefusalException}. */
   public static String requireTokenDigest(HttpServerRequest request) {
     String header = request.requestHeaders().get("Authorization");
     if (header == null || !header.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
--- a/gradeledge-core/src/main/java/org/gradeledge/http/HttpListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/HttpListener.java
@@ -16,8 +16,7 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * Opens an HTTP port under the limits of the settings: HTTP/1.1, and HTTP/2 where the other side
- * asks for it.
+ * Binds HTTP servers that enforce the configured limits and support HTTP/1.1 and HTTP/2.
  *
  * @since 0.1
  */
@@ -25,10 +24,10 @@
 
   private HttpListener() {}
 
-  /** Binds the port. */
+  /** Binds a server to the configured address. */
   public static Mono<? extends DisposableServer> bind(
       ListenSettings listen, LimitSettings limits, Consumer<HttpServerRoutes> routes) {
-    AtomicInteger connections = new AtomicInteger();
+    AtomicInteger connectionCount = new AtomicInteger();
     Optional<SslContext> tls = TlsContexts.httpServer(listen.tls());
     HttpServer server =
         HttpServer.create()
@@ -38,18 +37,22 @@
             .requestTimeout(limits.readTimeout())
             .idleTimeout(limits.idleTimeout())
             .doOnChannelInit(
-                (observer, channel, remote) -> initializeConnection(channel, connections, limits))
+                (observer, channel, remote) ->
+                    initializeConnection(channel, connectionCount, limits))
             .route(routes);
     return tls.map(context -> server.secure(spec -> spec.sslContext(context)))
         .orElse(server)
         .bind();
   }
 
-  /** Called once a connection; Reactor Netty's own connection hook is called for each request. */
+  /**
+   * Enforces the connection limit and the write timeout. Runs on channel initialization, since
+   * {@code doOnConnection} of Reactor Netty runs for each request.
+   */
   private static void initializeConnection(
-      Channel channel, AtomicInteger open, LimitSettings limits) {
-    channel.closeFuture().addListener(closed -> open.decrementAndGet());
-    if (open.incrementAndGet() > limits.connections()) {
+      Channel channel, AtomicInteger connectionCount, LimitSettings limits) {
+    channel.closeFuture().addListener(closed -> connectionCount.decrementAndGet());
+    if (connectionCount.incrementAndGet() > limits.connections()) {
       channel.close();
       return;
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/http/HttpReplies.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/HttpReplies.java
@@ -7,7 +7,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Whole replies over HTTP.
+ * Sends complete HTTP replies.
  *
  * @since 0.1
  */
@@ -21,7 +21,7 @@
 
   private HttpReplies() {}
 
-  /** Sends bytes of a media type. */
+  /** Sends a body with the given media type. */
   public static Mono<Void> send(
       HttpServerResponse response, int status, String mediaType, byte[] body) {
     return response
@@ -37,7 +37,7 @@
     return send(response, status, JSON, encodeJson(value));
   }
 
-  /** Returns a value as JSON text. */
+  /** Serializes a value as JSON. */
   public static byte[] encodeJson(Object value) {
     try {
       return JsonMappers.json().writeValueAsBytes(value);
--- a/gradeledge-core/src/main/java/org/gradeledge/http/Problem.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/Problem.java
@@ -4,16 +4,16 @@
 import org.gradeledge.verdict.RefusalException;
 
 /**
- * A refusal as problem JSON (RFC 9457) with the verdict.
+ * Problem details (RFC 9457) of a refusal, extended by the verdict.
  *
  * @param type URN of the reason
- * @param title the reason in words
- * @param status the HTTP status
- * @param detail text for a person
+ * @param title short description of the reason
+ * @param status HTTP status
+ * @param detail human-readable explanation
  * @param verdict whether the request may have run
- * @param reason the reason for programs
- * @param stage stage at which the request ended
- * @param requestId the request
+ * @param reason machine-readable reason
+ * @param stage stage at which the request failed
+ * @param requestId id of the request
  * @since 0.1
  */
 public record Problem(
@@ -26,7 +26,7 @@
     Optional<String> stage,
     String requestId) {
 
-  /** Returns the problem that tells a refusal. */
+  /** Converts a refusal. */
   public static Problem of(RefusalException refusal, String requestId) {
     String reason = refusal.reason().wireName();
     return new Problem(
--- a/gradeledge-core/src/main/java/org/gradeledge/http/RequestBodies.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/RequestBodies.java
@@ -7,7 +7,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /**
- * Reads request bodies up to a bound.
+ * Reads request bodies up to a maximum size.
  *
  * @since 0.1
  */
@@ -15,7 +15,7 @@
 
   private RequestBodies() {}
 
-  /** Returns the whole body; fails with {@link RefusalException} once it exceeds the bound. */
+  /** Reads the body; fails with {@link RefusalException} if it exceeds the maximum size. */
   public static Mono<byte[]> read(HttpServerRequest request, int maxBytes) {
     String length = request.requestHeaders().get("Content-Length");
     if (length != null && (length.length() > 9 || Long.parseLong(length) > maxBytes)) {
@@ -26,11 +26,11 @@
         .asByteArray()
         .collect(
             ByteArrayOutputStream::new,
-            (body, part) -> {
-              if (body.size() + part.length > maxBytes) {
+            (body, chunk) -> {
+              if (body.size() + chunk.length > maxBytes) {
                 throw tooLarge(maxBytes);
               }
-              body.writeBytes(part);
+              body.writeBytes(chunk);
             })
         .map(ByteArrayOutputStream::toByteArray);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/http/TlsContexts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/TlsContexts.java
@@ -18,7 +18,7 @@
 
   private TlsContexts() {}
 
-  /** Returns the context of a listening port, absent for plain text. */
+  /** Returns the server context, empty for plain text. */
   public static Optional<SslContext> server(Optional<TlsSettings> settings) {
     return settings.map(
         tls ->
@@ -27,7 +27,7 @@
                     tls.certificateFile().toFile(), tls.keyFile().toFile())));
   }
 
-  /** Returns the context of a port that speaks HTTP/2 where the caller does. */
+  /** Returns the context of an HTTP server that negotiates HTTP/2 by ALPN, empty for plain text. */
   public static Optional<SslContext> httpServer(Optional<TlsSettings> settings) {
     return settings.map(
         tls ->
@@ -42,7 +42,7 @@
                             "http/1.1"))));
   }
 
-  /** Returns the context of a client that trusts just the certificate in the settings. */
+  /** Returns a client context that trusts only the configured certificate. */
   public static Optional<SslContext> client(Optional<TlsSettings> settings) {
     return settings.map(
         tls ->
@@ -56,7 +56,7 @@
     try {
       return builder.protocols(PROTOCOLS).build();
     } catch (SSLException e) {
-      throw new IllegalArgumentException("certificate and key must be PEM files that match", e);
+      throw new IllegalArgumentException("certificate and key must be matching PEM files", e);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/http/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the HTTP interfaces for callers and operators share: bounded bodies, tokens, TLS, replies.
+ * Shared parts of the HTTP interfaces for callers and operators: body limits, tokens, TLS, replies.
  */
 @NullMarked
 package org.gradeledge.http;
