--- a/gradeledge-core/src/main/java/org/gradeledge/platform/BoxState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/BoxState.java
@@ -5,14 +5,14 @@
 import java.util.Locale;
 
 /**
- * What the platform's list says of a box.
+ * State of a box in the platform's list.
  *
  * @since 0.1
  */
 public enum BoxState {
-  /** Up, and to be given work. */
+  /** Accepts new work. */
   LIVE,
-  /** Up, but to be given no new work. */
+  /** Running, but accepts no new work. */
   LEAVING;
 
   /** Returns the state with the given name on the wire. */
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/CommitResult.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/CommitResult.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What the table said of a transaction that it looked at.
+ * Result of a transaction.
  *
  * @param committed whether all writes took effect
- * @param revision the revision that all rows written now have; 0 where nothing was
- * @param conflicts keys whose conditions did not hold; empty where committed
+ * @param revision new revision of all written rows; 0 if not committed
+ * @param conflicts keys whose preconditions failed; empty if committed
  * @since 0.1
  */
 public record CommitResult(boolean committed, long revision, List<String> conflicts) {
 
-  /** Copies the list. */
+  /** Creates an immutable result. */
   public CommitResult {
     conflicts = List.copyOf(conflicts);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/HttpBoxList.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/HttpBoxList.java
@@ -10,7 +10,7 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * The box list over HTTP and JSON. Thread-safe.
+ * HTTP client of the box list. Thread-safe.
  *
  * @since 0.1
  */
@@ -22,9 +22,9 @@
 
   private final HttpPlatformClient http;
 
-  /** Creates a client of the list at a base address; a call takes at most {@code limit}. */
-  public HttpBoxList(HttpClient client, URI base, Duration limit, BoxMetrics metrics) {
-    this.http = new HttpPlatformClient(client, base, limit, metrics);
+  /** Creates a client for a base URI with a timeout per call. */
+  public HttpBoxList(HttpClient client, URI base, Duration timeout, BoxMetrics metrics) {
+    this.http = new HttpPlatformClient(client, base, timeout, metrics);
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/HttpObjectStore.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/HttpObjectStore.java
@@ -9,7 +9,7 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * The object store over HTTP. Thread-safe.
+ * HTTP client of the object store. Thread-safe.
  *
  * @since 0.1
  */
@@ -21,9 +21,9 @@
 
   private final HttpPlatformClient http;
 
-  /** Creates a client of the store at a base address; a call takes at most {@code limit}. */
-  public HttpObjectStore(HttpClient client, URI base, Duration limit, BoxMetrics metrics) {
-    this.http = new HttpPlatformClient(client, base, limit, metrics);
+  /** Creates a client for a base URI with a timeout per call. */
+  public HttpObjectStore(HttpClient client, URI base, Duration timeout, BoxMetrics metrics) {
+    this.http = new HttpPlatformClient(client, base, timeout, metrics);
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/HttpPlatformAnswer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/HttpPlatformAnswer.java
@@ -1,4 +1,4 @@
 package org.gradeledge.platform;
 
-/** Status and body of the platform's answer. */
+/** Status and body of an answer of the platform. */
 record HttpPlatformAnswer(int status, byte[] body) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/HttpPlatformClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/HttpPlatformClient.java
@@ -14,7 +14,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Sends one JSON call to the platform and turns every kind of failure into one exception. */
+/** Sends JSON calls to the platform and maps all failures to {@link PlatformException}. */
 final class HttpPlatformClient {
 
   private final HttpClient client;
@@ -22,15 +22,15 @@
   private final Duration timeout;
   private final BoxMetrics metrics;
 
-  HttpPlatformClient(HttpClient client, URI base, Duration limit, BoxMetrics metrics) {
+  HttpPlatformClient(HttpClient client, URI base, Duration timeout, BoxMetrics metrics) {
     this.client = client;
     this.base = base;
-    this.timeout = limit;
+    this.timeout = timeout;
     this.metrics = metrics;
   }
 
   /**
-   * Sends a call whose answer has one of the given statuses; any other is a failure.
+   * Sends a call; fails if the answer has none of the expected statuses.
    *
    * @param name name of the call in the metrics
    */
@@ -66,9 +66,9 @@
     }
   }
 
-  static <T> T decode(byte[] text, TypeReference<T> type) {
+  static <T> T decode(byte[] json, TypeReference<T> type) {
     try {
-      return JsonMappers.json().readValue(text, type);
+      return JsonMappers.json().readValue(json, type);
     } catch (IOException e) {
       throw new PlatformException("the platform's answer must be valid JSON", e);
     }
@@ -76,8 +76,8 @@
 
   private static Mono<HttpPlatformAnswer> checkStatus(
       HttpMethod method, String path, HttpPlatformAnswer answer, int... expected) {
-    boolean known = Arrays.stream(expected).anyMatch(status -> status == answer.status());
-    return known
+    boolean isExpected = Arrays.stream(expected).anyMatch(status -> status == answer.status());
+    return isExpected
         ? Mono.just(answer)
         : Mono.error(
             new PlatformException(method + " " + path + " got status " + answer.status(), null));
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/HttpTableService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/HttpTableService.java
@@ -10,7 +10,7 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * The table service over HTTP and JSON. Thread-safe.
+ * HTTP client of the table service. Thread-safe.
  *
  * @since 0.1
  */
@@ -21,9 +21,9 @@
 
   private final HttpPlatformClient http;
 
-  /** Creates a client of the service at a base address; a call takes at most {@code limit}. */
-  public HttpTableService(HttpClient client, URI base, Duration limit, BoxMetrics metrics) {
-    this.http = new HttpPlatformClient(client, base, limit, metrics);
+  /** Creates a client for a base URI with a timeout per call. */
+  public HttpTableService(HttpClient client, URI base, Duration timeout, BoxMetrics metrics) {
+    this.http = new HttpPlatformClient(client, base, timeout, metrics);
   }
 
   @Override
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/PlatformException.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/PlatformException.java
@@ -4,14 +4,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform did not answer, or not in a way that tells what it did: a write may or may not have
- * taken effect.
+ * A call to the platform failed with unknown outcome; a write may have taken effect.
  *
  * @since 0.1
  */
 public final class PlatformException extends GradeledgeException {
 
-  /** Creates an exception that names the call. */
+  /** Creates an exception with a message that describes the call. */
   public PlatformException(String message, @Nullable Throwable cause) {
     super(message, cause);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/RowValues.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/RowValues.java
@@ -4,7 +4,7 @@
 import org.gradeledge.document.JsonMappers;
 
 /**
- * Writes and reads the JSON values of rows.
+ * Serializes and deserializes the JSON values of rows.
  *
  * @since 0.1
  */
@@ -12,7 +12,7 @@
 
   private RowValues() {}
 
-  /** Returns a value as text. */
+  /** Serializes a value as JSON text. */
   public static String encode(Object value) {
     try {
       return JsonMappers.json().writeValueAsString(value);
@@ -21,9 +21,7 @@
     }
   }
 
-  /**
-   * Returns the value of a row; fails with {@link PlatformException} where it is of another type.
-   */
+  /** Deserializes the value of a row; throws {@link PlatformException} if it has another type. */
   public static <T> T decode(TableRow row, Class<T> type) {
     try {
       return JsonMappers.json().readValue(row.value(), type);
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/TableCondition.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/TableCondition.java
@@ -1,10 +1,10 @@
 package org.gradeledge.platform;
 
 /**
- * What must hold for a transaction to take effect.
+ * A precondition of a transaction.
  *
- * @param key the row looked at
- * @param revision the revision that it must have, {@link TableRow#ABSENT} for no row
+ * @param key key of the row
+ * @param revision expected revision, {@link TableRow#ABSENT} if the row must not exist
  * @since 0.1
  */
 public record TableCondition(String key, long revision) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/TableService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/TableService.java
@@ -6,20 +6,20 @@
 /**
  * The platform's transactional table.
  *
- * <p>Every call may fail with {@link PlatformException}; after a failed {@link #commit} the caller
- * cannot tell whether the writes took effect and must read back. Thread-safe.
+ * <p>Calls may fail with {@link PlatformException}. After a failed {@link #commit} the writes may
+ * have taken effect, so the caller must read the rows again. Thread-safe.
  *
  * @since 0.1
  */
 public interface TableService {
 
-  /** Carries out a transaction. */
+  /** Commits a transaction. */
   Mono<CommitResult> commit(TableTransaction transaction);
 
   /**
-   * Returns, as of one moment, all rows whose keys start with one of the prefixes.
+   * Returns a consistent snapshot of all rows whose keys start with one of the prefixes.
    *
-   * @param prefixes key prefixes; a whole key finds that row and any that it is a prefix of
+   * @param prefixes key prefixes; a full key also matches longer keys that start with it
    */
   Mono<List<TableRow>> read(List<String> prefixes);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/TableTransaction.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/TableTransaction.java
@@ -5,21 +5,21 @@
 import java.util.Optional;
 
 /**
- * Conditions and writes that take effect together or not at all.
+ * A transaction whose writes are applied atomically if all conditions hold.
  *
- * @param conditions all must hold
- * @param writes all are done
+ * @param conditions preconditions
+ * @param writes writes
  * @since 0.1
  */
 public record TableTransaction(List<TableCondition> conditions, List<TableWrite> writes) {
 
-  /** Copies the lists. */
+  /** Creates an immutable transaction. */
   public TableTransaction {
     conditions = List.copyOf(conditions);
     writes = List.copyOf(writes);
   }
 
-  /** Starts a transaction. */
+  /** Creates a builder. */
   public static Builder builder() {
     return new Builder();
   }
@@ -32,13 +32,13 @@
 
     private Builder() {}
 
-    /** Requires a row to have a revision. */
+    /** Requires that a row has the given revision. */
     public Builder require(String key, long revision) {
       conditions.add(new TableCondition(key, revision));
       return this;
     }
 
-    /** Requires that there is no row. */
+    /** Requires that a row does not exist. */
     public Builder requireAbsent(String key) {
       return require(key, TableRow.ABSENT);
     }
@@ -55,7 +55,7 @@
       return this;
     }
 
-    /** Returns the transaction. */
+    /** Builds the transaction. */
     public TableTransaction build() {
       return new TableTransaction(conditions, writes);
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/package-info.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's table service, object store and box list, and their HTTP clients. */
+/** Interfaces and HTTP clients of the platform's table service, object store and box list. */
 @NullMarked
 package org.gradeledge.platform;
 
