--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeParticipant.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeParticipant.java
@@ -74,6 +74,6 @@
             : fetcher.installFromPeer(from, install.pipeline(), install.version());
     return installed.then(
         Mono.fromSupplier(
-            () -> new ChangeMessages.Installed(registry.versionInForce(install.pipeline()))));
+            () -> new ChangeMessages.Installed(registry.activeVersionNumber(install.pipeline()))));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
@@ -50,7 +50,7 @@
     return Mono.defer(
         () -> {
           boolean installed =
-              registry.versionInForce(head.pipeline()) >= head.version()
+              registry.activeVersionNumber(head.pipeline()) >= head.version()
                   || registry.installPrepared(head.pipeline(), head.submissionId());
           return installed
               ? Mono.empty()
@@ -62,7 +62,7 @@
   public Mono<Void> installFromPeer(String peerId, String pipeline, long version) {
     return Mono.defer(
         () ->
-            registry.versionInForce(pipeline) >= version
+            registry.activeVersionNumber(pipeline) >= version
                 ? Mono.empty()
                 : fetchFromPeer(peerId, pipeline, version));
   }
@@ -140,7 +140,7 @@
   }
 
   private ChangeMessages.Fetched answerFetch(ChangeMessages.Fetch fetch) {
-    Optional<PipelineVersion> inForce = registry.inForce(fetch.pipeline());
+    Optional<PipelineVersion> inForce = registry.findActive(fetch.pipeline());
     return new ChangeMessages.Fetched(
         inForce.map(PipelineVersion::version).orElse(0L),
         inForce.map(PipelineVersion::submissionId).orElse(""),
--- a/gradeledge-core/src/main/java/org/gradeledge/configuration/UniqueNamesCheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/configuration/UniqueNamesCheck.java
@@ -8,20 +8,21 @@
 import java.util.stream.Stream;
 import org.gradeledge.document.Fault;
 
-/** Names of stages, accounts and upstreams, and tokens of accounts, stand once each. */
+/** Requires unique names of stages and accounts, ids of upstreams and tokens of accounts. */
 final class UniqueNamesCheck implements PipelineCheck {
 
   @Override
-  public Stream<Fault> faults(PipelineFile file) {
+  public Stream<Fault> findFaults(PipelineFile file) {
     return Stream.of(
-            repeated("/stages", "name", file.stages(), StageDefinition::name),
-            repeated("/accounts", "name", file.accounts(), AccountDefinition::name),
-            repeated("/accounts", "tokenSha256", file.accounts(), AccountDefinition::tokenSha256),
-            repeated("/upstreams", "id", file.upstreams(), UpstreamDefinition::id))
+            findDuplicates("/stages", "name", file.stages(), StageDefinition::name),
+            findDuplicates("/accounts", "name", file.accounts(), AccountDefinition::name),
+            findDuplicates(
+                "/accounts", "tokenSha256", file.accounts(), AccountDefinition::tokenSha256),
+            findDuplicates("/upstreams", "id", file.upstreams(), UpstreamDefinition::id))
         .flatMap(Function.identity());
   }
 
-  private static <T> Stream<Fault> repeated(
+  private static <T> Stream<Fault> findDuplicates(
       String list, String key, List<T> items, Function<T, String> nameOf) {
     Set<String> seen = new HashSet<>();
     return IntStream.range(0, items.size())
--- a/gradeledge-core/src/main/java/org/gradeledge/document/JsonTrees.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/document/JsonTrees.java
@@ -14,16 +14,15 @@
 import java.util.Map;
 
 /**
- * Reads JSON text into trees and writes them, straight on the streaming parser. Unlike a mapper
- * this loads nothing for binding, dates and locales, which is a tenth of what the start of a box
- * costs (by samples of its threads). Thread-safe.
+ * Reads and writes JSON trees with the streaming API. Avoids the startup cost of loading an {@code
+ * ObjectMapper}. Thread-safe.
  *
  * @since 0.3
  */
 public abstract class JsonTrees {
 
-  /** Deeper trees than any document that is read here has; bounds the depth of calls. */
-  private static final int DEEPEST = 64;
+  /** Limits the recursion depth. */
+  private static final int MAX_DEPTH = 64;
 
   private static final JsonFactory FACTORY = new JsonFactory();
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -36,10 +35,10 @@
   }
 
   /**
-   * Reads one value. As a mapper does, it takes the last of several fields of one name, gives a
-   * missing node for an empty text, and does not look at what follows the value.
+   * Reads a value like {@code ObjectMapper}: the last of several fields with the same name wins,
+   * empty text yields a missing node, and content after the value is ignored.
    *
-   * @throws IOException if the text is no JSON, or is nested too deep
+   * @throws IOException if the text is not valid JSON or is nested too deeply
    */
   public static JsonNode read(byte[] text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
@@ -47,16 +46,17 @@
       if (first == null) {
         return NODES.missingNode();
       }
-      return value(parser, first, 0);
+      return parseValue(parser, first, 0);
     }
   }
 
-  private static JsonNode value(JsonParser parser, JsonToken token, int depth) throws IOException {
+  private static JsonNode parseValue(JsonParser parser, JsonToken token, int depth)
+      throws IOException {
     return switch (token) {
-      case START_OBJECT -> object(parser, depth + 1);
-      case START_ARRAY -> array(parser, depth + 1);
+      case START_OBJECT -> parseObject(parser, depth + 1);
+      case START_ARRAY -> parseArray(parser, depth + 1);
       case VALUE_STRING -> NODES.textNode(parser.getText());
-      case VALUE_NUMBER_INT -> integer(parser);
+      case VALUE_NUMBER_INT -> parseInteger(parser);
       case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
       case VALUE_TRUE -> NODES.booleanNode(true);
       case VALUE_FALSE -> NODES.booleanNode(false);
@@ -64,7 +64,7 @@
     };
   }
 
-  private static JsonNode integer(JsonParser parser) throws IOException {
+  private static JsonNode parseInteger(JsonParser parser) throws IOException {
     return switch (parser.getNumberType()) {
       case INT -> NODES.numberNode(parser.getIntValue());
       case LONG -> NODES.numberNode(parser.getLongValue());
@@ -72,45 +72,45 @@
     };
   }
 
-  private static JsonNode object(JsonParser parser, int depth) throws IOException {
+  private static JsonNode parseObject(JsonParser parser, int depth) throws IOException {
     checkDepth(depth);
     ObjectNode object = NODES.objectNode();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String name = parser.currentName();
-      object.set(name, value(parser, parser.nextToken(), depth));
+      object.set(name, parseValue(parser, parser.nextToken(), depth));
     }
     return object;
   }
 
-  private static JsonNode array(JsonParser parser, int depth) throws IOException {
+  private static JsonNode parseArray(JsonParser parser, int depth) throws IOException {
     checkDepth(depth);
     ArrayNode array = NODES.arrayNode();
     for (JsonToken token = parser.nextToken();
         token != JsonToken.END_ARRAY;
         token = parser.nextToken()) {
-      array.add(value(parser, token, depth));
+      array.add(parseValue(parser, token, depth));
     }
     return array;
   }
 
   private static void checkDepth(int depth) throws IOException {
-    if (depth > DEEPEST) {
-      throw new IOException("must not be nested deeper than " + DEEPEST);
+    if (depth > MAX_DEPTH) {
+      throw new IOException("must not be nested deeper than " + MAX_DEPTH);
     }
   }
 
-  /** Returns a tree as text. */
+  /** Serializes a tree. */
   public static byte[] write(JsonNode tree) {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     try (JsonGenerator generator = FACTORY.createGenerator(text)) {
-      write(generator, tree);
+      writeNode(generator, tree);
     } catch (IOException e) {
-      throw new IllegalStateException("a tree can always be written", e);
+      throw new IllegalStateException("cannot serialize a JSON tree", e);
     }
     return text.toByteArray();
   }
 
-  private static void write(JsonGenerator generator, JsonNode node) throws IOException {
+  private static void writeNode(JsonGenerator generator, JsonNode node) throws IOException {
     switch (node.getNodeType()) {
       case OBJECT -> writeObject(generator, node);
       case ARRAY -> writeArray(generator, node);
@@ -127,7 +127,7 @@
     while (fields.hasNext()) {
       Map.Entry<String, JsonNode> field = fields.next();
       generator.writeFieldName(field.getKey());
-      write(generator, field.getValue());
+      writeNode(generator, field.getValue());
     }
     generator.writeEndObject();
   }
@@ -135,7 +135,7 @@
   private static void writeArray(JsonGenerator generator, JsonNode array) throws IOException {
     generator.writeStartArray();
     for (JsonNode element : array) {
-      write(generator, element);
+      writeNode(generator, element);
     }
     generator.writeEndArray();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorAuthenticator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorAuthenticator.java
@@ -19,7 +19,7 @@
 
   /** Returns the name of the operator who sent the request, or refuses the request. */
   String authenticate(HttpServerRequest request) {
-    String digest = BearerTokens.digest(request);
+    String digest = BearerTokens.requireTokenDigest(request);
     String found = "";
     for (OperatorSettings operator : operators) {
       if (TextDigest.matches(operator.tokenSha256(), digest)) {
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
@@ -54,7 +54,7 @@
   /** Sends a heartbeat to each connected peer. */
   public void sendAll() {
     boolean serving = membership.isConfirmed();
-    Map<String, Long> versions = registry.versions();
+    Map<String, Long> versions = registry.activeVersionNumbers();
     List<Heartbeat.LeavingUpstream> leaving = leavingUpstreams();
     peers
         .connectedPeers()
--- a/gradeledge-core/src/test/java/org/gradeledge/configuration/ConfigurationRegistryTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/configuration/ConfigurationRegistryTests.java
@@ -18,37 +18,37 @@
       new ConfigurationRegistry(() -> nanos, Duration.ofNanos(100), new BoxMetrics());
 
   @Test
-  void neverGoesBackToALowerVersion() {
+  void ignoresLowerVersion() {
     registry.install(PipelineFixture.version(2, "b"));
     registry.install(PipelineFixture.version(1, "a"));
-    assertThat(registry.versionInForce(NAME)).isEqualTo(2);
+    assertThat(registry.activeVersionNumber(NAME)).isEqualTo(2);
   }
 
   @Test
-  void servesThePreparedPipelinesOldVersionOnlyUntilTheDoubtBound() {
+  void servesActiveVersionUntilDoubtBoundExpires() {
     registry.install(PipelineFixture.version(1, "a"));
     registry.prepare(PipelineFixture.version(2, "b"));
     nanos = 99;
-    assertThat(registry.serving(NAME).version()).isEqualTo(1);
+    assertThat(registry.requireServing(NAME).version()).isEqualTo(1);
     nanos = 100;
-    assertThatThrownBy(() -> registry.serving(NAME))
+    assertThatThrownBy(() -> registry.requireServing(NAME))
         .isInstanceOfSatisfying(
             RefusalException.class,
             e -> assertThat(e.reason()).isEqualTo(RefusalReason.CONFIGURATION_IN_DOUBT));
   }
 
   @Test
-  void preparingAgainDoesNotProlongTheDoubtBound() {
+  void preparingAgainDoesNotExtendDoubtBound() {
     registry.install(PipelineFixture.version(1, "a"));
     registry.prepare(PipelineFixture.version(2, "b"));
     nanos = 60;
     assertThat(registry.prepare(PipelineFixture.version(2, "b"))).isTrue();
     nanos = 100;
-    assertThatThrownBy(() -> registry.serving(NAME)).isInstanceOf(RefusalException.class);
+    assertThatThrownBy(() -> registry.requireServing(NAME)).isInstanceOf(RefusalException.class);
   }
 
   @Test
-  void preparesOneSubmissionOfAPipelineAtATime() {
+  void preparesOneSubmissionPerPipeline() {
     registry.prepare(PipelineFixture.version(1, "a"));
     assertThat(registry.prepare(PipelineFixture.version(1, "b"))).isFalse();
     registry.withdraw(NAME, "a");
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void doesNotPrepareWhatIsNotNewer() {
+  void rejectsPreparationOfVersionThatIsNotHigher() {
     registry.install(PipelineFixture.version(2, "b"));
     assertThat(registry.prepare(PipelineFixture.version(2, "c"))).isFalse();
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/configuration/PipelineFixture.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/configuration/PipelineFixture.java
@@ -2,11 +2,11 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A valid pipeline file to be changed by tests. */
+/** A valid pipeline file for tests. */
 public abstract class PipelineFixture {
 
-  /** The file. */
-  public static final String GOOD =
+  /** Text of the file. */
+  public static final String VALID_FILE =
       """
       {"pipeline":"seat-matching",
        "stages":[
@@ -32,13 +32,14 @@
 
   private PipelineFixture() {}
 
-  /** Returns the file as read. */
+  /** Returns the parsed file. */
   public static PipelineFile file() {
-    return new PipelineFileReader().read(GOOD.getBytes(StandardCharsets.UTF_8)).get();
+    return new PipelineFileReader().read(VALID_FILE.getBytes(StandardCharsets.UTF_8)).get();
   }
 
-  /** Returns the file as a version. */
+  /** Returns a version that consists of the file. */
   public static PipelineVersion version(long number, String submissionId) {
-    return new PipelineVersion(number, submissionId, GOOD.getBytes(StandardCharsets.UTF_8), file());
+    return new PipelineVersion(
+        number, submissionId, VALID_FILE.getBytes(StandardCharsets.UTF_8), file());
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/document/JsonTreesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/document/JsonTreesTests.java
@@ -16,25 +16,25 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Trees are read and written as a mapper does it. */
+/** Checks that trees are read and written as by {@code ObjectMapper}. */
 class JsonTreesTests {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   @Property(tries = 500, shrinking = ShrinkingMode.OFF)
-  void treesAreTheSameTextAndBack(@ForAll long seed) throws IOException {
-    JsonNode tree = tree(new Random(seed), 4);
+  void readsAndWritesLikeMapper(@ForAll long seed) throws IOException {
+    JsonNode tree = randomTree(new Random(seed), 4);
     byte[] text = MAPPER.writeValueAsBytes(tree);
     assertThat(JsonTrees.write(tree)).isEqualTo(text);
     assertThat(JsonTrees.read(text)).isEqualTo(MAPPER.readTree(text));
   }
 
   @Property(tries = 5_000, shrinking = ShrinkingMode.OFF)
-  void damagedTextIsReadAsAMapperDoesItOrRefused(
-      @ForAll @IntRange(max = 10_000) int place, @ForAll byte value, @ForAll int seed)
+  void readsDamagedTextLikeMapper(
+      @ForAll @IntRange(max = 10_000) int position, @ForAll byte value, @ForAll int seed)
       throws IOException {
-    byte[] text = MAPPER.writeValueAsBytes(tree(new Random(seed), 3));
-    text[place % text.length] = value;
+    byte[] text = MAPPER.writeValueAsBytes(randomTree(new Random(seed), 3));
+    text[position % text.length] = value;
     JsonNode expected;
     try {
       expected = MAPPER.readTree(text);
@@ -46,17 +46,17 @@
   }
 
   @Test
-  void anEmptyTextIsAMissingNode() throws IOException {
+  void readsEmptyTextAsMissingNode() throws IOException {
     assertThat(JsonTrees.read(new byte[0]).isMissingNode()).isTrue();
   }
 
   @Test
-  void whatIsNestedTooDeepIsRefused() {
+  void rejectsTooDeepNesting() {
     byte[] text = "[".repeat(100_000).getBytes(StandardCharsets.UTF_8);
     assertThatThrownBy(() -> JsonTrees.read(text)).isInstanceOf(IOException.class);
   }
 
-  private static JsonNode tree(Random random, int depth) {
+  private static JsonNode randomTree(Random random, int depth) {
     ObjectNode object = MAPPER.createObjectNode();
     object.put("text", "tàu \"№" + random.nextInt(99) + "\n");
     object.put("integer", random.nextInt());
@@ -66,7 +66,7 @@
     object.putNull("nothing");
     ArrayNode array = object.putArray("array");
     for (int index = random.nextInt(3); index > 0 && depth > 0; index--) {
-      array.add(tree(random, depth - 1));
+      array.add(randomTree(random, depth - 1));
       array.add(random.nextInt(9));
     }
     return object;
--- a/gradeledge-core/src/test/java/org/gradeledge/settings/SettingsReaderTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/settings/SettingsReaderTests.java
@@ -19,12 +19,12 @@
 class SettingsReaderTests {
 
   @TempDir private Path directory;
-  private String good;
+  private String validSettings;
 
   @BeforeEach
   void writeSecret() throws IOException {
     Path secret = Files.writeString(directory.resolve("secret"), "sixteen characters or more");
-    good =
+    validSettings =
         """
         {"boxId":"box-1","availabilityZone":"sofia-1",
          "caller":{"host":"127.0.0.1","port":8080},
@@ -40,8 +40,8 @@
   }
 
   @Test
-  void readsGoodSettingsWithDefaults() {
-    BoxSettings settings = read(good).get();
+  void appliesDefaultsToValidSettings() {
+    BoxSettings settings = read(validSettings).get();
     assertThat(settings.timingOrDefault().heartbeat()).hasMillis(100);
     assertThat(settings.timingOrDefault().doubtBound()).hasMillis(2_000);
   }
@@ -59,16 +59,17 @@
         "\"host\":\"127.0.0.1\",\"port\":8080 | \"host\":\"10.0.0.1\",\"port\":8080 | /caller",
         "\"operators\":[ | \"operator\":[ | ''"
       })
-  void namesThePlaceOfAFault(String part, String replaced, String pointer) {
-    List<Fault> faults = read(good.replaceFirst(Pattern.quote(part), replaced)).getLeft();
+  void reportsPointerOfFault(String original, String replacement, String pointer) {
+    List<Fault> faults =
+        read(validSettings.replaceFirst(Pattern.quote(original), replacement)).getLeft();
     assertThat(faults).extracting(Fault::pointer).contains(pointer);
   }
 
   @Test
-  void namesAMissingCertificateAndAMissingSecretAtOnce() throws IOException {
+  void reportsMissingCertificateAndSecretTogether() throws IOException {
     Files.delete(directory.resolve("secret"));
     String text =
-        good.replace(
+        validSettings.replace(
             "\"port\":8080",
             "\"port\":8080,\"tls\":{\"certificateFile\":\"/none.pem\",\"keyFile\":\"/none.key\"}");
     assertThat(read(text).getLeft())
