--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
@@ -22,7 +22,7 @@
 /** A store, engines and boxes in one process, for tests. */
 final class Fleet implements AutoCloseable {
 
-  static final String KEY = FleetConfiguration.KEY;
+  static final String KEY = FleetConfiguration.API_KEY;
 
   private static final Duration LIMIT = Duration.ofSeconds(20);
 
@@ -46,7 +46,7 @@
 
   /** Writes a configuration; more routes may be given as JSON that starts with a comma. */
   void configure(int version, String moreRoutes) {
-    store.put("op", "config", FleetConfiguration.of(version, moreRoutes));
+    store.put("op", "config", FleetConfiguration.configuration(version, moreRoutes));
   }
 
   FleetEngine engine(String service, EngineKind kind) {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.http.HttpResponse;
-import org.gradeledge.standin.fleet.EngineArrival.Answer;
+import org.gradeledge.standin.fleet.EngineArrival.EngineAnnouncement;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -43,15 +43,16 @@
     FleetEngine busy = fleet.engine("plain", EngineKind.PLAIN);
     fleet.engine("plain", EngineKind.PLAIN);
     startBoxes();
-    busy.signals().turnAway(SECONDS);
+    busy.announcements().announceBackoff(SECONDS);
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
     }
 
     for (int box = 0; box < BOXES; box++) {
-      assertThat(busy.signals().hasAnswered(Answer.BACKOFF, path(box))).isTrue();
-      assertThat(busy.signals().cameAfter(Answer.BACKOFF, path(box))).isLessThanOrEqualTo(MOST);
+      assertThat(busy.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, path(box))).isTrue();
+      assertThat(busy.announcements().requestCountAfter(EngineAnnouncement.BACKOFF, path(box)))
+          .isLessThanOrEqualTo(MOST);
     }
   }
 
@@ -61,20 +62,20 @@
     fleet.engine("model", EngineKind.STREAM);
     FleetEngine busy = fleet.engine("stage", EngineKind.STAGE);
     startBoxes();
-    busy.signals().turnAway(SECONDS);
+    busy.announcements().announceBackoff(SECONDS);
 
     Fleet.await(
         () -> {
           fleet.atOnce(CALLERS, this::refused);
-          return busy.signals().hasAnswered(Answer.BACKOFF, "/stage-run");
+          return busy.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, "/stage-run");
         });
-    long before = busy.signals().came("/stage-");
+    long before = busy.announcements().requestCount("/stage-");
 
     for (int wave = 0; wave < WAVES; wave++) {
       fleet.atOnce(CALLERS, this::refused);
     }
 
-    assertThat(busy.signals().came("/stage-") - before).isLessThanOrEqualTo(MOST);
+    assertThat(busy.announcements().requestCount("/stage-") - before).isLessThanOrEqualTo(MOST);
   }
 
   // Guards against requests within that time once the upstream's entry has gone and come back.
@@ -83,13 +84,13 @@
     FleetEngine busy = fleet.engine("plain", EngineKind.PLAIN);
     fleet.engine("plain", EngineKind.PLAIN);
     startBoxes();
-    busy.signals().turnAway(SECONDS);
+    busy.announcements().announceBackoff(SECONDS);
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
       Fleet.await(
           () ->
               get(asked).statusCode() == 200
-                  && busy.signals().hasAnswered(Answer.BACKOFF, path(asked)));
+                  && busy.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, path(asked)));
     }
 
     for (int time = 0; time <= MOST; time++) {
@@ -102,7 +103,8 @@
       }
     }
     for (int box = 0; box < BOXES; box++) {
-      assertThat(busy.signals().cameAfter(Answer.BACKOFF, path(box))).isLessThanOrEqualTo(MOST);
+      assertThat(busy.announcements().requestCountAfter(EngineAnnouncement.BACKOFF, path(box)))
+          .isLessThanOrEqualTo(MOST);
     }
   }
 
@@ -110,7 +112,10 @@
   private void awaitSeenByAll(FleetEngine engine) throws Exception {
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> get(asked).statusCode() == 200 && engine.signals().came(path(asked)) > 0);
+      Fleet.await(
+          () ->
+              get(asked).statusCode() == 200
+                  && engine.announcements().requestCount(path(asked)) > 0);
     }
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBadInputTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBadInputTests.java
@@ -63,7 +63,7 @@
                 + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n5\r\nwhole\r\n0\r\n\r\n");
 
     assertThat(answer).startsWith("HTTP/1.1 200");
-    assertThat(plain.ran().get(0).body()).isEqualTo("halfwhole");
+    assertThat(plain.executedRequests().get(0).body()).isEqualTo("halfwhole");
   }
 
   @Test
@@ -78,7 +78,7 @@
     String after = exchange("GET /again/1 HTTP/1.1\r\nConnection: close\r\n" + KEY + "\r\n");
 
     assertThat(after).startsWith("HTTP/1.1 200");
-    assertThat(plain.ran()).noneMatch(seen -> seen.path().equals("/once/x"));
+    assertThat(plain.executedRequests()).noneMatch(seen -> seen.path().equals("/once/x"));
   }
 
   @Test
@@ -87,7 +87,7 @@
         exchange("GET /again/x HTTP/1.1\r\n" + KEY + "X-Long: " + "x".repeat(100_000) + "\r\n\r\n");
 
     assertThat(answer).matches("(?s)HTTP/1.1 4(13|31|00).*");
-    assertThat(plain.ran()).isEmpty();
+    assertThat(plain.executedRequests()).isEmpty();
   }
 
   @Test
@@ -95,7 +95,7 @@
     String answer = exchange("GET /again/x HTTP/1.1\r\nConnection: close\r\n" + KEY + "\r\n");
 
     assertThat(answer).startsWith("HTTP/1.1 200");
-    assertThat(plain.ran().get(0).header("X-Deadline-Ms")).isNotEmpty();
+    assertThat(plain.executedRequests().get(0).header("X-Deadline-Ms")).isNotEmpty();
   }
 
   @Test
@@ -114,7 +114,7 @@
             "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: soon\r\nConnection: close\r\n" + KEY + "\r\n");
 
     assertThat(answer).startsWith("HTTP/1.1 400");
-    assertThat(plain.ran()).isEmpty();
+    assertThat(plain.executedRequests()).isEmpty();
   }
 
   @Test
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
@@ -47,10 +47,10 @@
       HttpResponse<String> answer = fleet.post(box, "/staged/x", STAGED);
 
       assertThat(answer.statusCode()).isEqualTo(200);
-      SeenRequest seen = model.ran().get(box);
+      ReceivedRequest seen = model.executedRequests().get(box);
       assertThat(seen.header("X-Inputs").split(",")).hasSize(3);
     }
-    Fleet.await(() -> stage.freed().size() == BOXES * 5);
+    Fleet.await(() -> stage.releasedHandles().size() == BOXES * 5);
   }
 
   @Test
@@ -65,7 +65,7 @@
       assertThat(answer.get()).isEqualTo(200);
     }
 
-    assertThat(stage.ran().size()).isLessThan(31 * 3);
+    assertThat(stage.executedRequests().size()).isLessThan(31 * 3);
   }
 
   @Test
@@ -109,22 +109,22 @@
     FleetEngine other = fleet.engine("plain", EngineKind.PLAIN);
     Fleet.await(() -> fleet.get(0, "/again/x", WITH_KEY).body().contains(other.id()));
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "draining"));
-    Fleet.await(() -> !other.ran().isEmpty() && ranLately(other));
+    Fleet.await(() -> !other.executedRequests().isEmpty() && ranLately(other));
 
-    int before = plain.ran().size();
+    int before = plain.executedRequests().size();
     for (int i = 0; i < 20; i++) {
       assertThat(fleet.get(0, "/again/x", WITH_KEY).statusCode()).isEqualTo(200);
     }
-    assertThat(plain.ran()).hasSize(before);
+    assertThat(plain.executedRequests()).hasSize(before);
   }
 
   /** Returns whether the next requests of box 0 all go to one engine. */
   private boolean ranLately(FleetEngine engine) throws Exception {
-    int before = engine.ran().size();
+    int before = engine.executedRequests().size();
     for (int i = 0; i < 12; i++) {
       fleet.get(0, "/again/x", WITH_KEY);
     }
-    return engine.ran().size() == before + 12;
+    return engine.executedRequests().size() == before + 12;
   }
 
   @Test
@@ -132,7 +132,7 @@
     model.setFault(EngineFault.SLOW);
     CompletableFuture<HttpResponse<String>> running =
         CompletableFuture.supplyAsync(() -> unchecked(0, "/stream/x"));
-    Fleet.await(() -> !model.ran().isEmpty());
+    Fleet.await(() -> !model.executedRequests().isEmpty());
 
     fleet.box(0).stop();
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
@@ -5,7 +5,7 @@
 import java.net.http.HttpResponse;
 import java.util.List;
 import java.util.stream.IntStream;
-import org.gradeledge.standin.fleet.EngineArrival.Answer;
+import org.gradeledge.standin.fleet.EngineArrival.EngineAnnouncement;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -37,7 +37,7 @@
     fleet.engine("plain", EngineKind.PLAIN);
     startBoxes();
     fleet.store().setFault(StoreFault.SILENT);
-    leaving.signals().announceLeaving("1");
+    leaving.announcements().announceLeaving("1");
     awaitAllKnow(leaving);
     List<Long> before = cameFromEach(leaving);
 
@@ -56,19 +56,19 @@
     fleet.engine("stage", EngineKind.STAGE);
     startBoxes();
     fleet.store().setFault(StoreFault.SILENT);
-    leaving.signals().announceLeaving("1");
+    leaving.announcements().announceLeaving("1");
     Fleet.await(
         () -> {
           fleet.atOnce(CALLERS, this::staged);
-          return leaving.signals().hasAnswered(Answer.LEAVING, "/stage-");
+          return leaving.announcements().hasAnnounced(EngineAnnouncement.LEAVING, "/stage-");
         });
-    long before = leaving.signals().came("/stage-run");
+    long before = leaving.announcements().requestCount("/stage-run");
 
     for (int wave = 0; wave < WAVES; wave++) {
       fleet.atOnce(CALLERS, this::staged);
     }
 
-    assertThat(leaving.signals().came("/stage-run")).isEqualTo(before);
+    assertThat(leaving.announcements().requestCount("/stage-run")).isEqualTo(before);
   }
 
   // Guards against an upstream that has said so being used again for what an older entry says.
@@ -77,14 +77,14 @@
     FleetEngine leaving = fleet.engine("plain", EngineKind.PLAIN);
     fleet.engine("plain", EngineKind.PLAIN);
     startBoxes();
-    leaving.signals().announceLeaving("1");
+    leaving.announcements().announceLeaving("1");
     awaitAllKnow(leaving);
     List<Long> before = cameFromEach(leaving);
     fleet.list(leaving, "ready");
     FleetEngine witness = fleet.engine("plain", EngineKind.PLAIN);
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> get(asked) && witness.signals().came(path(asked)) > 0);
+      Fleet.await(() -> get(asked) && witness.announcements().requestCount(path(asked)) > 0);
     }
 
     for (int number = 0; number < REQUESTS; number++) {
@@ -92,13 +92,13 @@
     }
     assertThat(cameFromEach(leaving)).isEqualTo(before);
 
-    leaving.signals().withdraw();
-    leaving.startAgain();
+    leaving.announcements().withdraw();
+    leaving.restart();
     fleet.list(leaving, "ready");
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      long then = leaving.signals().came(path(asked));
-      Fleet.await(() -> get(asked) && leaving.signals().came(path(asked)) > then);
+      long then = leaving.announcements().requestCount(path(asked));
+      Fleet.await(() -> get(asked) && leaving.announcements().requestCount(path(asked)) > then);
     }
   }
 
@@ -114,13 +114,15 @@
       Fleet.await(
           () ->
               get(asked)
-                  && (leaving.signals().hasAnswered(Answer.LEAVING, path(asked))
+                  && (leaving.announcements().hasAnnounced(EngineAnnouncement.LEAVING, path(asked))
                       || fleet.hasLogged(asked, "upstream-announces-leaving")));
     }
   }
 
   private static List<Long> cameFromEach(FleetEngine engine) {
-    return IntStream.range(0, BOXES).mapToObj(box -> engine.signals().came(path(box))).toList();
+    return IntStream.range(0, BOXES)
+        .mapToObj(box -> engine.announcements().requestCount(path(box)))
+        .toList();
   }
 
   /** Requests of one box can be told from those of others by their path. */
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
@@ -50,20 +50,20 @@
   void allBoxesTogetherKeepToTheLimitAndTheOthersOfTheServiceTakeTheRest() throws Exception {
     FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
     fleet.engine("plain", EngineKind.PLAIN);
-    limited.limit().name("1");
+    limited.rateLimit().announce("1");
     startBoxes();
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number).statusCode()).isEqualTo(200);
     }
 
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
   }
 
   @Test
   void whereAllOfAServiceNameALimitTheRestIsRefusedAtOnceAndToldWhenToComeBack() throws Exception {
     FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
-    limited.limit().name("1.0");
+    limited.rateLimit().announce("1.0");
     startBoxes();
 
     HttpResponse<String> last = get(0);
@@ -73,14 +73,14 @@
 
     assertThat(last.statusCode()).isEqualTo(503);
     assertThat(last.headers().firstValue("Retry-After")).isPresent();
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
   }
 
   @Test
   void callsForStageWorkAndReleasesOfResultsCountAsRequestsToo() throws Exception {
     fleet.engine("model", EngineKind.STREAM);
     FleetEngine limited = fleet.engine("stage", EngineKind.STAGE);
-    limited.limit().name("10");
+    limited.rateLimit().announce("10");
     startBoxes();
 
     int served = 0;
@@ -89,20 +89,20 @@
     }
 
     assertThat(served).isPositive();
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MOST_OF_TEN_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MOST_OF_TEN_IN_WINDOW);
   }
 
   @Test
   void oneThatNamesNoLimitAnyMoreTakesAllAgain() throws Exception {
     FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
-    limited.limit().name("0.5");
+    limited.rateLimit().announce("0.5");
     startBoxes();
     for (int number = 0; number < REQUESTS; number++) {
       get(number);
     }
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
 
-    limited.limit().withdraw();
+    limited.rateLimit().withdraw();
 
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRelayTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRelayTests.java
@@ -50,7 +50,8 @@
 
     assertThat(answer.statusCode()).isEqualTo(200);
     assertThat(answer.headers().firstValue("X-Response-Stamp")).contains("s");
-    SeenRequest seen = Stream.of(plain, otherPlain).flatMap(e -> e.ran().stream()).toList().get(0);
+    ReceivedRequest seen =
+        Stream.of(plain, otherPlain).flatMap(e -> e.executedRequests().stream()).toList().get(0);
     assertThat(answer.body()).endsWith(seen.header("X-Request-Id"));
     assertThat(seen.path()).isEqualTo("/once/x?q=1");
     assertThat(seen.body()).isEqualTo("a body");
@@ -124,7 +125,7 @@
     for (int i = 0; i < 10; i++) {
       assertThat(fleet.post(0, "/once/x", WITH_KEY).statusCode()).isEqualTo(200);
     }
-    assertThat(otherPlain.ran()).hasSize(10);
+    assertThat(otherPlain.executedRequests()).hasSize(10);
   }
 
   @Test
@@ -161,7 +162,7 @@
     for (int i = 0; i < 6; i++) {
       assertThat(fleet.post(0, "/resume/x", WITH_KEY).body()).isEqualTo(events(1));
     }
-    assertThat(otherModel.ran()).isNotEmpty();
+    assertThat(otherModel.executedRequests()).isNotEmpty();
   }
 
   @Test
@@ -169,7 +170,7 @@
     set(EngineFault.CUT, model, otherModel);
 
     assertThatThrownBy(() -> fleet.post(0, "/stream/x", WITH_KEY)).isInstanceOf(IOException.class);
-    assertThat(model.ran().size() + otherModel.ran().size()).isEqualTo(1);
+    assertThat(model.executedRequests().size() + otherModel.executedRequests().size()).isEqualTo(1);
   }
 
   private static String events(int first) {
@@ -188,6 +189,6 @@
   }
 
   private int ran() {
-    return plain.ran().size() + otherPlain.ran().size();
+    return plain.executedRequests().size() + otherPlain.executedRequests().size();
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetStoreDrillTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetStoreDrillTests.java
@@ -42,7 +42,7 @@
     FleetEngine leaving = fleet.engine("plain", EngineKind.PLAIN);
     fleet.engine("plain", EngineKind.PLAIN);
     startBoxes();
-    drill(fleet.store().copy());
+    drill(fleet.store().snapshot());
 
     fleet.store().put("servers", leaving.id(), leaving.row("plain", "zone-a", "draining"));
 
@@ -55,7 +55,7 @@
   @Test
   void anUpstreamThatStartsAfterADrillIsUsed() throws Exception {
     startBoxes();
-    drill(fleet.store().copy());
+    drill(fleet.store().snapshot());
 
     FleetEngine started = fleet.engine("plain", EngineKind.PLAIN);
 
@@ -67,7 +67,7 @@
 
   @Test
   void anUpstreamWhoseEntryIsYoungerThanTheCopyStaysInUse() throws Exception {
-    StoreStandIn.Copy copy = fleet.store().copy();
+    StoreStandIn.Snapshot copy = fleet.store().snapshot();
     FleetEngine living = fleet.engine("plain", EngineKind.PLAIN);
     startBoxes();
 
@@ -82,7 +82,7 @@
   void aVerdictThatTheCopyLacksHoldsAndIsWrittenAgain() throws Exception {
     List<FleetEngine> upstreams = crashingUpstreams();
     startBoxes();
-    StoreStandIn.Copy copy = fleet.store().copy();
+    StoreStandIn.Snapshot copy = fleet.store().snapshot();
     reachVerdict();
     long ended = upstreams.stream().filter(FleetEngine::isDown).count();
 
@@ -106,7 +106,7 @@
     List<FleetEngine> upstreams = crashingUpstreams();
     startBoxes();
     reachVerdict();
-    StoreStandIn.Copy copy = fleet.store().copy();
+    StoreStandIn.Snapshot copy = fleet.store().snapshot();
     upstreams.forEach(upstream -> upstream.crashOn("nothing"));
     fleet.store().keys("quarantine").forEach(key -> fleet.store().remove("quarantine", key));
     for (int box = 0; box < BOXES; box++) {
@@ -147,7 +147,7 @@
   }
 
   /** The store comes back as a copy once all boxes have read what is lost with it. */
-  private void drill(StoreStandIn.Copy copy) throws Exception {
+  private void drill(StoreStandIn.Snapshot copy) throws Exception {
     for (int number = 0; number < LOST_VERSIONS; number++) {
       fleet.store().put("heartbeats", "key", "{}");
     }
@@ -156,7 +156,7 @@
       int asked = box;
       Fleet.await(() -> ranFor(witness, asked) > 0);
     }
-    fleet.store().comeBackAs(copy);
+    fleet.store().restore(copy);
   }
 
   private void startBoxes() throws Exception {
@@ -172,11 +172,11 @@
 
   /** Returns how many of some requests to a box an upstream has run. */
   private int ranFor(FleetEngine upstream, int box) throws Exception {
-    int before = upstream.ran().size();
+    int before = upstream.executedRequests().size();
     for (int number = 0; number < REQUESTS / BOXES; number++) {
       get(box);
     }
-    return upstream.ran().size() - before;
+    return upstream.executedRequests().size() - before;
   }
 
   private HttpResponse<String> get(int box) throws Exception {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
@@ -24,7 +24,7 @@
     this.folder = folder;
     this.number = number;
     // A box that is started again must find its ports free, whatever others dial meanwhile.
-    this.ports = FreePorts.findBelowOutgoing(PORTS);
+    this.ports = FreePorts.findBelowEphemeralRange(PORTS);
     this.storeLink = new FaultyLink(store);
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
@@ -48,21 +48,21 @@
   }
 
   /** What must not be repeated runs once at most. */
-  static List<String> atMostOnce(Collection<SeenRequest> ran) {
+  static List<String> atMostOnce(Collection<ReceivedRequest> ran) {
     return runs(ran).entrySet().stream()
         .filter(entry -> entry.getValue() > 1)
         .map(entry -> entry.getKey() + " ran " + entry.getValue() + " times")
         .toList();
   }
 
-  private static Map<String, Long> runs(Collection<SeenRequest> ran) {
+  private static Map<String, Long> runs(Collection<ReceivedRequest> ran) {
     return ran.stream()
         .filter(seen -> seen.path().startsWith("/once/"))
         .collect(Collectors.groupingBy(seen -> seen.header("X-Request-Id"), Collectors.counting()));
   }
 
   /** A refusal that promises that the request has not run is true. */
-  static List<String> notRunIsTrue(Collection<SoakCall> calls, Collection<SeenRequest> ran) {
+  static List<String> notRunIsTrue(Collection<SoakCall> calls, Collection<ReceivedRequest> ran) {
     Set<String> didRun = runs(ran).keySet();
     return broken(
         calls,
@@ -93,7 +93,7 @@
 
   /** A planned stop cuts no request that an engine has run. */
   static List<String> stopCutsNothing(
-      Collection<SoakCall> calls, Collection<SeenRequest> ran, Collection<PlannedStop> stops) {
+      Collection<SoakCall> calls, Collection<ReceivedRequest> ran, Collection<PlannedStop> stops) {
     Set<String> didRun =
         ran.stream().map(seen -> seen.header("X-Request-Id")).collect(Collectors.toSet());
     return broken(
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecksTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecksTests.java
@@ -68,7 +68,7 @@
   void aRequestThatAPlannedStopCutIsFound() {
     SoakCall cut = new SoakCall("a", "/once/1", 2, 1, 100, 300, Optional.empty(), "");
     PlannedStop stop = new PlannedStop(2, 1, 200, 400);
-    List<SeenRequest> ran = List.of(ran("a", "/once/1"));
+    List<ReceivedRequest> ran = List.of(ran("a", "/once/1"));
 
     assertThat(SoakChecks.stopCutsNothing(List.of(cut), ran, List.of(stop))).hasSize(1);
     assertThat(SoakChecks.stopCutsNothing(List.of(cut), List.of(), List.of(stop))).isEmpty();
@@ -81,7 +81,7 @@
     return new SoakCall(id, path, 1, 1, 0, 10, Optional.of(status), body);
   }
 
-  private static SeenRequest ran(String id, String path) {
-    return new SeenRequest("POST", path, Map.of("x-request-id", id), "");
+  private static ReceivedRequest ran(String id, String path) {
+    return new ReceivedRequest("POST", path, Map.of("x-request-id", id), "");
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakConfiguration.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakConfiguration.java
@@ -24,6 +24,6 @@
 
   /** Writes the newest configuration, also where the store holds it. */
   synchronized void write() {
-    store.put("op", "config", FleetConfiguration.of(version, routes));
+    store.put("op", "config", FleetConfiguration.configuration(version, routes));
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
@@ -21,7 +21,7 @@
   private record Left(FleetEngine engine, int start, int ranByThen) {
 
     boolean gotMore() {
-      return engine.ranDuring(start) > ranByThen;
+      return engine.executedDuring(start) > ranByThen;
     }
   }
 
@@ -49,12 +49,12 @@
   /** Lets an engine name a limit while nothing else is wrong: it must be kept. */
   void limitInCalm(FleetEngine engine, double perSecond) throws InterruptedException {
     allServing.accept("before an engine names a limit");
-    engine.limit().name(String.valueOf(perSecond));
+    engine.rateLimit().announce(String.valueOf(perSecond));
     SoakRun.last(LIMIT_KNOWN_MILLIS * patience);
-    int first = engine.limit().arrived();
+    int first = engine.rateLimit().requestCount();
     SoakRun.last(LIMIT_WATCHED_MILLIS);
-    long most = engine.limit().mostInWindowAfter(first);
-    engine.limit().withdraw();
+    long most = engine.rateLimit().maxInWindowAfter(first);
+    engine.rateLimit().withdraw();
     if (most > SoakChecks.mostOfLimit(perSecond)) {
       broken.accept(engine.id() + " takes " + perSecond + " a second and got " + most + " in 4 s");
     }
@@ -68,17 +68,18 @@
     engines.remove(leaving);
     engines.list(leaving, "draining");
     awaitBound();
-    left.add(new Left(leaving, leaving.start(), leaving.ranDuring(leaving.start())));
+    left.add(
+        new Left(leaving, leaving.incarnation(), leaving.executedDuring(leaving.incarnation())));
   }
 
   /** Takes an engine away, and starts it again under its id once it must get no new work. */
   void leaveAndComeBack(FleetEngine engine) throws IOException, InterruptedException {
     allServing.accept("before an engine leaves to come back");
-    int start = engine.start();
+    int start = engine.incarnation();
     engines.list(engine, "draining");
     awaitBound();
-    int ranByThen = engine.ranDuring(start);
-    engine.startAgain();
+    int ranByThen = engine.executedDuring(start);
+    engine.restart();
     left.add(new Left(engine, start, ranByThen));
     engines.list(engine, "ready");
     allServing.accept("after an engine came back under its id");
@@ -86,7 +87,7 @@
 
   /** Lets an engine crash and start again under its id. */
   void startAgain(FleetEngine engine) throws IOException {
-    engine.startAgain();
+    engine.restart();
     engines.list(engine, "ready");
   }
 
@@ -95,9 +96,9 @@
     allServing.accept("before an engine starts again");
     startAgain(engine);
     awaitBound();
-    int askedByThen = engine.askedOfOthers().size();
+    int askedByThen = engine.staleHandles().size();
     allServing.accept("after an engine started again");
-    if (engine.askedOfOthers().size() > askedByThen) {
+    if (engine.staleHandles().size() > askedByThen) {
       broken.accept(engine.id() + " was asked about results of the start before");
     }
   }
@@ -107,19 +108,19 @@
    * later; what it got meanwhile is judged in the end.
    */
   void announceLeaving(FleetEngine engine, long millis) throws IOException, InterruptedException {
-    engine.signals().announceLeaving("1");
+    engine.announcements().announceLeaving("1");
     SoakRun.last(millis);
-    engine.signals().withdraw();
-    engine.startAgain();
+    engine.announcements().withdraw();
+    engine.restart();
     engines.list(engine, "ready");
   }
 
   /** Has an engine turn requests away for some seconds while nothing else is wrong. */
   void turnAwayInCalm(FleetEngine engine, int seconds) throws InterruptedException {
     allServing.accept("before an engine turns requests away");
-    engine.signals().turnAway(String.valueOf(seconds));
+    engine.announcements().announceBackoff(String.valueOf(seconds));
     SoakRun.last(TURNED_AWAY_MILLIS * patience);
-    engine.signals().withdraw();
+    engine.announcements().withdraw();
     allServing.accept("after an engine turned requests away");
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
@@ -66,18 +66,18 @@
   }
 
   /** Returns what all that ever served have run. */
-  List<SeenRequest> ran() {
-    List<SeenRequest> ran = new ArrayList<>();
-    serving.forEach(engine -> ran.addAll(engine.ran()));
-    gone.forEach(engine -> ran.addAll(engine.ran()));
+  List<ReceivedRequest> ran() {
+    List<ReceivedRequest> ran = new ArrayList<>();
+    serving.forEach(engine -> ran.addAll(engine.executedRequests()));
+    gone.forEach(engine -> ran.addAll(engine.executedRequests()));
     return ran;
   }
 
   /** Ends all faults of engines and links. */
   void lift() {
     serving.forEach(engine -> engine.setFault(EngineFault.NONE));
-    serving.forEach(engine -> engine.limit().withdraw());
-    serving.forEach(engine -> engine.signals().withdraw());
+    serving.forEach(engine -> engine.rateLimit().withdraw());
+    serving.forEach(engine -> engine.announcements().withdraw());
     allLinks.forEach(link -> link.set(FaultyLink.Fault.NONE));
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRun.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRun.java
@@ -214,7 +214,7 @@
   }
 
   private void judge() {
-    List<SeenRequest> ran = engines.ran();
+    List<ReceivedRequest> ran = engines.ran();
     broken.addAll(SoakChecks.ownAnswers(callers.calls()));
     broken.addAll(SoakChecks.atMostOnce(ran));
     broken.addAll(SoakChecks.notRunIsTrue(callers.calls(), ran));
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakSignalChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakSignalChecks.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import org.gradeledge.standin.fleet.EngineArrival.Answer;
+import org.gradeledge.standin.fleet.EngineArrival.EngineAnnouncement;
 
 /**
  * Whether boxes heeded what engines said of themselves, judged by what callers sent and engines
@@ -39,8 +39,8 @@
     List<String> broken = new ArrayList<>();
     for (FleetEngine engine : engines) {
       Map<Told, Long> passedOn = new HashMap<>();
-      for (EngineArrival arrival : engine.signals().arrivals()) {
-        Optional.ofNullable(byId.get(arrival.id()))
+      for (EngineArrival arrival : engine.announcements().arrivals()) {
+        Optional.ofNullable(byId.get(arrival.requestId()))
             .ifPresent(call -> checkLeaving(engine, arrival, call, passedOn, broken));
       }
     }
@@ -58,7 +58,7 @@
     if (since != null && call.sentMillis() > since + LEAVING_BOUND_MILLIS) {
       broken.add(call.id() + " reached " + engine.id() + ", which had told " + told);
     }
-    if (arrival.answer() == Answer.LEAVING && call.hasStatus(200)) {
+    if (arrival.announcement() == EngineAnnouncement.LEAVING && call.hasStatus(200)) {
       passedOn.merge(told, call.endMillis(), Math::min);
     }
   }
@@ -72,14 +72,15 @@
     List<String> broken = new ArrayList<>();
     for (FleetEngine engine : engines) {
       Map<Told, List<EngineArrival>> byBox =
-          engine.signals().arrivals().stream()
-              .filter(arrival -> byId.containsKey(arrival.id()))
+          engine.announcements().arrivals().stream()
+              .filter(arrival -> byId.containsKey(arrival.requestId()))
               .collect(
-                  Collectors.groupingBy(arrival -> told(engine, arrival, byId.get(arrival.id()))));
+                  Collectors.groupingBy(
+                      arrival -> told(engine, arrival, byId.get(arrival.requestId()))));
       byBox.forEach(
           (told, arrivals) ->
               arrivals.stream()
-                  .filter(arrival -> arrival.answer() == Answer.BACKOFF)
+                  .filter(arrival -> arrival.announcement() == EngineAnnouncement.BACKOFF)
                   .filter(asked -> within(asked, arrivals) > MOST_WITHIN_BACKOFF)
                   .findFirst()
                   .ifPresent(
@@ -98,13 +99,16 @@
 
   private static long within(EngineArrival asked, List<EngineArrival> arrivals) {
     return arrivals.stream()
-        .filter(arrival -> arrival.millis() > asked.millis() + ON_ITS_WAY_MILLIS)
-        .filter(arrival -> arrival.millis() < asked.millis() + asked.backoffMillis())
+        .filter(
+            arrival -> arrival.receivedAtMillis() > asked.receivedAtMillis() + ON_ITS_WAY_MILLIS)
+        .filter(
+            arrival ->
+                arrival.receivedAtMillis() < asked.receivedAtMillis() + asked.backoffMillis())
         .count();
   }
 
   private static Told told(FleetEngine engine, EngineArrival arrival, SoakCall call) {
-    return new Told(call.box(), call.life(), engine.id(), arrival.start());
+    return new Told(call.box(), call.life(), engine.id(), arrival.incarnation());
   }
 
   private static Map<String, SoakCall> byId(Collection<SoakCall> calls) {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakSignalStep.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakSignalStep.java
@@ -29,7 +29,7 @@
   ANNOUNCE_UNREADABLY(false) {
     @Override
     public void play(SoakRun run, Random random) throws InterruptedException {
-      EngineSignals signals = run.engines().any(random).signals();
+      EngineAnnouncements signals = run.engines().any(random).announcements();
       signals.announceLeaving(ODD_WORDS[random.nextInt(ODD_WORDS.length)]);
       SoakRun.last(millis(random));
       signals.withdraw();
@@ -46,8 +46,8 @@
   TURN_AWAY(false) {
     @Override
     public void play(SoakRun run, Random random) throws InterruptedException {
-      EngineSignals signals = run.engines().any(random).signals();
-      signals.turnAway(SECONDS[random.nextInt(SECONDS.length)]);
+      EngineAnnouncements signals = run.engines().any(random).announcements();
+      signals.announceBackoff(SECONDS[random.nextInt(SECONDS.length)]);
       SoakRun.last(millis(random));
       signals.withdraw();
     }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakWordStep.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakWordStep.java
@@ -20,8 +20,8 @@
   NAME_LIMIT(false) {
     @Override
     public void play(SoakRun run, Random random) throws InterruptedException {
-      EngineLimit limit = run.engines().any(random).limit();
-      limit.name(WORDS[random.nextInt(WORDS.length)]);
+      EngineRateLimit limit = run.engines().any(random).rateLimit();
+      limit.announce(WORDS[random.nextInt(WORDS.length)]);
       SoakRun.last(500 + random.nextInt(2_500));
       limit.withdraw();
     }
@@ -37,9 +37,9 @@
   TWO_DRILLS(false) {
     @Override
     public void play(SoakRun run, Random random) throws InterruptedException {
-      StoreStandIn.Copy copy = run.store().copy();
+      StoreStandIn.Snapshot copy = run.store().snapshot();
       drill(run, random);
-      run.store().comeBackAs(copy);
+      run.store().restore(copy);
       run.writeAgain();
     }
   },
@@ -72,9 +72,9 @@
 
   /** Engines and operator write again within some 1.5 s what they had written since. */
   private static void drill(SoakRun run, Random random) throws InterruptedException {
-    StoreStandIn.Copy copy = run.store().copy();
+    StoreStandIn.Snapshot copy = run.store().snapshot();
     SoakRun.last(300 + random.nextInt(2_500));
-    run.store().comeBackAs(copy);
+    run.store().restore(copy);
     SoakRun.last(random.nextInt(1_500));
     run.writeAgain();
     SoakRun.last(1_000 + random.nextInt(1_500));
