--- a/gradeledge-box/src/main/java/org/gradeledge/box/AbstractOperatorCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/AbstractOperatorCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that makes one call to a box and prints the answer. */
+/** Base class of the commands that send one request to a box and print the response. */
 abstract class AbstractOperatorCommand implements Callable<Integer> {
 
   private static final int FIRST_SUCCESS_STATUS = 200;
@@ -18,7 +18,7 @@
   @Spec private CommandSpec spec;
   @Mixin private OperatorOptions options;
 
-  /** Makes the call. */
+  /** Sends the request of this command. */
   abstract OperatorClient.Reply call(OperatorClient client);
 
   @Override
@@ -27,17 +27,18 @@
     try {
       reply = call(options.createClient());
     } catch (RuntimeException e) {
-      err().println("the box could not be reached: " + e.getMessage());
+      err().println("could not reach the box: " + e.getMessage());
       return ExitCode.UNREACHABLE.code();
     }
     (reply.status() < FIRST_REDIRECT_STATUS ? out() : err()).println(formatJson(reply.body()));
     return exitCode(reply).code();
   }
 
-  /** Returns the exit code that tells the reply. */
+  /** Returns the exit code for the status of the reply. */
   ExitCode exitCode(OperatorClient.Reply reply) {
-    boolean done = reply.status() >= FIRST_SUCCESS_STATUS && reply.status() < FIRST_REDIRECT_STATUS;
-    return done ? ExitCode.OK : ExitCode.FAILED;
+    boolean successful =
+        reply.status() >= FIRST_SUCCESS_STATUS && reply.status() < FIRST_REDIRECT_STATUS;
+    return successful ? ExitCode.OK : ExitCode.FAILED;
   }
 
   final PrintWriter out() {
--- a/gradeledge-box/src/main/java/org/gradeledge/box/ApplyCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/ApplyCommand.java
@@ -13,11 +13,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Submits a whole pipeline file. */
+/** Submits a pipeline file as a new version of its pipeline. */
 @Command(
     name = "apply",
     mixinStandardHelpOptions = true,
-    description = "Submits a pipeline file; it takes effect everywhere or is refused.")
+    description = "Submits a pipeline file; it takes effect on all boxes or is refused.")
 final class ApplyCommand extends AbstractOperatorCommand {
 
   private static final int OK = 200;
@@ -32,23 +32,23 @@
   @Option(
       names = "--base",
       paramLabel = "N",
-      description = "Version that it replaces; a new pipeline where not given.")
+      description = "Version to replace; omit it to create a new pipeline.")
   private long baseVersion;
 
   @Option(
       names = "--submission-id",
       paramLabel = "UUID",
-      description = "The same id again gives the same verdict; random where not given.")
+      description = "Id for idempotent retries; random by default.")
   private UUID submissionId = UUID.randomUUID();
 
   @Override
   OperatorClient.Reply call(OperatorClient client) {
     try {
       byte[] text = Files.readAllBytes(file);
-      JsonNode name = JsonMappers.json().readTree(text).path("pipeline");
+      JsonNode pipeline = JsonMappers.json().readTree(text).path("pipeline");
       return client.call(
           HttpMethod.PUT,
-          "/v1/pipelines/" + name.asText("unnamed"),
+          "/v1/pipelines/" + pipeline.asText("unnamed"),
           Map.of(
               baseVersion == 0 ? "If-None-Match" : "If-Match",
               baseVersion == 0 ? "*" : "\"" + baseVersion + "\"",
@@ -56,7 +56,7 @@
               submissionId.toString()),
           text);
     } catch (IOException e) {
-      throw new UncheckedIOException(file + " must be a readable JSON file", e);
+      throw new UncheckedIOException(file + " is not a readable JSON file", e);
     }
   }
 
--- a/gradeledge-box/src/main/java/org/gradeledge/box/AuditCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/AuditCommand.java
@@ -2,11 +2,11 @@
 
 import picocli.CommandLine.Command;
 
-/** Shows who changed what, and each verdict. */
+/** Shows the audit log: submissions, their operators and verdicts. */
 @Command(
     name = "audit",
     mixinStandardHelpOptions = true,
-    description = "Shows who changed what, and each verdict.")
+    description = "Shows the audit log: submissions, their operators and verdicts.")
 final class AuditCommand extends AbstractOperatorCommand {
 
   @Override
--- a/gradeledge-box/src/main/java/org/gradeledge/box/BoxCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/BoxCommand.java
@@ -12,11 +12,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs an entry box until it is told to stop. */
+/** Runs a box until it is drained or receives SIGTERM. */
 @Command(
     name = "box",
     mixinStandardHelpOptions = true,
-    description = "Runs an entry box; SIGTERM stops it without cutting a request.")
+    description = "Runs a box; SIGTERM completes the requests in flight and stops it.")
 final class BoxCommand implements Callable<Integer> {
 
   @Spec private CommandSpec spec;
@@ -24,7 +24,7 @@
   @Option(names = "--settings", required = true, description = "Settings file, JSON.")
   private Path settingsFile;
 
-  @Option(names = "--check", description = "Checks the settings and starts nothing.")
+  @Option(names = "--check", description = "Validates the settings without starting the box.")
   private boolean checkOnly;
 
   @Override
@@ -37,19 +37,19 @@
                   fault -> spec.commandLine().getErr().println(settingsFile + " " + fault.line()));
               return ExitCode.INVALID.code();
             },
-            valid -> checkOnly ? ExitCode.OK.code() : run(valid));
+            settings -> checkOnly ? ExitCode.OK.code() : run(settings));
   }
 
-  private int run(BoxSettings valid) {
-    GradeledgeBox box = new GradeledgeBox(valid);
+  private int run(BoxSettings settings) {
+    GradeledgeBox box = new GradeledgeBox(settings);
     try {
       BoxPorts ports = box.start().block();
       Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(box), "drain"));
-      spec.commandLine().getOut().println(readyLine(valid, ports));
+      spec.commandLine().getOut().println(readyLine(settings, ports));
       box.whenStopped().block();
       return ExitCode.OK.code();
     } catch (RuntimeException e) {
-      Logger.error("the box cannot start: {}", e.getMessage());
+      Logger.error("could not run the box: {}", e.getMessage());
       return ExitCode.FAILED.code();
     }
   }
@@ -57,7 +57,7 @@
   private static void drain(GradeledgeBox box) {
     box.drain();
     box.whenStopped().block();
-    // A planned stop by signal ends with 0; without this the JVM would report the signal.
+    // Without this, the JVM would return the exit code of the signal instead of 0.
     Runtime.getRuntime().halt(ExitCode.OK.code());
   }
 
--- a/gradeledge-box/src/main/java/org/gradeledge/box/CheckCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/CheckCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Checks a pipeline file without any box. */
+/** Validates a pipeline file locally, without contacting a box. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = "Checks a pipeline file; prints one line a fault with its JSON Pointer.")
+    description = "Validates a pipeline file; prints each fault on a line with its JSON Pointer.")
 final class CheckCommand implements Callable<Integer> {
 
   @Spec private CommandSpec spec;
@@ -28,7 +28,7 @@
     try {
       text = Files.readAllBytes(file);
     } catch (IOException e) {
-      spec.commandLine().getErr().println(file + " must be a readable file");
+      spec.commandLine().getErr().println(file + " is not a readable file");
       return ExitCode.INVALID.code();
     }
     return new PipelineFileReader()
@@ -39,7 +39,7 @@
                   fault -> spec.commandLine().getErr().println(file + " " + fault.line()));
               return ExitCode.INVALID.code();
             },
-            valid -> {
+            pipelineFile -> {
               spec.commandLine().getOut().println(file + " is valid");
               return ExitCode.OK.code();
             });
--- a/gradeledge-box/src/main/java/org/gradeledge/box/DrainCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/DrainCommand.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import picocli.CommandLine.Command;
 
-/** Starts a planned stop of a box. */
+/** Starts the graceful shutdown of a box. */
 @Command(
     name = "drain",
     mixinStandardHelpOptions = true,
-    description = "Starts a planned stop of a box, as SIGTERM does.")
+    description = "Starts the graceful shutdown of a box, as SIGTERM does.")
 final class DrainCommand extends AbstractOperatorCommand {
 
   @Override
--- a/gradeledge-box/src/main/java/org/gradeledge/box/ExitCode.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/ExitCode.java
@@ -1,6 +1,6 @@
 package org.gradeledge.box;
 
-/** The exit codes of the commands. */
+/** Exit codes of the commands, as listed in the help of {@link Main}. */
 enum ExitCode {
   OK(0),
   FAILED(1),
--- a/gradeledge-box/src/main/java/org/gradeledge/box/ExplainCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/ExplainCommand.java
@@ -20,11 +20,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints the story of one request from the logs of all boxes, in the order of time. */
+/** Prints the log entries of all boxes that mention one request, ordered by time. */
 @Command(
     name = "explain",
     mixinStandardHelpOptions = true,
-    description = "Prints what the boxes' logs tell of one request, in order.")
+    description = "Prints the log entries of the boxes for one request, ordered by time.")
 final class ExplainCommand implements Callable<Integer> {
 
   private record LogEntry(String timestamp, JsonNode event) {}
@@ -36,31 +36,31 @@
   @Option(names = "--request", required = true, description = "Id of the request.")
   private String requestId;
 
-  @Parameters(arity = "1..*", paramLabel = "LOG", description = "Logs of boxes.")
+  @Parameters(arity = "1..*", paramLabel = "LOG", description = "Log files of the boxes.")
   private List<Path> logFiles;
 
   @Override
   public Integer call() {
     try {
-      List<LogEntry> lines =
+      List<LogEntry> entries =
           logFiles.stream()
               .flatMap(this::readEntries)
               .sorted(Comparator.comparing(LogEntry::timestamp))
               .toList();
-      lines.forEach(line -> print(line, spec.commandLine().getOut()));
-      if (lines.isEmpty()) {
-        spec.commandLine().getErr().println("no line names request " + requestId);
+      entries.forEach(entry -> print(entry, spec.commandLine().getOut()));
+      if (entries.isEmpty()) {
+        spec.commandLine().getErr().println("no log entry mentions request " + requestId);
       }
-      return lines.isEmpty() ? ExitCode.FAILED.code() : ExitCode.OK.code();
+      return entries.isEmpty() ? ExitCode.FAILED.code() : ExitCode.OK.code();
     } catch (UncheckedIOException e) {
-      spec.commandLine().getErr().println("cannot read: " + e.getMessage());
+      spec.commandLine().getErr().println("cannot read log file: " + e.getMessage());
       return ExitCode.INVALID.code();
     }
   }
 
-  private Stream<LogEntry> readEntries(Path log) {
+  private Stream<LogEntry> readEntries(Path logFile) {
     try {
-      return new String(Files.readAllBytes(log), StandardCharsets.UTF_8)
+      return new String(Files.readAllBytes(logFile), StandardCharsets.UTF_8)
           .lines()
           .filter(line -> line.contains(requestId))
           .flatMap(line -> parseEntry(line).stream());
@@ -69,25 +69,26 @@
     }
   }
 
-  /** What stands before the event, such as a collector's own time, is passed over. */
+  /** Parses the JSON event of a line; a prefix added by a log collector is skipped. */
   private Optional<LogEntry> parseEntry(String line) {
-    int start = line.indexOf('{');
-    if (start < 0) {
+    int jsonStart = line.indexOf('{');
+    if (jsonStart < 0) {
       return Optional.empty();
     }
     try {
-      JsonNode event = mapper.readTree(line.substring(start));
+      JsonNode event = mapper.readTree(line.substring(jsonStart));
       return Optional.of(new LogEntry(event.path("at").asText(), event));
     } catch (JsonProcessingException e) {
       return Optional.empty();
     }
   }
 
-  private static void print(LogEntry line, PrintWriter out) {
-    StringBuilder text = new StringBuilder(line.timestamp());
-    text.append("  ").append(line.event().path("box").asText());
-    text.append("  ").append(line.event().path("event").asText());
-    line.event()
+  private static void print(LogEntry entry, PrintWriter out) {
+    StringBuilder text = new StringBuilder(entry.timestamp());
+    text.append("  ").append(entry.event().path("box").asText());
+    text.append("  ").append(entry.event().path("event").asText());
+    entry
+        .event()
         .fields()
         .forEachRemaining(
             field -> {
--- a/gradeledge-box/src/main/java/org/gradeledge/box/HistoryCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/HistoryCommand.java
@@ -8,10 +8,10 @@
 @Command(
     name = "history",
     mixinStandardHelpOptions = true,
-    description = "Shows what became of a submission.")
+    description = "Shows the verdict of a submission.")
 final class HistoryCommand extends AbstractOperatorCommand {
 
-  @Parameters(paramLabel = "UUID", description = "The submission id.")
+  @Parameters(paramLabel = "UUID", description = "Submission id.")
   private UUID submissionId;
 
   @Override
--- a/gradeledge-box/src/main/java/org/gradeledge/box/Main.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/Main.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * The command line {@code gradeledge}.
+ * Entry point of the {@code gradeledge} command line.
  *
  * @since 0.1
  */
@@ -28,14 +28,14 @@
     },
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {
-      "0:done, or accepted",
+      "0:succeeded or accepted",
       "1:failed",
-      "2:bad arguments, settings or file",
+      "2:invalid arguments, settings or file",
       "3:refused",
-      "4:lost a race against another submission",
-      "5:the base is not the version in force",
-      "6:the verdict is not known yet; ask history",
-      "7:the box could not be reached"
+      "4:conflict with another submission",
+      "5:the base is not the active version",
+      "6:the verdict is not known yet; use history",
+      "7:could not reach the box"
     })
 public final class Main implements Runnable {
 
--- a/gradeledge-box/src/main/java/org/gradeledge/box/OperatorClient.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/OperatorClient.java
@@ -12,10 +12,10 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Makes one call to the operators' port of a box. */
+/** HTTP client for the operator port of a box. */
 final class OperatorClient {
 
-  /** What came back. */
+  /** Status and body of a response. */
   record Reply(int status, byte[] body) {}
 
   private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(30);
@@ -23,23 +23,25 @@
   private final String baseUrl;
   private final HttpClient client;
 
-  OperatorClient(String box, String token, @Nullable Path caFile) {
-    this.baseUrl = (caFile == null ? "http://" : "https://") + box;
-    HttpClient plain =
+  OperatorClient(String boxAddress, String token, @Nullable Path caFile) {
+    this.baseUrl = (caFile == null ? "http://" : "https://") + boxAddress;
+    HttpClient httpClient =
         HttpClient.newConnection()
             .headers(headers -> headers.set("Authorization", "Bearer " + token));
     this.client =
-        caFile == null ? plain : plain.secure(spec -> spec.sslContext(createSslContext(caFile)));
+        caFile == null
+            ? httpClient
+            : httpClient.secure(spec -> spec.sslContext(createSslContext(caFile)));
   }
 
   Reply get(String path) {
     return call(HttpMethod.GET, path, Map.of(), new byte[0]);
   }
 
-  /** Makes a call; fails with an exception where the box does not answer. */
+  /** Sends a request; throws an exception if the box does not respond in time. */
   Reply call(HttpMethod method, String path, Map<String, String> headers, byte[] body) {
     return client
-        .headers(sent -> headers.forEach(sent::set))
+        .headers(requestHeaders -> headers.forEach(requestHeaders::set))
         .request(method)
         .uri(baseUrl + path)
         .send(body.length == 0 ? Mono.empty() : Mono.just(Unpooled.wrappedBuffer(body)))
@@ -56,7 +58,7 @@
     try {
       return SslContextBuilder.forClient().trustManager(caFile.toFile()).build();
     } catch (SSLException e) {
-      throw new IllegalArgumentException("--ca-file must hold a PEM certificate", e);
+      throw new IllegalArgumentException("--ca-file does not contain a PEM certificate", e);
     }
   }
 }
--- a/gradeledge-box/src/main/java/org/gradeledge/box/OperatorOptions.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/OperatorOptions.java
@@ -6,26 +6,26 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** How a command reaches the operators' port of a box. */
+/** Connection options of the commands that call the operator port of a box. */
 final class OperatorOptions {
 
   @Option(
       names = "--box",
       required = true,
       paramLabel = "HOST:PORT",
-      description = "Operators' port of any box.")
+      description = "Operator port of any box.")
   private String boxAddress;
 
   @Option(
       names = "--token-file",
       paramLabel = "FILE",
-      description = "File with the operator's token; GRADELEDGE_TOKEN where not given.")
+      description = "File with the operator token; GRADELEDGE_TOKEN by default.")
   private Path tokenFile;
 
   @Option(
       names = "--ca-file",
       paramLabel = "FILE",
-      description = "Certificate to trust, PEM; plain HTTP where not given.")
+      description = "Trusted CA certificate, PEM; plain HTTP by default.")
   private Path caFile;
 
   OperatorClient createClient() {
@@ -40,7 +40,7 @@
     try {
       return Files.readString(tokenFile).strip();
     } catch (IOException e) {
-      throw new UncheckedIOException("--token-file must be readable", e);
+      throw new UncheckedIOException("cannot read --token-file", e);
     }
   }
 }
--- a/gradeledge-box/src/main/java/org/gradeledge/box/ShowCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/ShowCommand.java
@@ -3,11 +3,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Shows a pipeline file as accepted, or all pipelines. */
+/** Shows the accepted file of a pipeline, or lists all pipelines. */
 @Command(
     name = "show",
     mixinStandardHelpOptions = true,
-    description = "Shows a pipeline file as accepted, or all pipelines where none is named.")
+    description = "Shows the accepted file of a pipeline, or lists all pipelines.")
 final class ShowCommand extends AbstractOperatorCommand {
 
   @Parameters(paramLabel = "PIPELINE", arity = "0..1", description = "Name of the pipeline.")
--- a/gradeledge-box/src/main/java/org/gradeledge/box/StatusCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/StatusCommand.java
@@ -3,14 +3,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Shows each member and the versions in force there, or what each stage consumes. */
+/** Shows the members with their active versions, or the resource use of each stage. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
-    description = "Shows each member and the versions in force there.")
+    description = "Shows the members and the pipeline versions that are active on each.")
 final class StatusCommand extends AbstractOperatorCommand {
 
-  @Option(names = "--costs", description = "Shows what each stage consumed on this box instead.")
+  @Option(
+      names = "--costs",
+      description = "Shows the resource use of each stage on this box instead.")
   private boolean costs;
 
   @Override
--- a/gradeledge-box/src/main/java/org/gradeledge/box/package-info.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon and the command line: thin over the library. */
+/** Command line of gradeledge: runs a box and calls the operator API of running boxes. */
 @NullMarked
 package org.gradeledge.box;
 
--- a/gradeledge-box/src/test/java/org/gradeledge/box/ExplainCommandTests.java
+++ b/gradeledge-box/src/test/java/org/gradeledge/box/ExplainCommandTests.java
@@ -17,19 +17,20 @@
 
   @Test
   void printsEntriesOfAllLogsInTimeOrder() throws IOException {
-    Path one = writeLog("one", line(2, "b-1", "request-ended", "\"request\":\"r1\",\"ms\":7"));
-    Path two =
+    Path firstLog =
+        writeLog("one", entry(2, "b-1", "request-ended", "\"request\":\"r1\",\"ms\":7"));
+    Path secondLog =
         writeLog(
             "two",
             "  12.5 b-2 "
-                + line(1, "b-2", "pieces-failed", "\"requests\":\"r0,r1\"")
-                + line(3, "b-2", "request-ended", "\"request\":\"r2\"")
+                + entry(1, "b-2", "pieces-failed", "\"requests\":\"r0,r1\"")
+                + entry(3, "b-2", "request-ended", "\"request\":\"r2\"")
                 + "broken { r1");
 
     StringWriter out = new StringWriter();
-    int code = run(out, "--request", "r1", one.toString(), two.toString());
+    int exitCode = run(out, "--request", "r1", firstLog.toString(), secondLog.toString());
 
-    assertThat(code).isZero();
+    assertThat(exitCode).isZero();
     assertThat(out.toString().lines())
         .containsExactly(
             "1  b-2  pieces-failed  requests=r0,r1", "2  b-1  request-ended  request=r1  ms=7");
@@ -47,18 +48,18 @@
   }
 
   private static int run(StringWriter out, String... arguments) {
-    CommandLine line = Main.commandLine();
-    line.setOut(new PrintWriter(out, true));
-    line.setErr(new PrintWriter(new StringWriter()));
-    String[] all = new String[arguments.length + 1];
-    all[0] = "explain";
-    System.arraycopy(arguments, 0, all, 1, arguments.length);
-    return line.execute(all);
+    CommandLine commandLine = Main.commandLine();
+    commandLine.setOut(new PrintWriter(out, true));
+    commandLine.setErr(new PrintWriter(new StringWriter()));
+    String[] commandAndArguments = new String[arguments.length + 1];
+    commandAndArguments[0] = "explain";
+    System.arraycopy(arguments, 0, commandAndArguments, 1, arguments.length);
+    return commandLine.execute(commandAndArguments);
   }
 
-  private static String line(int at, String box, String event, String more) {
+  private static String entry(int at, String box, String event, String otherFields) {
     return String.format(
-        "{\"at\":\"%d\",\"box\":\"%s\",\"event\":\"%s\",%s}%n", at, box, event, more);
+        "{\"at\":\"%d\",\"box\":\"%s\",\"event\":\"%s\",%s}%n", at, box, event, otherFields);
   }
 
   private Path writeLog(String name, String text) throws IOException {
--- a/gradeledge-box/src/test/java/org/gradeledge/box/MainTests.java
+++ b/gradeledge-box/src/test/java/org/gradeledge/box/MainTests.java
@@ -32,19 +32,20 @@
   }
 
   @ParameterizedTest
-  @MethodSource("examples")
+  @MethodSource("exampleFiles")
   void acceptsExampleFiles(Path file) {
     assertThat(run("check", file.toString())).isZero();
   }
 
   @Test
   void printsOneLinePerFault() throws IOException {
-    Path faulty = directory.resolve("faulty.json");
-    String good = Files.readString(exampleFiles().findFirst().orElseThrow());
+    Path invalidFile = directory.resolve("faulty.json");
+    String validText = Files.readString(exampleFiles().findFirst().orElseThrow());
     Files.writeString(
-        faulty, good.replace("\"port\": 1,", "\"port\": 0,").replace("\"slots\"", "\"slotz\""));
+        invalidFile,
+        validText.replace("\"port\": 1,", "\"port\": 0,").replace("\"slots\"", "\"slotz\""));
 
-    assertThat(run("check", faulty.toString())).isEqualTo(2);
+    assertThat(run("check", invalidFile.toString())).isEqualTo(2);
     List<String> lines = err.toString().lines().toList();
     assertThat(lines).allSatisfy(line -> assertThat(line).contains(" /upstreams/"));
     assertThat(lines).anySatisfy(line -> assertThat(line).contains("/upstreams/0/port"));
@@ -73,8 +74,8 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"apply --box", "history not-a-uuid --box 127.0.0.1:1", "no-such", "check"})
-  void rejectsInvalidArguments(String line) {
-    assertThat(run(line.split(" "))).isEqualTo(2);
+  void rejectsInvalidArguments(String arguments) {
+    assertThat(run(arguments.split(" "))).isEqualTo(2);
   }
 
   @Test
