--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EngineResponses.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EngineResponses.java
@@ -25,23 +25,23 @@
 
   static ObjectNode embeddings(JsonNode body) {
     String text = body.path("input").path(0).asText();
-    ObjectNode answer = newObject();
-    ArrayNode vector = answer.putArray("data").addObject().putArray("embedding");
+    ObjectNode response = newObject();
+    ArrayNode vector = response.putArray("data").addObject().putArray("embedding");
     for (int i = 0; i < DIMENSIONS; i++) {
       vector.add(Math.floorMod(text.hashCode() * 31 + i * 17, 1_000) / 1_000.0);
     }
-    answer.putObject("usage").put("prompt_tokens", words(text).size());
-    return answer;
+    response.putObject("usage").put("prompt_tokens", words(text).size());
+    return response;
   }
 
   static ObjectNode retrieve(JsonNode body) {
-    ObjectNode answer = newObject();
-    ArrayNode documents = answer.putArray("documents");
+    ObjectNode response = newObject();
+    ArrayNode documents = response.putArray("documents");
     documents.addObject().put("id", "query").put("text", body.path("query").asText());
     for (int i = 0; i < DOCUMENTS.size(); i++) {
       documents.addObject().put("id", "document-" + i).put("text", DOCUMENTS.get(i));
     }
-    return answer;
+    return response;
   }
 
   static ObjectNode rerank(JsonNode body) {
@@ -58,17 +58,17 @@
     documents.sort(
         Comparator.comparingLong(
             (ObjectNode document) -> -document.path("relevance_score").asLong()));
-    ObjectNode answer = newObject();
-    answer.putArray("results").addAll(documents);
-    return answer;
+    ObjectNode response = newObject();
+    response.putArray("results").addAll(documents);
+    return response;
   }
 
   static ObjectNode service(JsonNode body, String idempotencyKey) {
-    ObjectNode answer = newObject();
-    answer.put("confirmation", Integer.toHexString(body.hashCode()));
-    answer.put("key", idempotencyKey);
-    answer.set("for", body.path("text"));
-    return answer;
+    ObjectNode response = newObject();
+    response.put("confirmation", Integer.toHexString(body.hashCode()));
+    response.put("key", idempotencyKey);
+    response.set("for", body.path("text"));
+    return response;
   }
 
   /** Returns the tokens of a completion: the last words of the prompt, repeated up to the limit. */
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EngineStandIn.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EngineStandIn.java
@@ -155,25 +155,25 @@
         .flatMap(
             tick -> {
               recordRun(request);
-              ObjectNode answer = function.apply(body, header(request, "Idempotency-Key"));
+              ObjectNode result = function.apply(body, header(request, "Idempotency-Key"));
               if (fault == EngineFault.ANSWER_LOST) {
                 return StandInHttp.closeConnection(response);
               }
-              return StandInHttp.sendJson(response, OK, answer)
+              return StandInHttp.sendJson(response, OK, result)
                   .then(
                       fault == EngineFault.DOUBLED
-                          ? sendDuplicate(response, answer)
+                          ? sendDuplicate(response, result)
                           : Mono.empty());
             });
   }
 
   /** Writes the response again, bypassing the HTTP codec. */
-  private static Mono<Void> sendDuplicate(HttpServerResponse response, ObjectNode answer) {
+  private static Mono<Void> sendDuplicate(HttpServerResponse response, ObjectNode result) {
     return Mono.fromRunnable(
         () ->
             response.withConnection(
                 connection -> {
-                  byte[] body = StandInHttp.toJson(answer);
+                  byte[] body = StandInHttp.toJson(result);
                   String headers = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n";
                   connection
                       .channel()
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/FleetEngine.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/FleetEngine.java
@@ -26,7 +26,7 @@
   private final List<ReceivedRequest> executedRequests = new CopyOnWriteArrayList<>();
   private final List<String> releasedHandles = new CopyOnWriteArrayList<>();
   private final List<String> staleHandles = new CopyOnWriteArrayList<>();
-  private final List<Integer> executedBefore = new CopyOnWriteArrayList<>(List.of(0));
+  private final List<Integer> executedBeforeIncarnation = new CopyOnWriteArrayList<>(List.of(0));
   private final FleetEngineResponses responses;
   private final EngineRateLimit rateLimit = new EngineRateLimit();
   private final EngineAnnouncements announcements = new EngineAnnouncements();
@@ -49,7 +49,7 @@
       DaemonThread.start("engine", () -> accept(serverSocket));
       return serverSocket;
     } catch (IOException e) {
-      throw new UncheckedIOException("no port is free", e);
+      throw new UncheckedIOException("could not open a listener", e);
     }
   }
 
@@ -73,7 +73,7 @@
     fault = newFault;
   }
 
-  /** Makes the engine crash when it receives a request with the given body. */
+  /** Makes the engine crash, without a restart, when it runs a request with the given body. */
   public void crashOn(String body) {
     crashBody = Optional.of(body);
   }
@@ -107,7 +107,7 @@
 
   /** Returns the number of the current incarnation, from 0. */
   public int incarnation() {
-    return executedBefore.size() - 1;
+    return executedBeforeIncarnation.size() - 1;
   }
 
   /** Returns the number of requests that an incarnation executed. */
@@ -115,8 +115,8 @@
     int end =
         incarnation == incarnation()
             ? executedRequests.size()
-            : executedBefore.get(incarnation + 1);
-    return end - executedBefore.get(incarnation);
+            : executedBeforeIncarnation.get(incarnation + 1);
+    return end - executedBeforeIncarnation.get(incarnation);
   }
 
   /** Crashes and restarts as a new incarnation on the same port; resets all connections. */
@@ -127,7 +127,7 @@
 
   private void beginIncarnation() {
     startedAtMillis = Math.max(startedAtMillis + 1, System.currentTimeMillis());
-    executedBefore.add(executedRequests.size());
+    executedBeforeIncarnation.add(executedRequests.size());
   }
 
   /** Closes the listener and resets all connections, as the crash of a process does. */
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/StoreStandIn.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/StoreStandIn.java
@@ -224,14 +224,14 @@
   }
 
   private synchronized ObjectNode rows(String table, long afterRevision, boolean includeRemoved) {
-    ObjectNode feed = JsonNodeFactory.instance.objectNode();
-    ArrayNode array = feed.putArray("rows");
+    ObjectNode result = JsonNodeFactory.instance.objectNode();
+    ArrayNode array = result.putArray("rows");
     tables.getOrDefault(table, Map.of()).values().stream()
         .filter(row -> row.revision() > afterRevision && (includeRemoved || !row.removed()))
         .sorted(Comparator.comparingLong(Row::revision))
         .forEach(row -> put(array.addObject(), table, row));
-    feed.put("more", false).put("ver", revision);
-    return feed;
+    result.put("more", false).put("ver", revision);
+    return result;
   }
 
   private static void put(ObjectNode object, String table, Row row) {
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/platform/PlatformStandIn.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/platform/PlatformStandIn.java
@@ -208,7 +208,7 @@
     return faults
         .nextFault()
         .apply(operation)
-        .flatMap(answer -> StandInHttp.sendJson(response, OK, answer).thenReturn(true))
+        .flatMap(result -> StandInHttp.sendJson(response, OK, result).thenReturn(true))
         .switchIfEmpty(StandInHttp.closeConnection(response).thenReturn(true))
         .then();
   }
