--- a/gradeledge-core/src/main/java/org/gradeledge/admission/AdaptiveLimit.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/AdaptiveLimit.java
@@ -9,32 +9,32 @@
  */
 final class AdaptiveLimit {
 
-  private static final int WINDOW = 20;
-  private static final int WINDOWS_REMEMBERED = 100;
+  private static final int CALLS_PER_WINDOW = 20;
+  private static final int RETAINED_WINDOWS = 100;
   private static final double TOLERANCE = 2.0;
-  private static final double LEAST_GRADIENT = 0.5;
-  private static final int LEAST = 4;
-  private static final double SMOOTHING = 0.5;
+  private static final double MIN_GRADIENT = 0.5;
+  private static final int MIN_LIMIT = 4;
+  private static final double SMOOTHING_FACTOR = 0.5;
 
-  private final double[] windowNanos = new double[WINDOWS_REMEMBERED];
-  private int windows;
-  private int most;
+  private final double[] windowMeanNanos = new double[RETAINED_WINDOWS];
+  private int windowCount;
+  private int maxLimit;
   private double limit;
   private double sumNanos;
-  private int calls;
+  private int callCount;
 
   AdaptiveLimit(int most) {
-    this.most = most;
+    this.maxLimit = most;
     this.limit = most;
   }
 
   int current() {
-    return Math.max(1, (int) Math.min(limit, most));
+    return Math.max(1, (int) Math.min(limit, maxLimit));
   }
 
-  void setMost(int value) {
-    if (value != most) {
-      most = value;
+  void setMaxLimit(int value) {
+    if (value != maxLimit) {
+      maxLimit = value;
       limit = value;
     }
   }
@@ -42,23 +42,23 @@
   /** Takes in the time of a completed call. */
   void record(long nanos) {
     sumNanos += nanos;
-    calls++;
-    if (calls >= WINDOW) {
-      endWindow(sumNanos / calls);
+    callCount++;
+    if (callCount >= CALLS_PER_WINDOW) {
+      closeWindow(sumNanos / callCount);
       sumNanos = 0;
-      calls = 0;
+      callCount = 0;
     }
   }
 
-  private void endWindow(double meanNanos) {
-    windowNanos[windows++ % WINDOWS_REMEMBERED] = meanNanos;
+  private void closeWindow(double meanNanos) {
+    windowMeanNanos[windowCount++ % RETAINED_WINDOWS] = meanNanos;
     double fastest = Double.MAX_VALUE;
-    for (int i = 0; i < Math.min(windows, WINDOWS_REMEMBERED); i++) {
-      fastest = Math.min(fastest, windowNanos[i]);
+    for (int i = 0; i < Math.min(windowCount, RETAINED_WINDOWS); i++) {
+      fastest = Math.min(fastest, windowMeanNanos[i]);
     }
-    double gradient = Math.max(LEAST_GRADIENT, Math.min(1, TOLERANCE * fastest / meanNanos));
+    double gradient = Math.max(MIN_GRADIENT, Math.min(1, TOLERANCE * fastest / meanNanos));
     double next = gradient * limit + Math.sqrt(limit);
-    double smoothed = limit + SMOOTHING * (next - limit);
-    limit = Math.min(most, Math.max(LEAST, smoothed));
+    double smoothed = limit + SMOOTHING_FACTOR * (next - limit);
+    limit = Math.min(maxLimit, Math.max(MIN_LIMIT, smoothed));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/AdmissionPolicy.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/AdmissionPolicy.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    Duration expected(Duration estimate) {
+    Duration expectedDuration(Duration estimate) {
       return estimate;
     }
   },
@@ -31,7 +31,7 @@
     }
 
     @Override
-    Duration expected(Duration estimate) {
+    Duration expectedDuration(Duration estimate) {
       return Duration.ZERO;
     }
   };
@@ -53,5 +53,5 @@
   abstract int limit(StageDefinition stage);
 
   /** Returns the time to count on, given the estimate from recent calls. */
-  abstract Duration expected(Duration estimate);
+  abstract Duration expectedDuration(Duration estimate);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/PipelineLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/PipelineLimits.java
@@ -20,7 +20,7 @@
 
   private final AdmissionPolicy policy;
   private final MonotonicClock clock;
-  private final Map<String, StageTimes> times = new ConcurrentHashMap<>();
+  private final Map<String, StageLatencies> latencies = new ConcurrentHashMap<>();
   private final Map<String, StageLimiter> limiters = new ConcurrentHashMap<>();
 
   /** Creates limits under a policy; no stage is known yet. */
@@ -37,12 +37,12 @@
   /** Returns the limiter of a stage. */
   public StageLimiter limiter(StageDefinition stage) {
     return limiters.computeIfAbsent(
-        stage.name(), name -> new StageLimiter(name, policy.limit(stage), times(stage)));
+        stage.name(), name -> new StageLimiter(name, policy.limit(stage), latencies(stage)));
   }
 
   /** Returns the times of a stage. */
-  public StageTimes times(StageDefinition stage) {
-    return times.computeIfAbsent(stage.name(), name -> new StageTimes(clock));
+  public StageLatencies latencies(StageDefinition stage) {
+    return latencies.computeIfAbsent(stage.name(), name -> new StageLatencies(clock));
   }
 
   /**
@@ -50,33 +50,33 @@
    * usual time of each, and the wait for a permit of all but the first, whose own queue counts the
    * wait itself.
    */
-  public Duration expected(List<StageDefinition> stages, AccountDefinition account) {
+  public Duration expectedDuration(List<StageDefinition> stages, AccountDefinition account) {
     Duration estimate = Duration.ZERO;
     for (int i = 0; i < stages.size(); i++) {
       StageDefinition stage = stages.get(i);
-      estimate = estimate.plus(times(stage).typical());
+      estimate = estimate.plus(latencies(stage).median());
       if (i > 0) {
         estimate = estimate.plus(limiter(stage).expectedWait(account));
       }
     }
-    return policy.expected(estimate);
+    return policy.expectedDuration(estimate);
   }
 
   /**
    * Returns the time that must be left for a call of the first of the given stages to be worth
-   * starting: as {@link #expected}, but with the time within which most calls of that stage end.
-   * Calls that waited long start with little more than this, and half of them would end too late if
-   * it were the median.
+   * starting: as {@link #expectedDuration}, but with the time within which most calls of that stage
+   * end. Calls that waited long start with little more than this, and half of them would end too
+   * late if it were the median.
    */
-  public Duration neededToStart(List<StageDefinition> stages, AccountDefinition account) {
-    StageTimes first = times(stages.get(0));
-    Duration margin = first.likely().minus(first.typical());
-    return expected(stages, account).plus(policy.expected(margin));
+  public Duration minimumTimeToStart(List<StageDefinition> stages, AccountDefinition account) {
+    StageLatencies first = latencies(stages.get(0));
+    Duration margin = first.percentile90().minus(first.median());
+    return expectedDuration(stages, account).plus(policy.expectedDuration(margin));
   }
 
   /** Refuses a request whose deadline is shorter than its stages usually take. */
-  public void checkReachable(PipelineFile file, AccountDefinition account, Duration timeLeft) {
-    Duration expected = expected(file.stages(), account);
+  public void checkDeadline(PipelineFile file, AccountDefinition account, Duration timeLeft) {
+    Duration expected = expectedDuration(file.stages(), account);
     if (expected.compareTo(timeLeft) >= 0) {
       throw RefusalException.forReason(RefusalReason.DEADLINE_UNREACHABLE)
           .detail(
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/QueuedTicket.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/QueuedTicket.java
@@ -8,7 +8,7 @@
  * A ticket that waits for a permit.
  *
  * @param ticket what asks to start
- * @param fairFinish its place in the fair order over all accounts
+ * @param virtualFinishTime its place in the fair order over all accounts
  * @param sequence breaks ties, first come first
  * @param sink told when it may start
  * @param granted whether it holds a permit
@@ -16,7 +16,7 @@
  */
 record QueuedTicket(
     StageTicket ticket,
-    double fairFinish,
+    double virtualFinishTime,
     long sequence,
     MonoSink<Runnable> sink,
     AtomicBoolean granted,
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/RetryBudget.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/RetryTokenBucket.java
@@ -6,23 +6,23 @@
  *
  * @since 0.1
  */
-public final class RetryBudget {
+public final class RetryTokenBucket {
 
-  private static final double MOST_SAVED = 20;
+  private static final double MAX_TOKENS = 20;
 
-  private double saved = MOST_SAVED / 2;
+  private double tokens = MAX_TOKENS / 2;
 
   /** Earns a share of an extra attempt. */
-  public synchronized void firstAttempt(double share) {
-    saved = Math.min(MOST_SAVED, saved + share);
+  public synchronized void recordFirstAttempt(double share) {
+    tokens = Math.min(MAX_TOKENS, tokens + share);
   }
 
   /** Returns whether one extra attempt may be made, and takes it off the budget. */
-  public synchronized boolean takeExtra() {
-    if (saved < 1) {
+  public synchronized boolean tryAcquire() {
+    if (tokens < 1) {
       return false;
     }
-    saved--;
+    tokens--;
     return true;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
@@ -30,48 +30,48 @@
 public final class StageLimiter {
 
   private static final Comparator<QueuedTicket> ORDER =
-      Comparator.comparingDouble(QueuedTicket::fairFinish)
+      Comparator.comparingDouble(QueuedTicket::virtualFinishTime)
           .thenComparingLong(QueuedTicket::sequence);
 
   private final String stage;
-  private final StageTimes times;
-  private final Map<String, Double> finishOfAccount = new HashMap<>();
+  private final StageLatencies latencies;
+  private final Map<String, Double> finishTimesByAccount = new HashMap<>();
   private final TreeSet<QueuedTicket> queue = new TreeSet<>(ORDER);
   private final AdaptiveLimit limit;
-  private int running;
+  private int inFlight;
   private double virtualTime;
   private long sequence;
 
   /** Creates a limiter for a stage; {@code times} tells how long its calls take. */
-  public StageLimiter(String stage, int limit, StageTimes times) {
+  public StageLimiter(String stage, int limit, StageLatencies times) {
     this.stage = stage;
     this.limit = new AdaptiveLimit(limit);
-    this.times = times;
+    this.latencies = times;
   }
 
   /** Sets how many calls may be in progress at most. */
   public synchronized void setLimit(int value) {
-    limit.setMost(value);
+    limit.setMaxLimit(value);
   }
 
   /** Takes in the time of a completed call. */
-  public void completed(long nanos) {
-    times.record(nanos);
+  public void recordCompletion(long nanos) {
+    latencies.record(nanos);
     synchronized (this) {
       limit.record(nanos);
     }
-    startNext();
+    startWaiting();
   }
 
   /** Returns how long a call of an account would wait, were it to come now. */
   public synchronized Duration expectedWait(AccountDefinition account) {
-    double finish = fairFinish(account);
-    long ahead = queue.stream().takeWhile(waiting -> waiting.fairFinish() <= finish).count();
-    return waitBehind(ahead);
+    double finish = virtualFinishTime(account);
+    long ahead = queue.stream().takeWhile(waiting -> waiting.virtualFinishTime() <= finish).count();
+    return expectedWaitBehind(ahead);
   }
 
   /** Returns how many calls wait. */
-  public synchronized int queued() {
+  public synchronized int queueLength() {
     return queue.size();
   }
 
@@ -88,39 +88,40 @@
                   sink -> {
                     QueuedTicket queued = newTicket(ticket, sink);
                     mine.set(queued);
-                    enter(queued);
+                    enqueueOrRefuse(queued);
                   })
-              .doOnCancel(() -> abandon(mine.get()));
+              .doOnCancel(() -> cancel(mine.get()));
         });
   }
 
   private synchronized QueuedTicket newTicket(StageTicket ticket, MonoSink<Runnable> sink) {
-    double finish = fairFinish(ticket.account());
+    double finish = virtualFinishTime(ticket.account());
     AtomicBoolean granted = new AtomicBoolean();
-    return new QueuedTicket(ticket, finish, sequence++, sink, granted, () -> giveBack(granted));
+    return new QueuedTicket(
+        ticket, finish, sequence++, sink, granted, () -> releaseAndStartWaiting(granted));
   }
 
-  private void enter(QueuedTicket queued) {
+  private void enqueueOrRefuse(QueuedTicket queued) {
     if (!enqueue(queued)) {
-      queued.refuse(unreachable(queued.ticket()));
+      queued.refuse(deadlineUnreachable(queued.ticket()));
       return;
     }
-    startNext();
+    startWaiting();
     if (isWaiting(queued)) {
-      refuseWhenTooLate(queued);
+      scheduleExpiry(queued);
     }
   }
 
   private synchronized boolean enqueue(QueuedTicket queued) {
     StageTicket ticket = queued.ticket();
-    if (!ticket.reachable() || expectedWait(ticket.account()).compareTo(ticket.slack()) > 0) {
+    if (!ticket.canMeetDeadline() || expectedWait(ticket.account()).compareTo(ticket.slack()) > 0) {
       return false;
     }
-    finishOfAccount.put(ticket.account().name(), queued.fairFinish());
+    finishTimesByAccount.put(ticket.account().name(), queued.virtualFinishTime());
     return queue.add(queued);
   }
 
-  private void refuseWhenTooLate(QueuedTicket queued) {
+  private void scheduleExpiry(QueuedTicket queued) {
     Disposable timer =
         Schedulers.parallel()
             .schedule(
@@ -129,56 +130,56 @@
   }
 
   /** A permit that was granted while its taker gave up must not be lost. */
-  private void abandon(@Nullable QueuedTicket queued) {
-    if (queued != null && !leave(queued)) {
+  private void cancel(@Nullable QueuedTicket queued) {
+    if (queued != null && !removeFromQueue(queued)) {
       queued.release().run();
     }
   }
 
-  private void startNext() {
-    Optional<QueuedTicket> next = takeNext();
+  private void startWaiting() {
+    Optional<QueuedTicket> next = pollNext();
     while (next.isPresent()) {
       QueuedTicket queued = next.get();
-      if (queued.ticket().reachable()) {
+      if (queued.ticket().canMeetDeadline()) {
         queued.grant();
       } else {
-        free(queued.granted());
-        queued.refuse(unreachable(queued.ticket()));
+        releasePermit(queued.granted());
+        queued.refuse(deadlineUnreachable(queued.ticket()));
       }
-      next = takeNext();
+      next = pollNext();
     }
   }
 
-  private synchronized Optional<QueuedTicket> takeNext() {
-    if (running >= limit.current() || queue.isEmpty()) {
+  private synchronized Optional<QueuedTicket> pollNext() {
+    if (inFlight >= limit.current() || queue.isEmpty()) {
       return Optional.empty();
     }
     QueuedTicket next = queue.pollFirst();
-    running++;
+    inFlight++;
     next.granted().set(true);
-    virtualTime = Math.max(virtualTime, next.fairFinish() - cost(next.ticket().account()));
-    forgetIdleAccounts();
+    virtualTime = Math.max(virtualTime, next.virtualFinishTime() - cost(next.ticket().account()));
+    resetFairnessWhenIdle();
     return Optional.of(next);
   }
 
-  private void forgetIdleAccounts() {
+  private void resetFairnessWhenIdle() {
     if (queue.isEmpty()) {
-      finishOfAccount.clear();
+      finishTimesByAccount.clear();
       virtualTime = 0;
     }
   }
 
-  private void giveBack(AtomicBoolean granted) {
-    if (free(granted)) {
-      startNext();
+  private void releaseAndStartWaiting(AtomicBoolean granted) {
+    if (releasePermit(granted)) {
+      startWaiting();
     }
   }
 
   /** Frees a permit without starting anybody; returns whether one was held. */
-  private synchronized boolean free(AtomicBoolean granted) {
+  private synchronized boolean releasePermit(AtomicBoolean granted) {
     boolean held = granted.compareAndSet(true, false);
     if (held) {
-      running--;
+      inFlight--;
     }
     return held;
   }
@@ -187,18 +188,18 @@
     return queue.contains(queued);
   }
 
-  private synchronized boolean leave(QueuedTicket queued) {
+  private synchronized boolean removeFromQueue(QueuedTicket queued) {
     return queue.remove(queued);
   }
 
   private void expire(QueuedTicket queued) {
-    if (leave(queued)) {
-      queued.refuse(unreachable(queued.ticket()));
+    if (removeFromQueue(queued)) {
+      queued.refuse(deadlineUnreachable(queued.ticket()));
     }
   }
 
-  private double fairFinish(AccountDefinition account) {
-    double start = Math.max(virtualTime, finishOfAccount.getOrDefault(account.name(), 0.0));
+  private double virtualFinishTime(AccountDefinition account) {
+    double start = Math.max(virtualTime, finishTimesByAccount.getOrDefault(account.name(), 0.0));
     return start + cost(account);
   }
 
@@ -207,25 +208,25 @@
     return 1.0 / (account.weight() * (1.0 + account.priority()));
   }
 
-  private Duration waitBehind(long ahead) {
-    return running < limit.current()
+  private Duration expectedWaitBehind(long ahead) {
+    return inFlight < limit.current()
         ? Duration.ZERO
-        : times.typical().multipliedBy(ahead + 1).dividedBy(limit.current());
+        : latencies.median().multipliedBy(ahead + 1).dividedBy(limit.current());
   }
 
-  private synchronized int current() {
+  private synchronized int currentLimit() {
     return limit.current();
   }
 
-  private RefusalException unreachable(StageTicket ticket) {
-    Duration wait = times.typical().multipliedBy(queued() + 1L).dividedBy(current());
+  private RefusalException deadlineUnreachable(StageTicket ticket) {
+    Duration wait = latencies.median().multipliedBy(queueLength() + 1L).dividedBy(currentLimit());
     return RefusalException.forReason(RefusalReason.DEADLINE_UNREACHABLE)
         .stage(stage)
         .detail(
             "the remaining stages take about "
-                + ticket.remaining().toMillis()
+                + ticket.estimatedRemaining().toMillis()
                 + " ms and "
-                + ticket.deadline().left().toMillis()
+                + ticket.deadline().remaining().toMillis()
                 + " ms are left")
         .retryAfter(wait)
         .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageTicket.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageTicket.java
@@ -9,19 +9,20 @@
  *
  * @param account whose request it belongs to
  * @param deadline when the whole request must be answered
- * @param remaining estimate of the time that this stage and those after it take
+ * @param estimatedRemaining estimate of the time that this stage and those after it take
  * @since 0.1
  */
-public record StageTicket(AccountDefinition account, Deadline deadline, Duration remaining) {
+public record StageTicket(
+    AccountDefinition account, Deadline deadline, Duration estimatedRemaining) {
 
   /** Returns whether the deadline can still be met if the call starts now. */
-  public boolean reachable() {
-    return deadline.left().compareTo(remaining) > 0;
+  public boolean canMeetDeadline() {
+    return deadline.remaining().compareTo(estimatedRemaining) > 0;
   }
 
   /** Returns how long the call can wait and still be answered in time. */
   public Duration slack() {
-    Duration slack = deadline.left().minus(remaining);
+    Duration slack = deadline.remaining().minus(estimatedRemaining);
     return slack.isNegative() ? Duration.ZERO : slack;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ArrivalRates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ArrivalRates.java
@@ -10,41 +10,41 @@
 final class ArrivalRates {
 
   /** Long against a call of some 300 ms, short against bursts of several seconds. */
-  private static final double FADING_SECONDS = 2;
+  private static final double DECAY_SECONDS = 2;
 
-  private static final double NANOS_OF_SECOND = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final MonotonicClock clock;
-  private final double[] sums = new double[Urgency.LEVELS];
-  private long fadedNanos;
+  private final double[] decayedCounts = new double[Urgency.LEVELS];
+  private long decayedAtNanos;
 
   ArrivalRates(MonotonicClock clock) {
     this.clock = clock;
-    this.fadedNanos = clock.nanos();
+    this.decayedAtNanos = clock.nanos();
   }
 
   /** Counts pieces that have just arrived. */
-  void arrived(int priority, int pieces) {
-    fade();
-    sums[Math.max(0, Math.min(priority, sums.length - 1))] += pieces;
+  void recordArrivals(int priority, int pieces) {
+    decay();
+    decayedCounts[Math.max(0, Math.min(priority, decayedCounts.length - 1))] += pieces;
   }
 
   /** Returns how many pieces arrive in a second that are more urgent than a priority. */
-  double perSecondBefore(int priority) {
-    fade();
+  double ratePerSecondAbove(int priority) {
+    decay();
     double sum = 0;
-    for (int level = 0; level < Math.min(priority, sums.length); level++) {
-      sum += sums[level];
+    for (int level = 0; level < Math.min(priority, decayedCounts.length); level++) {
+      sum += decayedCounts[level];
     }
-    return sum / FADING_SECONDS;
+    return sum / DECAY_SECONDS;
   }
 
-  private void fade() {
+  private void decay() {
     long now = clock.nanos();
-    double kept = Math.exp((fadedNanos - now) / (FADING_SECONDS * NANOS_OF_SECOND));
-    fadedNanos = now;
-    for (int level = 0; level < sums.length; level++) {
-      sums[level] *= kept;
+    double kept = Math.exp((decayedAtNanos - now) / (DECAY_SECONDS * NANOS_PER_SECOND));
+    decayedAtNanos = now;
+    for (int level = 0; level < decayedCounts.length; level++) {
+      decayedCounts[level] *= kept;
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/CallLoad.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchAssembler.java
@@ -18,48 +18,48 @@
  * They are not all put alone at once, as the end of an upstream mostly has another cause, and calls
  * that are not full are what a service has too few of.
  */
-final class CallLoad {
+final class BatchAssembler {
 
   /**
    * By chance this happens to one group in some thousands, even where an upstream ends a minute.
    */
-  private static final int ENDS_TO_GO_ALONE = 2;
+  private static final int CRASHES_BEFORE_ISOLATION = 2;
 
-  private final int mostPieces;
-  private long roomBytes;
+  private final int maxPieces;
+  private long freeBytes;
   private final List<StagePiece> pieces = new ArrayList<>();
 
   /** The group in the call under which upstreams have ended. */
   private @Nullable GroupInProgress suspect;
 
-  CallLoad(int mostPieces, long roomBytes) {
-    this.mostPieces = mostPieces;
-    this.roomBytes = roomBytes;
+  BatchAssembler(int mostPieces, long roomBytes) {
+    this.maxPieces = mostPieces;
+    this.freeBytes = roomBytes;
   }
 
   /** Puts in what fits of a group, the most urgent group first. */
   void offer(GroupInProgress group, List<StagePiece> waiting) {
-    if (!mayShare(group)) {
+    if (!canShareCall(group)) {
       return;
     }
-    int fitting = Math.min(waiting.size(), fitting(group.group().resultBytes()));
+    int fitting = Math.min(waiting.size(), countFitting(group.group().resultBytes()));
     boolean begun = waiting.size() < group.group().pieces();
     if (fitting == waiting.size() || begun || pieces.isEmpty()) {
       pieces.addAll(waiting.subList(0, fitting));
-      roomBytes -= fitting * group.group().resultBytes();
-      if (fitting > 0 && group.endedUpstreams() > 0) {
+      freeBytes -= fitting * group.group().resultBytes();
+      if (fitting > 0 && group.crashCount() > 0) {
         suspect = group;
       }
     }
   }
 
-  private boolean mayShare(GroupInProgress group) {
+  private boolean canShareCall(GroupInProgress group) {
     if (pieces.isEmpty()) {
       return true;
     }
-    boolean alone = group.endedUpstreams() >= ENDS_TO_GO_ALONE;
-    boolean besideOneAlone = suspect != null && suspect.endedUpstreams() >= ENDS_TO_GO_ALONE;
-    boolean bothSuspects = suspect != null && group.endedUpstreams() > 0;
+    boolean alone = group.crashCount() >= CRASHES_BEFORE_ISOLATION;
+    boolean besideOneAlone = suspect != null && suspect.crashCount() >= CRASHES_BEFORE_ISOLATION;
+    boolean bothSuspects = suspect != null && group.crashCount() > 0;
     return !alone && !besideOneAlone && !bothSuspects;
   }
 
@@ -68,9 +68,9 @@
     return List.copyOf(pieces);
   }
 
-  private int fitting(long resultBytes) {
-    int places = mostPieces - pieces.size();
-    long room = resultBytes == 0 ? places : Math.max(0, roomBytes) / resultBytes;
+  private int countFitting(long resultBytes) {
+    int places = maxPieces - pieces.size();
+    long room = resultBytes == 0 ? places : Math.max(0, freeBytes) / resultBytes;
     return (int) Math.min(places, room);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
@@ -17,27 +17,27 @@
   interface Listener {
 
     /** The call was handed to an open connection. */
-    void sent(BatchCall call);
+    void onCallSent(BatchCall call);
 
     /** The upstream answered. */
-    void answered(BatchCall call, int status, byte[] body);
+    void onCallAnswered(BatchCall call, int status, byte[] body);
 
     /** There is no whole answer. */
-    void failed(BatchCall call, Optional<CallFailure> failure);
+    void onCallFailed(BatchCall call, Optional<CallFailure> failure);
   }
 
-  private static final int MOST_BYTES = 1024 * 1024;
-  private static final long NANOS_OF_MILLI = 1_000_000;
-  private static final long BYTES_OF_KILOBYTE = 1024;
+  private static final int MAX_ANSWER_BYTES = 1024 * 1024;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long BYTES_PER_KILOBYTE = 1024;
 
   private final BatchUpstream target;
   private final List<StagePiece> pieces;
   private final BatchLimits limits;
   private final long startNanos;
   private final Listener listener;
-  private final ResponseBuffer body = new ResponseBuffer(MOST_BYTES);
+  private final ResponseBuffer body = new ResponseBuffer(MAX_ANSWER_BYTES);
   private int status;
-  private boolean over;
+  private boolean finished;
 
   BatchCall(
       BatchUpstream target,
@@ -78,7 +78,7 @@
    *
    * @param waitingAfter pieces that wait for the next call
    */
-  void tell(EventLog events, String service, int waitingAfter, long nowNanos) {
+  void writeEvent(EventLog events, String service, int waitingAfter, long nowNanos) {
     StageGroup first = pieces.get(0).group().group();
     events
         .step("stage-call")
@@ -86,12 +86,12 @@
         .with("upstream", target.upstream().id())
         .with("status", status)
         .with("pieces", pieces.size())
-        .with("most", limits.itemsPerCall())
+        .with("most", limits.maxItemsPerCall())
         .with("waiting-after", waitingAfter)
         .with("waited-ms", longestWaitMillis())
         .with("expected-ms", (long) target.expectedMillis(limits, pieces.size()))
-        .with("ms", (nowNanos - startNanos) / NANOS_OF_MILLI)
-        .with("kb", resultBytes() / BYTES_OF_KILOBYTE)
+        .with("ms", (nowNanos - startNanos) / NANOS_PER_MILLI)
+        .with("kb", resultBytes() / BYTES_PER_KILOBYTE)
         .with("first-priority", first.priority())
         .write();
   }
@@ -104,23 +104,23 @@
   }
 
   /** Notes that the upstream has fetched the inputs of the pieces, if it is still at work. */
-  void inputsTaken() {
-    if (!over) {
-      pieces.forEach(piece -> piece.group().inputsTaken(piece.index()));
+  void inputsFetched() {
+    if (!finished) {
+      pieces.forEach(piece -> piece.group().inputsFetched(piece.index()));
     }
   }
 
-  void timedOut() {
-    end(() -> listener.failed(this, Optional.empty()));
+  void onTimeout() {
+    finish(() -> listener.onCallFailed(this, Optional.empty()));
   }
 
-  boolean isOver() {
-    return over;
+  boolean isFinished() {
+    return finished;
   }
 
   @Override
   public void onSent() {
-    listener.sent(this);
+    listener.onCallSent(this);
   }
 
   @Override
@@ -137,17 +137,17 @@
 
   @Override
   public void onComplete() {
-    end(() -> listener.answered(this, status, body.toByteArray()));
+    finish(() -> listener.onCallAnswered(this, status, body.toByteArray()));
   }
 
   @Override
   public void onFailure(CallFailure failure) {
-    end(() -> listener.failed(this, Optional.of(failure)));
+    finish(() -> listener.onCallFailed(this, Optional.of(failure)));
   }
 
-  private void end(Runnable action) {
-    if (!over) {
-      over = true;
+  private void finish(Runnable action) {
+    if (!finished) {
+      finished = true;
       action.run();
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchContext.java
@@ -21,27 +21,27 @@
  * What the queues of a box share.
  *
  * @param box name of the box
- * @param toCome pieces that are on their way
- * @param limitsOf limits of a service's upstreams, empty where it makes no pieces
- * @param freeing gives results up
+ * @param pendingPieces pieces that are on their way
+ * @param limitsByService limits of a service's upstreams, empty where it makes no pieces
+ * @param releaser gives results up
  */
-record BatchServices(
+record BatchContext(
     String box,
     MonotonicClock clock,
     UpstreamRegistry upstreams,
-    UpstreamLoads board,
-    RetryBudget budget,
+    UpstreamLoads loads,
+    RetryBudget retryBudget,
     UpstreamCaller caller,
-    LivenessChecker ends,
-    SendLimiter sending,
+    LivenessChecker livenessChecks,
+    SendLimiter sendingRule,
     StageProtocol protocol,
     EventLog events,
-    PiecesToCome toCome,
-    Function<String, Optional<BatchLimits>> limitsOf,
-    Consumer<List<String>> freeing) {
+    PendingPieces pendingPieces,
+    Function<String, Optional<BatchLimits>> limitsByService,
+    Consumer<List<String>> releaser) {
 
   Optional<BatchLimits> limits(String service) {
-    return limitsOf.apply(service);
+    return limitsByService.apply(service);
   }
 
   /**
@@ -63,9 +63,9 @@
     return upstreams.atAddress(protocol.addressOf(handle)).map(UpstreamRecord::zone);
   }
 
-  void free(List<String> handles) {
+  void release(List<String> handles) {
     if (!handles.isEmpty()) {
-      freeing.accept(handles);
+      releaser.accept(handles);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
@@ -30,36 +30,36 @@
 public final class BatchCoordinator {
 
   private final EventLoop loop;
-  private final BatchServices services;
-  private final ResultRelease release;
+  private final BatchContext context;
+  private final ResultReleaser releaser;
   private final Map<String, BatchQueue> queues = new HashMap<>();
 
   private BatchCoordinator(Builder builder) {
     this.loop = builder.loop;
-    this.release =
-        new ResultRelease(
+    this.releaser =
+        new ResultReleaser(
             loop,
             builder.caller,
             builder.upstreams,
             builder.protocol,
-            builder.sending,
-            this::makerOf,
-            this::freed);
-    this.services =
-        new BatchServices(
+            builder.sendingRule,
+            this::incarnationOf,
+            this::onReleased);
+    this.context =
+        new BatchContext(
             builder.box,
             builder.clock,
             builder.upstreams,
-            builder.board,
-            builder.budget,
+            builder.loads,
+            builder.retryBudget,
             builder.caller,
             new LivenessChecker(builder.caller, builder.upstreams::hasLeft),
-            builder.sending,
+            builder.sendingRule,
             builder.protocol,
             builder.events,
-            builder.toCome,
+            builder.pendingPieces,
             builder.limits,
-            this::free);
+            this::release);
     builder.upstreams.onRetired(
         upstream ->
             Optional.ofNullable(queues.get(upstream.service())).ifPresent(BatchQueue::dispatch));
@@ -68,31 +68,33 @@
 
   /** Starts the work on a group; the listener hears once how it ended, unless it is cancelled. */
   public void submit(StageGroup group, StageWorkListener listener) {
-    queue(group.service()).submit(group, listener);
+    queueOf(group.service()).submit(group, listener);
   }
 
   /** Drops the pieces of a request that wait for a service. */
   public void cancel(String service, String requestId) {
-    queue(service).cancel(requestId);
+    queueOf(service).cancel(requestId);
   }
 
   /** Gives results up that nobody needs any more. */
-  public void free(List<String> handles) {
-    release.release(handles);
+  public void release(List<String> handles) {
+    releaser.release(handles);
   }
 
   /** Returns the zone that a result lies in. */
   public Optional<String> zoneOf(String handle) {
-    return services.zoneOf(handle);
+    return context.zoneOf(handle);
   }
 
   /** Returns which start of an upstream made a result, if that was called from here. */
-  private Optional<String> makerOf(String handle) {
-    return queues.values().stream().flatMap(queue -> queue.makerOf(handle).stream()).findFirst();
+  private Optional<String> incarnationOf(String handle) {
+    return queues.values().stream()
+        .flatMap(queue -> queue.incarnationOf(handle).stream())
+        .findFirst();
   }
 
-  private void freed(Collection<String> handles) {
-    queues.values().forEach(queue -> queue.freed(handles));
+  private void onReleased(Collection<String> handles) {
+    queues.values().forEach(queue -> queue.onReleased(handles));
   }
 
   /**
@@ -116,16 +118,16 @@
   }
 
   private static List<Long> byPriority(BatchQueue queue) {
-    long all = queue.backlogMillis(PiecesToCome.PRIORITIES - 1);
+    long all = queue.backlogMillis(PendingPieces.PRIORITY_LEVELS - 1);
     Stream<Long> rising =
-        IntStream.range(0, PiecesToCome.PRIORITIES)
+        IntStream.range(0, PendingPieces.PRIORITY_LEVELS)
             .mapToObj(queue::backlogMillis)
             .takeWhile(millis -> millis < all);
     return Stream.concat(rising, Stream.of(all)).toList();
   }
 
-  private BatchQueue queue(String service) {
-    return queues.computeIfAbsent(service, name -> new BatchQueue(name, services, loop));
+  private BatchQueue queueOf(String service) {
+    return queues.computeIfAbsent(service, name -> new BatchQueue(name, context, loop));
   }
 
   /** Returns a builder without any part. */
@@ -140,13 +142,13 @@
     private EventLoop loop;
     private MonotonicClock clock;
     private UpstreamRegistry upstreams;
-    private UpstreamLoads board;
-    private RetryBudget budget;
+    private UpstreamLoads loads;
+    private RetryBudget retryBudget;
     private UpstreamCaller caller;
     private StageProtocol protocol;
     private EventLog events;
-    private PiecesToCome toCome = new PiecesToCome();
-    private SendLimiter sending = SendLimiter.UNLIMITED;
+    private PendingPieces pendingPieces = new PendingPieces();
+    private SendLimiter sendingRule = SendLimiter.UNLIMITED;
     private Function<String, Optional<BatchLimits>> limits;
 
     private Builder() {}
@@ -175,22 +177,23 @@
     }
 
     /** Sets what the box believes of upstreams, and what it may repeat. */
-    public Builder beliefs(UpstreamLoads loadBoard, RetryBudget retryBudget, EventLog eventLog) {
-      this.board = loadBoard;
-      this.budget = retryBudget;
+    public Builder loadAndRetries(
+        UpstreamLoads loadBoard, RetryBudget retryBudget, EventLog eventLog) {
+      this.loads = loadBoard;
+      this.retryBudget = retryBudget;
       this.events = eventLog;
       return this;
     }
 
     /** Sets the pieces that are on their way, none if not given. */
-    public Builder toCome(PiecesToCome piecesToCome) {
-      this.toCome = piecesToCome;
+    public Builder pendingPieces(PendingPieces piecesToCome) {
+      this.pendingPieces = piecesToCome;
       return this;
     }
 
     /** Sets which upstreams take one more request now; all do if it is not given. */
-    public Builder sending(SendLimiter rule) {
-      this.sending = rule;
+    public Builder sendingRule(SendLimiter rule) {
+      this.sendingRule = rule;
       return this;
     }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -20,59 +20,55 @@
 
   private static final int HTTP_OK = 200;
   private static final int HTTP_UNAVAILABLE = 503;
-  private static final double LIMIT_FACTOR = 2.5;
-  private static final long LIMIT_EXTRA_MILLIS = 400;
-  private static final double FULL_PART_OF_CALL = 0.6;
+  private static final double TIMEOUT_FACTOR = 2.5;
+  private static final long TIMEOUT_EXTRA_MILLIS = 400;
+  private static final double FULL_PAUSE_SHARE = 0.6;
 
   /**
    * An upstream fetches inputs as soon as a call's turn comes, which is at once where it is free. A
    * part of the fixed time of a call, so that a slow upstream gets longer.
    */
-  private static final double FETCHING_PART_OF_CALL = 0.5;
+  private static final double INPUT_FETCH_SHARE = 0.5;
 
   private final String service;
-  private final BatchServices services;
+  private final BatchContext context;
   private final EventLoop loop;
   private final WaitingPieces waiting = new WaitingPieces();
-  private final HeldResults held;
+  private final ResultMemory resultMemory;
   private final BatchUpstreams upstreams;
   private final PieceRetries retries;
   private final QueueForecast forecast;
-  private final BrokenCalls broken;
-  private final DelayedLook lookAgain;
+  private final CrashCheck crashCheck;
+  private final DelayedRecheck recheck;
 
-  BatchQueue(String service, BatchServices services, EventLoop loop) {
+  BatchQueue(String service, BatchContext services, EventLoop loop) {
     this.service = service;
-    this.services = services;
+    this.context = services;
     this.loop = loop;
-    this.held = new HeldResults(services.clock(), services.board());
-    this.upstreams = new BatchUpstreams(service, services, held);
+    this.resultMemory = new ResultMemory(services.clock(), services.loads());
+    this.upstreams = new BatchUpstreams(service, services, resultMemory);
     this.retries = new PieceRetries(service, services);
-    this.lookAgain = new DelayedLook(loop, this::dispatch);
-    this.broken = new BrokenCalls(services.ends(), loop);
+    this.recheck = new DelayedRecheck(loop, this::dispatch);
+    this.crashCheck = new CrashCheck(services.livenessChecks(), loop);
     this.forecast = new QueueForecast(service, services, waiting, upstreams);
   }
 
   void submit(StageGroup group, StageWorkListener listener) {
     GroupInProgress started =
         new GroupInProgress(
-            group,
-            services.zoneOfInputs(group),
-            services.box(),
-            services.clock().nanos(),
-            listener);
-    BatchLimits limits = services.limits(service).orElse(null);
-    if (limits == null || forecast.firstAndTooLate(started, limits)) {
-      end(started, StageOutcome.LATE);
+            group, context.zoneOfInputs(group), context.box(), context.clock().nanos(), listener);
+    BatchLimits limits = context.limits(service).orElse(null);
+    if (limits == null || forecast.isUnreachableFirstGroup(started, limits)) {
+      endGroup(started, StageOutcome.LATE);
       return;
     }
-    forecast.arrived(group);
+    forecast.recordArrival(group);
     waiting.add(started);
     dispatch();
   }
 
   void expireResults() {
-    held.expire();
+    resultMemory.expire();
   }
 
   void cancel(String requestId) {
@@ -80,12 +76,12 @@
   }
 
   /** Returns which start of an upstream holds a result, if it is known here. */
-  Optional<String> makerOf(String handle) {
-    return held.makerOf(handle);
+  Optional<String> incarnationOf(String handle) {
+    return resultMemory.incarnationOf(handle);
   }
 
-  void freed(Collection<String> handles) {
-    held.remove(handles);
+  void onReleased(Collection<String> handles) {
+    resultMemory.remove(handles);
     dispatch();
   }
 
@@ -96,181 +92,183 @@
 
   /** Makes calls as long as there are pieces and upstreams that are free. */
   void dispatch() {
-    Optional<BatchLimits> limits = services.limits(service);
+    Optional<BatchLimits> limits = context.limits(service);
     if (waiting.isEmpty() || limits.isEmpty()) {
       return;
     }
-    long now = services.clock().nanos();
+    long now = context.clock().nanos();
     double shortest = limits.get().expectedMillis(1);
-    waiting.takeLate(shortest, now).forEach(group -> end(group, StageOutcome.LATE));
+    waiting.removeExpired(shortest, now).forEach(group -> endGroup(group, StageOutcome.LATE));
     waiting.sort(shortest, now);
     boolean called = true;
     while (called && !waiting.isEmpty()) {
-      called = callOne(limits.get(), now);
+      called = callNext(limits.get(), now);
     }
     if (!waiting.isEmpty()) {
-      lookAgain.schedule();
+      recheck.schedule();
     }
   }
 
-  private boolean callOne(BatchLimits limits, long now) {
-    int items = Math.min(waiting.size(), limits.itemsPerCall());
-    return upstreams.worthCalling(limits, items, now).stream()
-        .anyMatch(each -> call(each, limits, now));
+  private boolean callNext(BatchLimits limits, long now) {
+    int items = Math.min(waiting.size(), limits.maxItemsPerCall());
+    return upstreams.candidates(limits, items, now).stream()
+        .anyMatch(each -> tryCall(each, limits, now));
   }
 
-  private boolean call(BatchUpstream target, BatchLimits limits, long now) {
+  private boolean tryCall(BatchUpstream target, BatchLimits limits, long now) {
     List<StagePiece> chosen =
-        waiting.take(
-            limits.itemsPerCall(),
-            upstreams.roomBytes(target, limits),
-            upstreams.suiting(target, limits, now));
+        waiting.takeBatch(
+            limits.maxItemsPerCall(),
+            upstreams.freeBytes(target, limits),
+            upstreams.eligibility(target, limits, now));
     if (chosen.isEmpty()) {
       return false;
     }
-    chosen.forEach(piece -> piece.group().called(target.upstream().zone(), now));
+    chosen.forEach(piece -> piece.group().recordCall(target.upstream().zone(), now));
     BatchCall call = new BatchCall(target, chosen, limits, now, this);
     double expected = target.expectedMillis(limits, chosen.size());
-    target.started(call.resultBytes(), expected, now);
-    services.board().recordStart(target.upstream(), call.resultBytes());
-    services.sending().recordSent(target.upstream());
+    target.callStarted(call.resultBytes(), expected, now);
+    context.loads().recordStart(target.upstream(), call.resultBytes());
+    context.sendingRule().recordSent(target.upstream());
     List<CallItem> items =
         chosen.stream()
-            .map(p -> new CallItem(p.group().group(), p.index(), p.group().leftMillis(now)))
+            .map(p -> new CallItem(p.group().group(), p.index(), p.group().remainingMillis(now)))
             .toList();
     CancellableCall running =
-        services
+        context
             .caller()
-            .call(
-                target.upstream(), services.protocol().encodeCall(target.upstream(), items), call);
-    long limit = (long) (expected * LIMIT_FACTOR) + LIMIT_EXTRA_MILLIS;
-    loop.schedule(() -> giveUp(call, running), limit, TimeUnit.MILLISECONDS);
+            .call(target.upstream(), context.protocol().encodeCall(target.upstream(), items), call);
+    long limit = (long) (expected * TIMEOUT_FACTOR) + TIMEOUT_EXTRA_MILLIS;
+    loop.schedule(() -> timeOut(call, running), limit, TimeUnit.MILLISECONDS);
     return true;
   }
 
-  private static void giveUp(BatchCall call, CancellableCall running) {
-    if (!call.isOver()) {
+  private static void timeOut(BatchCall call, CancellableCall running) {
+    if (!call.isFinished()) {
       running.cancel();
-      call.timedOut();
+      call.onTimeout();
     }
   }
 
   @Override
-  public void sent(BatchCall call) {
+  public void onCallSent(BatchCall call) {
     double fixed = call.target().expectedMillis(call.limits(), 0);
-    long fetched = (long) (fixed * FETCHING_PART_OF_CALL);
-    loop.schedule(call::inputsTaken, fetched, TimeUnit.MILLISECONDS);
+    long fetched = (long) (fixed * INPUT_FETCH_SHARE);
+    loop.schedule(call::inputsFetched, fetched, TimeUnit.MILLISECONDS);
   }
 
   @Override
-  public void answered(BatchCall call, int status, byte[] body) {
-    ended(call);
+  public void onCallAnswered(BatchCall call, int status, byte[] body) {
+    recordCallEnd(call);
     if (status == HTTP_OK) {
-      services
+      context
           .protocol()
           .decodeAnswer(body, call.pieces().size())
-          .peek(results -> take(call, results))
-          .peekLeft(why -> tryAgain(call, true, why));
+          .peek(results -> handleResults(call, results))
+          .peekLeft(why -> retry(call, true, why));
     } else if (status == HTTP_UNAVAILABLE) {
-      pauseFull(call);
-      tryAgain(call, true, "full");
+      pauseFullUpstream(call);
+      retry(call, true, "full");
     } else {
-      services.board().recordFailure(call.target().upstream(), false, "status " + status);
-      tryAgain(call, true, "status " + status);
+      context.loads().recordFailure(call.target().upstream(), false, "status " + status);
+      retry(call, true, "status " + status);
     }
     dispatch();
   }
 
   @Override
-  public void failed(BatchCall call, Optional<CallFailure> failure) {
-    ended(call);
+  public void onCallFailed(BatchCall call, Optional<CallFailure> failure) {
+    recordCallEnd(call);
     boolean sent = failure.map(CallFailure::isRequestSent).orElse(true);
     String why = failure.map(CallFailure::name).orElse("no answer in time");
     if (failure.filter(CallFailure.NO_CONNECTION_FREE::equals).isPresent()) {
-      pauseFull(call);
+      pauseFullUpstream(call);
     } else if (failure.map(CallFailure::isUpstreamFault).orElse(true)) {
-      services.board().recordFailure(call.target().upstream(), !sent || failure.isEmpty(), why);
+      context.loads().recordFailure(call.target().upstream(), !sent || failure.isEmpty(), why);
     }
     if (failure.filter(CallFailure.BROKEN::equals).isPresent()) {
-      broken.look(call, () -> tryAgainAndDispatch(call, sent, why));
+      crashCheck.check(call, () -> retryAndDispatch(call, sent, why));
     } else {
-      tryAgainAndDispatch(call, sent, why);
+      retryAndDispatch(call, sent, why);
     }
   }
 
-  private void tryAgainAndDispatch(BatchCall call, boolean sent, String why) {
-    tryAgain(call, sent, why);
+  private void retryAndDispatch(BatchCall call, boolean sent, String why) {
+    retry(call, sent, why);
     dispatch();
   }
 
   /** What keeps an upstream full is calls, of which one ends within the time of a call. */
-  private void pauseFull(BatchCall call) {
-    long millis = (long) (call.limits().expectedMillis(1) * FULL_PART_OF_CALL);
-    services.board().avoidFor(call.target().upstream(), millis);
+  private void pauseFullUpstream(BatchCall call) {
+    long millis = (long) (call.limits().expectedMillis(1) * FULL_PAUSE_SHARE);
+    context.loads().avoidFor(call.target().upstream(), millis);
   }
 
-  private void ended(BatchCall call) {
-    call.tell(services.events(), service, waiting.size(), services.clock().nanos());
-    call.target().ended(call.resultBytes());
-    services.board().recordEnd(call.target().upstream(), call.resultBytes());
+  private void recordCallEnd(BatchCall call) {
+    call.writeEvent(context.events(), service, waiting.size(), context.clock().nanos());
+    call.target().callEnded(call.resultBytes());
+    context.loads().recordEnd(call.target().upstream(), call.resultBytes());
   }
 
-  private void take(BatchCall call, List<PieceResult> results) {
-    double millis = (services.clock().nanos() - call.startNanos()) / 1e6;
+  private void handleResults(BatchCall call, List<PieceResult> results) {
+    double millis = (context.clock().nanos() - call.startNanos()) / 1e6;
     BatchLimits limits = call.limits();
     if (results.stream().allMatch(result -> result.kind() == PieceResult.Kind.MADE)) {
-      call.target().measured(millis / limits.expectedMillis(call.pieces().size()));
+      call.target().recordSlowdown(millis / limits.expectedMillis(call.pieces().size()));
     }
-    services.board().recordSuccess(call.target().upstream(), millis);
+    context.loads().recordSuccess(call.target().upstream(), millis);
     for (int i = 0; i < results.size(); i++) {
-      take(call, call.pieces().get(i), results.get(i), limits);
+      handleResults(call, call.pieces().get(i), results.get(i), limits);
     }
   }
 
-  private void take(BatchCall call, StagePiece piece, PieceResult result, BatchLimits limits) {
+  private void handleResults(
+      BatchCall call, StagePiece piece, PieceResult result, BatchLimits limits) {
     UpstreamRecord upstream = call.target().upstream();
     switch (result.kind()) {
-      case MADE -> made(piece, result.handle().orElseThrow(), upstream, limits);
-      case LATE -> end(piece.group(), StageOutcome.LATE);
-      case GONE -> end(piece.group(), StageOutcome.GONE);
+      case MADE -> completePiece(piece, result.handle().orElseThrow(), upstream, limits);
+      case LATE -> endGroup(piece.group(), StageOutcome.LATE);
+      case GONE -> endGroup(piece.group(), StageOutcome.GONE);
       case NO_ROOM -> {
-        held.full(upstream.incarnationId());
-        tryAgain(List.of(piece), true, "no room", upstream);
+        resultMemory.markFull(upstream.incarnationId());
+        retry(List.of(piece), true, "no room", upstream);
       }
-      case ERROR -> tryAgain(List.of(piece), true, "error", upstream);
+      case ERROR -> retry(List.of(piece), true, "error", upstream);
       default -> throw new IllegalStateException("unknown result " + result.kind());
     }
   }
 
-  private void made(StagePiece piece, String handle, UpstreamRecord upstream, BatchLimits limits) {
+  private void completePiece(
+      StagePiece piece, String handle, UpstreamRecord upstream, BatchLimits limits) {
     GroupInProgress group = piece.group();
-    if (group.isOver()) {
-      services.free(List.of(handle));
+    if (group.hasEnded()) {
+      context.release(List.of(handle));
       return;
     }
-    held.add(handle, upstream.incarnationId(), group.group().resultBytes(), limits.resultMillis());
-    group.made(piece.index(), handle);
+    resultMemory.add(
+        handle, upstream.incarnationId(), group.group().resultBytes(), limits.retentionMillis());
+    group.pieceCompleted(piece.index(), handle);
   }
 
-  private void tryAgain(BatchCall call, boolean sent, String why) {
-    tryAgain(call.pieces(), sent, why, call.target().upstream());
+  private void retry(BatchCall call, boolean sent, String why) {
+    retry(call.pieces(), sent, why, call.target().upstream());
   }
 
-  private void tryAgain(List<StagePiece> pieces, boolean sent, String why, UpstreamRecord from) {
+  private void retry(List<StagePiece> pieces, boolean sent, String why, UpstreamRecord from) {
     pieces.stream()
         .map(StagePiece::group)
-        .filter(group -> group.endedUpstreams() >= Quarantine.CRASHES_TO_QUARANTINE)
-        .forEach(group -> end(group, StageOutcome.FAILED));
-    List<StagePiece> wanted = pieces.stream().filter(piece -> !piece.group().isOver()).toList();
-    if (retries.allowed(wanted, sent, why, from)) {
+        .filter(group -> group.crashCount() >= Quarantine.CRASHES_TO_QUARANTINE)
+        .forEach(group -> endGroup(group, StageOutcome.FAILED));
+    List<StagePiece> wanted = pieces.stream().filter(piece -> !piece.group().hasEnded()).toList();
+    if (retries.tryAcquire(wanted, sent, why, from)) {
       waiting.addAll(wanted);
     } else {
-      wanted.forEach(piece -> end(piece.group(), StageOutcome.FAILED));
+      wanted.forEach(piece -> endGroup(piece.group(), StageOutcome.FAILED));
     }
   }
 
-  private void end(GroupInProgress group, StageOutcome outcome) {
-    services.free(group.leftOver());
+  private void endGroup(GroupInProgress group, StageOutcome outcome) {
+    context.release(group.unusedHandles());
     group.fail(outcome, backlogMillis(group.group().priority()));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstream.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstream.java
@@ -6,12 +6,12 @@
 /** One upstream that makes pieces, as the box that calls it sees it. Confined to the event loop. */
 final class BatchUpstream {
 
-  private static final double SMOOTHING = 0.4;
+  private static final double SMOOTHING_FACTOR = 0.4;
 
   private final UpstreamRecord upstream;
   private int calls;
   private long reservedBytes;
-  private double slowness = 1;
+  private double slowdown = 1;
   private long freeAtNanos;
 
   BatchUpstream(UpstreamRecord upstream) {
@@ -22,8 +22,8 @@
     return upstream;
   }
 
-  boolean free(BatchLimits limits) {
-    return calls < limits.calls();
+  boolean hasFreeSlot(BatchLimits limits) {
+    return calls < limits.maxConcurrentCalls();
   }
 
   long reservedBytes() {
@@ -31,28 +31,28 @@
   }
 
   double expectedMillis(BatchLimits limits, int items) {
-    return limits.expectedMillis(items) * slowness;
+    return limits.expectedMillis(items) * slowdown;
   }
 
   /** Returns about when a call that waits for this upstream would end, from now. */
-  double doneAfterMillis(BatchLimits limits, int items, long nowNanos) {
-    double wait = free(limits) ? 0 : Math.max(0, (freeAtNanos - nowNanos) / 1e6);
+  double millisUntilCompletion(BatchLimits limits, int items, long nowNanos) {
+    double wait = hasFreeSlot(limits) ? 0 : Math.max(0, (freeAtNanos - nowNanos) / 1e6);
     return wait + expectedMillis(limits, items);
   }
 
-  void started(long bytes, double millis, long nowNanos) {
+  void callStarted(long bytes, double millis, long nowNanos) {
     calls++;
     reservedBytes += bytes;
     freeAtNanos = nowNanos + (long) (millis * 1e6);
   }
 
-  void ended(long bytes) {
+  void callEnded(long bytes) {
     calls--;
     reservedBytes -= bytes;
   }
 
   /** Takes in how a call's time compares with what the configuration says. */
-  void measured(double ratio) {
-    slowness += SMOOTHING * (ratio - slowness);
+  void recordSlowdown(double ratio) {
+    slowdown += SMOOTHING_FACTOR * (ratio - slowdown);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
@@ -12,49 +12,49 @@
 /** The upstreams of one service and which of them to call next. Confined to the event loop. */
 final class BatchUpstreams {
 
-  private static final double SLOW_EXCUSE = 1.15;
+  private static final double SLOWDOWN_TOLERANCE = 1.15;
 
   /**
    * Results are told with about their size, and what a box knows of room that others gave up lags
    * by a call, so that a little is left. With 0.85 eight results fitted where there is room for
    * ten, and room is what binds under load; pieces that find none rose from 6.2 to 7.5 of 1,000.
    */
-  private static final double ROOM_USED = 0.97;
+  private static final double USABLE_MEMORY_SHARE = 0.97;
 
-  private static final double HURRY_CALLS = 2;
-  private static final double MILLIS_OF_SECOND = 1e3;
+  private static final double URGENT_CALLS = 2;
+  private static final double MILLIS_PER_SECOND = 1e3;
 
   /** Each call's results are given up by a release or so, which counts as a request too. */
-  private static final double CALLS_OF_REQUESTS = 0.5;
+  private static final double CALLS_PER_REQUEST = 0.5;
 
   private final String service;
-  private final BatchServices services;
-  private final HeldResults held;
-  private final Map<String, BatchUpstream> byStart = new HashMap<>();
+  private final BatchContext context;
+  private final ResultMemory resultMemory;
+  private final Map<String, BatchUpstream> byIncarnation = new HashMap<>();
 
-  BatchUpstreams(String service, BatchServices services, HeldResults held) {
+  BatchUpstreams(String service, BatchContext services, ResultMemory held) {
     this.service = service;
-    this.services = services;
-    this.held = held;
+    this.context = services;
+    this.resultMemory = held;
   }
 
   /**
    * Returns the upstreams that are free and have room, fastest first; one so slow that waiting for
    * another would be faster is left out.
    */
-  List<BatchUpstream> worthCalling(BatchLimits limits, int items, long now) {
+  List<BatchUpstream> candidates(BatchLimits limits, int items, long now) {
     List<BatchUpstream> known =
-        usable().stream().filter(each -> roomBytes(each, limits) > 0).toList();
+        usable().stream().filter(each -> freeBytes(each, limits) > 0).toList();
     double soonest =
         known.stream()
-            .mapToDouble(each -> doneAfterMillis(each, limits, items, now))
+            .mapToDouble(each -> millisUntilCompletion(each, limits, items, now))
             .min()
             .orElse(0);
     Comparator<BatchUpstream> fastest =
         Comparator.comparingDouble(each -> each.expectedMillis(limits, items));
     return known.stream()
-        .filter(each -> free(each, limits) && services.sending().admits(each.upstream()))
-        .filter(each -> each.expectedMillis(limits, items) <= soonest * SLOW_EXCUSE)
+        .filter(each -> hasFreeSlot(each, limits) && context.sendingRule().admits(each.upstream()))
+        .filter(each -> each.expectedMillis(limits, items) <= soonest * SLOWDOWN_TOLERANCE)
         .sorted(fastest.thenComparingLong(this::occupiedBytes))
         .toList();
   }
@@ -65,29 +65,33 @@
     if (known.isEmpty()) {
       return Double.MAX_VALUE;
     }
-    double fullCalls = Math.ceil((double) pieces / limits.itemsPerCall());
-    double work = fullCalls * limits.callMillis() + pieces * limits.itemMillis();
+    double fullCalls = Math.ceil((double) pieces / limits.maxItemsPerCall());
+    double work = fullCalls * limits.fixedCallMillis() + pieces * limits.millisPerItem();
     double soonestFree =
-        known.stream().mapToDouble(each -> doneAfterMillis(each, limits, 0, now)).min().orElse(0)
+        known.stream()
+                .mapToDouble(each -> millisUntilCompletion(each, limits, 0, now))
+                .min()
+                .orElse(0)
             - limits.expectedMillis(0);
     double slowness =
         known.stream().mapToDouble(each -> each.expectedMillis(limits, 1)).average().orElse(0)
             / limits.expectedMillis(1);
-    return Math.max(0, soonestFree) + work * slowness / wholeUpstreams(known, limits);
+    return Math.max(0, soonestFree) + work * slowness / effectiveUpstreams(known, limits);
   }
 
   /** Returns the time of all upstreams together that a piece takes in full calls. */
-  double secondsOfPiece(BatchLimits limits) {
-    int most = limits.itemsPerCall();
-    double each = limits.expectedMillis(most) / most / MILLIS_OF_SECOND;
-    return each / Math.max(1, wholeUpstreams(usable(), limits));
+  double secondsPerPiece(BatchLimits limits) {
+    int most = limits.maxItemsPerCall();
+    double each = limits.expectedMillis(most) / most / MILLIS_PER_SECOND;
+    return each / Math.max(1, effectiveUpstreams(usable(), limits));
   }
 
   /** Returns about when a call would end, from now, also where its upstream names a limit. */
-  private double doneAfterMillis(BatchUpstream each, BatchLimits limits, int items, long now) {
-    double turn = services.sending().millisUntilAdmitted(each.upstream(), 0);
+  private double millisUntilCompletion(
+      BatchUpstream each, BatchLimits limits, int items, long now) {
+    double turn = context.sendingRule().millisUntilAdmitted(each.upstream(), 0);
     return Math.max(
-        each.doneAfterMillis(limits, items, now), turn + each.expectedMillis(limits, items));
+        each.millisUntilCompletion(limits, items, now), turn + each.expectedMillis(limits, items));
   }
 
   /**
@@ -95,34 +99,34 @@
    * than it could make counts for a part. Where none takes any now, all count, as the wait for the
    * first of them is counted besides.
    */
-  private double wholeUpstreams(List<BatchUpstream> known, BatchLimits limits) {
-    double whole = wholeNow(known, limits);
+  private double effectiveUpstreams(List<BatchUpstream> known, BatchLimits limits) {
+    double whole = effectiveUpstreamsNow(known, limits);
     return whole > 0 ? whole : known.size();
   }
 
-  private double wholeNow(List<BatchUpstream> known, BatchLimits limits) {
+  private double effectiveUpstreamsNow(List<BatchUpstream> known, BatchLimits limits) {
     return known.stream()
         .mapToDouble(
             each -> {
               double calls =
-                  services.sending().requestsPerSecond(each.upstream()) * CALLS_OF_REQUESTS;
-              double full = each.expectedMillis(limits, limits.itemsPerCall());
-              return Math.min(1, calls * full / MILLIS_OF_SECOND);
+                  context.sendingRule().requestsPerSecond(each.upstream()) * CALLS_PER_REQUEST;
+              double full = each.expectedMillis(limits, limits.maxItemsPerCall());
+              return Math.min(1, calls * full / MILLIS_PER_SECOND);
             })
         .sum();
   }
 
   /** Returns the room for results that an upstream has left. */
-  long roomBytes(BatchUpstream target, BatchLimits limits) {
-    return held.isFull(target.upstream().incarnationId())
+  long freeBytes(BatchUpstream target, BatchLimits limits) {
+    return resultMemory.isFull(target.upstream().incarnationId())
         ? 0
-        : (long) (limits.roomBytes() * ROOM_USED) - occupiedBytes(target);
+        : (long) (limits.memoryBytes() * USABLE_MEMORY_SHARE) - occupiedBytes(target);
   }
 
   /** Another box may still be calling the upstream, as it did this work until a moment ago. */
-  private boolean free(BatchUpstream target, BatchLimits limits) {
-    int others = services.board().inFlightAtPeers(target.upstream());
-    return target.free(limits) && others < limits.calls();
+  private boolean hasFreeSlot(BatchUpstream target, BatchLimits limits) {
+    int others = context.loads().inFlightAtPeers(target.upstream());
+    return target.hasFreeSlot(limits) && others < limits.maxConcurrentCalls();
   }
 
   /**
@@ -130,29 +134,31 @@
    * that their inputs lie in or their results are wanted in (delay scheduling), unless they are in
    * a hurry.
    */
-  Predicate<GroupInProgress> suiting(BatchUpstream target, BatchLimits limits, long now) {
+  Predicate<GroupInProgress> eligibility(BatchUpstream target, BatchLimits limits, long now) {
     Set<String> zones =
         usable().stream().map(each -> each.upstream().zone()).collect(Collectors.toSet());
-    double hurryMillis = limits.expectedMillis(1) * HURRY_CALLS;
+    double hurryMillis = limits.expectedMillis(1) * URGENT_CALLS;
     return group ->
         group.zone().isEmpty()
             || group.zone().equals(target.upstream().zone())
-            || group.waitedMillis(now) >= group.patienceMillis()
-            || !group.inTimeAfter(hurryMillis, now)
+            || group.waitedMillis(now) >= group.localityWaitMillis()
+            || !group.meetsTargetAfter(hurryMillis, now)
             || !zones.contains(group.zone());
   }
 
   private long occupiedBytes(BatchUpstream target) {
-    return held.bytesAt(target.upstream().incarnationId())
+    return resultMemory.bytesAt(target.upstream().incarnationId())
         + target.reservedBytes()
-        + services.board().memoryAtPeers(target.upstream());
+        + context.loads().memoryAtPeers(target.upstream());
   }
 
   private List<BatchUpstream> usable() {
-    byStart.values().removeIf(each -> !services.upstreams().isUsable(each.upstream()));
-    return services.board().preferred(services.upstreams().usable(service)).stream()
+    byIncarnation.values().removeIf(each -> !context.upstreams().isUsable(each.upstream()));
+    return context.loads().preferred(context.upstreams().usable(service)).stream()
         .map(
-            each -> byStart.computeIfAbsent(each.incarnationId(), start -> new BatchUpstream(each)))
+            each ->
+                byIncarnation.computeIfAbsent(
+                    each.incarnationId(), start -> new BatchUpstream(each)))
         .toList();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BrokenCalls.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/CrashCheck.java
@@ -9,35 +9,35 @@
  * Looks, before the pieces of a call that was lost are made again, whether the upstream has ended
  * under them. Confined to the event loop.
  */
-final class BrokenCalls {
+final class CrashCheck {
 
   /**
    * An upstream that has ended refuses a connection at once, within the way there and back; what is
    * still silent then is not waited for.
    */
-  private static final long PATIENCE_MILLIS = 60;
+  private static final long TIMEOUT_MILLIS = 60;
 
-  private final LivenessChecker ends;
+  private final LivenessChecker livenessChecks;
   private final EventLoop loop;
 
-  BrokenCalls(LivenessChecker ends, EventLoop loop) {
-    this.ends = ends;
+  CrashCheck(LivenessChecker ends, EventLoop loop) {
+    this.livenessChecks = ends;
     this.loop = loop;
   }
 
   /** Looks, and runs what follows once. */
-  void look(BatchCall call, Runnable then) {
+  void check(BatchCall call, Runnable then) {
     Once following = new Once(then);
-    ends.check(
+    livenessChecks.check(
         call.target().upstream(),
         proof -> {
           if (proof == LivenessResult.REFUSED) {
             String start = call.target().upstream().incarnationId();
-            call.pieces().forEach(piece -> piece.group().upstreamEnded(start));
+            call.pieces().forEach(piece -> piece.group().recordCrash(start));
           }
           following.run();
         });
-    loop.schedule(following, PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(following, TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** An action that is run by whoever comes first. */
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/DelayedLook.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/DelayedRecheck.java
@@ -4,18 +4,18 @@
 import java.util.concurrent.TimeUnit;
 
 /** Looks at a queue again a little later, once however often that is asked for meanwhile. */
-final class DelayedLook {
+final class DelayedRecheck {
 
   /** A small part of a call's time, within which an upstream may have become free unheard. */
   private static final long DELAY_MILLIS = 25;
 
   private final EventLoop loop;
-  private final Runnable look;
+  private final Runnable action;
   private boolean scheduled;
 
-  DelayedLook(EventLoop loop, Runnable look) {
+  DelayedRecheck(EventLoop loop, Runnable look) {
     this.loop = loop;
-    this.look = look;
+    this.action = look;
   }
 
   void schedule() {
@@ -27,6 +27,6 @@
 
   private void run() {
     scheduled = false;
-    look.run();
+    action.run();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/GroupInProgress.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/GroupInProgress.java
@@ -11,9 +11,9 @@
 /** A group whose pieces are being made. Confined to the event loop. */
 final class GroupInProgress {
 
-  private static final long PRIORITY_NANOS = 400_000_000L;
-  private static final long WORTH_WAITING_BYTES = 200_000;
-  private static final double PATIENCE = 0.35;
+  private static final long NANOS_PER_PRIORITY = 400_000_000L;
+  private static final long MIN_LOCALITY_BYTES = 200_000;
+  private static final double LOCALITY_WAIT_SHARE = 0.35;
 
   private final StageGroup group;
   private String zone;
@@ -21,13 +21,13 @@
   private final String box;
   private final StageWorkListener listener;
   private final long dueNanos;
-  private final long endNanos;
+  private final long expiryNanos;
   private final @Nullable String[] handles;
   private long lastCallNanos;
-  private int missing;
-  private final BitSet withInputs = new BitSet();
-  private final Set<String> endedUpstreams = new LinkedHashSet<>();
-  private boolean over;
+  private int unfinished;
+  private final BitSet piecesWithInputs = new BitSet();
+  private final Set<String> crashedUpstreams = new LinkedHashSet<>();
+  private boolean ended;
 
   GroupInProgress(
       StageGroup group, String zone, String box, long nowNanos, StageWorkListener listener) {
@@ -38,9 +38,9 @@
     this.box = box;
     this.listener = listener;
     this.dueNanos = nowNanos + group.dueMillis() * 1_000_000;
-    this.endNanos = nowNanos + group.remainingMillis() * 1_000_000;
+    this.expiryNanos = nowNanos + group.remainingMillis() * 1_000_000;
     this.handles = new String[group.pieces()];
-    this.missing = group.pieces();
+    this.unfinished = group.pieces();
   }
 
   StageGroup group() {
@@ -53,17 +53,17 @@
   }
 
   /** Notes that an upstream ended while it made a piece. */
-  void upstreamEnded(String start) {
-    endedUpstreams.add(start);
+  void recordCrash(String start) {
+    crashedUpstreams.add(start);
   }
 
   /** Returns how many upstreams have ended while they made pieces. */
-  int endedUpstreams() {
-    return endedUpstreams.size();
+  int crashCount() {
+    return crashedUpstreams.size();
   }
 
   /** Notes when and where a piece is made, so that the others are made nearby. */
-  void called(String firstZone, long nowNanos) {
+  void recordCall(String firstZone, long nowNanos) {
     lastCallNanos = nowNanos;
     if (zone.isEmpty()) {
       zone = firstZone;
@@ -74,81 +74,81 @@
    * Returns how long the pieces may wait for an upstream of the zone: a part of the time there is,
    * where many bytes would cross zones otherwise.
    */
-  long patienceMillis() {
+  long localityWaitMillis() {
     long bytes = group.pieces() * Math.max(group.inputBytes(), group.resultBytes());
-    return bytes < WORTH_WAITING_BYTES ? 0 : (long) (group.dueMillis() * PATIENCE);
+    return bytes < MIN_LOCALITY_BYTES ? 0 : (long) (group.dueMillis() * LOCALITY_WAIT_SHARE);
   }
 
   long waitedMillis(long nowNanos) {
     return (nowNanos - startNanos) / 1_000_000;
   }
 
-  boolean isOver() {
-    return over;
+  boolean hasEnded() {
+    return ended;
   }
 
-  long leftMillis(long nowNanos) {
-    return (endNanos - nowNanos) / 1_000_000;
+  long remainingMillis(long nowNanos) {
+    return (expiryNanos - nowNanos) / 1_000_000;
   }
 
   /** Returns whether the request is better given up than kept waiting any longer. */
-  boolean waitedTooLong(long nowNanos) {
+  boolean hasExceededWait(long nowNanos) {
     return waitedMillis(nowNanos) > group.waitMillis();
   }
 
   /** Returns whether results that come after so many milliseconds are still in time. */
-  boolean inTimeAfter(double millis, long nowNanos) {
+  boolean meetsTargetAfter(double millis, long nowNanos) {
     return nowNanos + (long) (millis * 1e6) <= dueNanos;
   }
 
   /** Returns the moment by which groups are put in order; a less urgent one counts as due later. */
-  long orderNanos() {
-    return dueNanos + group.priority() * PRIORITY_NANOS;
+  long sortKeyNanos() {
+    return dueNanos + group.priority() * NANOS_PER_PRIORITY;
   }
 
   /** Notes that an upstream has fetched the inputs for a piece. */
-  void inputsTaken(int index) {
+  void inputsFetched(int index) {
     boolean hadAll = hasAllInputs();
-    withInputs.set(index);
-    if (!over && !hadAll && hasAllInputs() && !group.inputs().isEmpty()) {
-      listener.inputsTaken();
+    piecesWithInputs.set(index);
+    if (!ended && !hadAll && hasAllInputs() && !group.inputs().isEmpty()) {
+      listener.onInputsFetched();
     }
   }
 
   private boolean hasAllInputs() {
-    return withInputs.cardinality() == group.pieces();
+    return piecesWithInputs.cardinality() == group.pieces();
   }
 
-  void made(int index, String handle) {
+  void pieceCompleted(int index, String handle) {
     handles[index] = handle;
-    missing--;
-    if (missing == 0 && !over) {
+    unfinished--;
+    if (unfinished == 0 && !ended) {
       end(StageOutcome.MADE, Arrays.stream(handles).map(Objects::requireNonNull).toList(), 0);
     }
-    inputsTaken(index);
+    inputsFetched(index);
   }
 
   void fail(StageOutcome outcome, long comeBackMillis) {
-    if (!over) {
+    if (!ended) {
       end(outcome, List.of(), comeBackMillis);
     }
   }
 
   /** Ends without telling anybody. */
   void cancel() {
-    over = true;
+    ended = true;
   }
 
   /** Returns the results that exist although nobody wants them any more. */
-  List<String> leftOver() {
+  List<String> unusedHandles() {
     return Arrays.stream(handles).filter(Objects::nonNull).map(Objects::requireNonNull).toList();
   }
 
   private void end(StageOutcome outcome, List<String> made, long comeBackMillis) {
-    over = true;
+    ended = true;
     long waited = Math.max(0, lastCallNanos - startNanos) / 1_000_000;
-    listener.ended(
+    listener.onEnd(
         new StageGroupResult(
-            outcome, made, box, comeBackMillis, waited, List.copyOf(endedUpstreams)));
+            outcome, made, box, comeBackMillis, waited, List.copyOf(crashedUpstreams)));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/PiecesToCome.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/PendingPieces.java
@@ -14,17 +14,18 @@
  *
  * @since 0.2
  */
-public final class PiecesToCome {
+public final class PendingPieces {
 
   /** Priorities that are told apart; less urgent ones count as the last. */
-  static final int PRIORITIES = Urgency.LEVELS;
+  static final int PRIORITY_LEVELS = Urgency.LEVELS;
 
-  private final Map<String, long[]> own = new HashMap<>();
-  private final Map<String, Map<String, List<Long>>> toldByBox = new HashMap<>();
+  private final Map<String, long[]> ownCounts = new HashMap<>();
+  private final Map<String, Map<String, List<Long>>> countsByPeer = new HashMap<>();
 
   /** Adds pieces that a request of this box will want made. */
   public void add(String service, int priority, int pieces) {
-    own.computeIfAbsent(service, name -> new long[PRIORITIES])[level(priority)] += pieces;
+    ownCounts.computeIfAbsent(service, name -> new long[PRIORITY_LEVELS])[level(priority)] +=
+        pieces;
   }
 
   /** Takes pieces out that are waiting at their service now, or are not wanted any more. */
@@ -36,14 +37,14 @@
    * Returns the pieces to come of this box's requests, by service and priority; priorities after
    * the last one with any are left out, as heartbeats of many boxes carry these lists.
    */
-  public Map<String, List<Long>> own() {
+  public Map<String, List<Long>> ownCounts() {
     Map<String, List<Long>> counts = new HashMap<>();
-    own.forEach((service, pieces) -> putIfAny(counts, service, pieces));
+    ownCounts.forEach((service, pieces) -> putIfAny(counts, service, pieces));
     return counts;
   }
 
   private static void putIfAny(Map<String, List<Long>> counts, String service, long[] pieces) {
-    int levels = PRIORITIES;
+    int levels = PRIORITY_LEVELS;
     while (levels > 0 && pieces[levels - 1] == 0) {
       levels--;
     }
@@ -53,23 +54,23 @@
   }
 
   /** Takes the place of what a peer told of its own requests before. */
-  public void told(String box, Map<String, List<Long>> counts) {
-    toldByBox.put(box, counts);
+  public void setPeerCounts(String box, Map<String, List<Long>> counts) {
+    countsByPeer.put(box, counts);
   }
 
   /** Forgets what a peer told. */
-  public void forget(String box) {
-    toldByBox.remove(box);
+  public void removePeer(String box) {
+    countsByPeer.remove(box);
   }
 
   /** Returns how many pieces as urgent as a priority or more are on their way to a service. */
   long total(String service, int priority) {
     long ofPeers =
-        toldByBox.values().stream()
+        countsByPeer.values().stream()
             .map(counts -> counts.getOrDefault(service, List.of()))
             .mapToLong(counts -> sum(counts, priority))
             .sum();
-    long[] ofOwn = own.getOrDefault(service, new long[PRIORITIES]);
+    long[] ofOwn = ownCounts.getOrDefault(service, new long[PRIORITY_LEVELS]);
     return ofPeers + Arrays.stream(ofOwn, 0, level(priority) + 1).sum();
   }
 
@@ -79,6 +80,6 @@
   }
 
   private static int level(int priority) {
-    return Math.max(0, Math.min(priority, PRIORITIES - 1));
+    return Math.max(0, Math.min(priority, PRIORITY_LEVELS - 1));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/PieceRetries.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/PieceRetries.java
@@ -8,19 +8,19 @@
 final class PieceRetries {
 
   private final String service;
-  private final BatchServices services;
+  private final BatchContext context;
 
-  PieceRetries(String service, BatchServices services) {
+  PieceRetries(String service, BatchContext services) {
     this.service = service;
-    this.services = services;
+    this.context = services;
   }
 
   /**
    * Returns whether pieces may be made again; what reached an upstream draws on the retry budget.
    */
-  boolean allowed(List<StagePiece> pieces, boolean sent, String why, UpstreamRecord from) {
-    boolean allowed = !sent || services.budget().trySpend(service, pieces.size());
-    services
+  boolean tryAcquire(List<StagePiece> pieces, boolean sent, String why, UpstreamRecord from) {
+    boolean allowed = !sent || context.retryBudget().trySpend(service, pieces.size());
+    context
         .events()
         .problem("pieces-failed")
         .with("service", service)
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
@@ -9,19 +9,19 @@
 final class QueueForecast {
 
   /** More urgent arrivals come in bursts; a rate of the moment never stops all others for good. */
-  private static final double LEAST_LEFT = 0.15;
+  private static final double MIN_REMAINING_SHARE = 0.15;
 
   private final String service;
-  private final BatchServices services;
+  private final BatchContext context;
   private final WaitingPieces waiting;
   private final BatchUpstreams upstreams;
   private final ArrivalRates arrivals;
 
   QueueForecast(
-      String service, BatchServices services, WaitingPieces waiting, BatchUpstreams upstreams) {
+      String service, BatchContext services, WaitingPieces waiting, BatchUpstreams upstreams) {
     this.arrivals = new ArrivalRates(services.clock());
     this.service = service;
-    this.services = services;
+    this.context = services;
     this.waiting = waiting;
     this.upstreams = upstreams;
   }
@@ -30,15 +30,16 @@
    * Returns whether a request that has cost nothing yet would come too late behind what waits, so
    * that it is better told now when to come back.
    */
-  boolean firstAndTooLate(GroupInProgress group, BatchLimits limits) {
+  boolean isUnreachableFirstGroup(GroupInProgress group, BatchLimits limits) {
     if (!group.group().first()) {
       return false;
     }
-    long now = services.clock().nanos();
-    long ahead = waiting.aheadOf(group, limits.expectedMillis(1), now);
-    double own = limits.expectedMillis(Math.min(group.group().pieces(), limits.itemsPerCall()));
+    long now = context.clock().nanos();
+    long ahead = waiting.countAhead(group, limits.expectedMillis(1), now);
+    double own = limits.expectedMillis(Math.min(group.group().pieces(), limits.maxItemsPerCall()));
     double wait = upstreams.backlogMillis(limits, ahead, now);
-    return !group.inTimeAfter(wait / leftFor(group.group().priority(), limits) + own, now);
+    return !group.meetsTargetAfter(
+        wait / remainingShare(group.group().priority(), limits) + own, now);
   }
 
   /**
@@ -46,20 +47,20 @@
    * urgent as a priority or more, keep the upstreams busy.
    */
   long backlogMillis(int priority) {
-    return services.limits(service).map(limits -> backlogMillis(limits, priority)).orElse(0L);
+    return context.limits(service).map(limits -> backlogMillis(limits, priority)).orElse(0L);
   }
 
   private long backlogMillis(BatchLimits limits, int priority) {
-    long now = services.clock().nanos();
+    long now = context.clock().nanos();
     long pieces =
-        waiting.inTime(priority, limits.expectedMillis(1), now)
-            + services.toCome().total(service, priority);
-    return (long) (upstreams.backlogMillis(limits, pieces, now) / leftFor(priority, limits));
+        waiting.countInTime(priority, limits.expectedMillis(1), now)
+            + context.pendingPieces().total(service, priority);
+    return (long) (upstreams.backlogMillis(limits, pieces, now) / remainingShare(priority, limits));
   }
 
   /** Counts pieces that have just been handed to the service. */
-  void arrived(StageGroup group) {
-    arrivals.arrived(group.priority(), group.pieces());
+  void recordArrival(StageGroup group) {
+    arrivals.recordArrivals(group.priority(), group.pieces());
   }
 
   /**
@@ -67,8 +68,8 @@
    * priority: while it waits, more urgent pieces go on arriving and go before it (the wait of a
    * priority queue, as A. Cobham gave it in 1954).
    */
-  private double leftFor(int priority, BatchLimits limits) {
-    double taken = arrivals.perSecondBefore(priority) * upstreams.secondsOfPiece(limits);
-    return Math.max(LEAST_LEFT, 1 - taken);
+  private double remainingShare(int priority, BatchLimits limits) {
+    double taken = arrivals.ratePerSecondAbove(priority) * upstreams.secondsPerPiece(limits);
+    return Math.max(MIN_REMAINING_SHARE, 1 - taken);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultRelease.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
@@ -23,27 +23,27 @@
  * Gives up results at the upstreams that hold them, many in one call. A call that fails is not
  * repeated: the upstream forgets results by itself. Confined to the event loop.
  */
-final class ResultRelease {
+final class ResultReleaser {
 
-  private static final long GATHER_MILLIS = 8;
+  private static final long COLLECTION_MILLIS = 8;
 
   /** As long as calls wait for an upstream that names a limit: a few times a turn of it. */
-  private static final long HELD_OFF_MILLIS = 100;
+  private static final long DEFERRAL_MILLIS = 100;
 
   /** Some times longer than results are kept that nobody gives up. */
-  private static final double MOST_HELD_OFF_MILLIS = 30_000;
+  private static final double MAX_DEFERRAL_MILLIS = 30_000;
 
   private final EventLoop loop;
   private final UpstreamCaller caller;
   private final UpstreamRegistry upstreams;
   private final StageProtocol protocol;
-  private final SendLimiter sending;
-  private final Function<String, Optional<String>> makerOf;
+  private final SendLimiter sendingRule;
+  private final Function<String, Optional<String>> incarnationOf;
   private final Consumer<Collection<String>> onReleased;
-  private final Gathered fresh = new Gathered(GATHER_MILLIS);
-  private final Gathered heldOff = new Gathered(HELD_OFF_MILLIS);
+  private final CollectedHandles pending = new CollectedHandles(COLLECTION_MILLIS);
+  private final CollectedHandles deferred = new CollectedHandles(DEFERRAL_MILLIS);
 
-  ResultRelease(
+  ResultReleaser(
       EventLoop loop,
       UpstreamCaller caller,
       UpstreamRegistry upstreams,
@@ -55,28 +55,28 @@
     this.caller = caller;
     this.upstreams = upstreams;
     this.protocol = protocol;
-    this.sending = sending;
-    this.makerOf = makerOf;
+    this.sendingRule = sending;
+    this.incarnationOf = makerOf;
     this.onReleased = onReleased;
   }
 
   void release(List<String> handles) {
-    handles.forEach(handle -> fresh.add(protocol.addressOf(handle), List.of(handle)));
+    handles.forEach(handle -> pending.add(protocol.addressOf(handle), List.of(handle)));
   }
 
   /** Handles that go together once a while has passed since the first of them came. */
-  private final class Gathered {
+  private final class CollectedHandles {
 
-    private final long millis;
+    private final long delayMillis;
     private final Map<String, List<String>> byAddress = new HashMap<>();
 
-    Gathered(long millis) {
-      this.millis = millis;
+    CollectedHandles(long millis) {
+      this.delayMillis = millis;
     }
 
     void add(String address, List<String> handles) {
       if (byAddress.isEmpty()) {
-        loop.schedule(this::flush, millis, TimeUnit.MILLISECONDS);
+        loop.schedule(this::flush, delayMillis, TimeUnit.MILLISECONDS);
       }
       byAddress.computeIfAbsent(address, first -> new ArrayList<>()).addAll(handles);
     }
@@ -97,17 +97,19 @@
    * the upstream takes it only after a long time, it has forgotten the results by then.
    */
   private void send(UpstreamRecord upstream, List<String> handles) {
-    if (sending.admits(upstream)) {
-      call(upstream, heldBy(upstream, handles));
-    } else if (sending.millisUntilAdmitted(upstream, 0) <= MOST_HELD_OFF_MILLIS) {
-      heldOff.add(upstream.address(), handles);
+    if (sendingRule.admits(upstream)) {
+      call(upstream, keepStoredAt(upstream, handles));
+    } else if (sendingRule.millisUntilAdmitted(upstream, 0) <= MAX_DEFERRAL_MILLIS) {
+      deferred.add(upstream.address(), handles);
     }
   }
 
   /** A result is lost with the start of the upstream that made it: the next one holds nothing. */
-  private List<String> heldBy(UpstreamRecord upstream, List<String> handles) {
+  private List<String> keepStoredAt(UpstreamRecord upstream, List<String> handles) {
     return handles.stream()
-        .filter(handle -> makerOf.apply(handle).map(upstream.incarnationId()::equals).orElse(true))
+        .filter(
+            handle ->
+                incarnationOf.apply(handle).map(upstream.incarnationId()::equals).orElse(true))
         .toList();
   }
 
@@ -115,16 +117,16 @@
     if (handles.isEmpty()) {
       return;
     }
-    sending.recordSent(upstream);
-    caller.call(upstream, protocol.encodeFree(upstream, handles), new Release(handles));
+    sendingRule.recordSent(upstream);
+    caller.call(upstream, protocol.encodeRelease(upstream, handles), new ReleaseListener(handles));
   }
 
   /** Tells of the room only once the upstream has answered, since only then it is there. */
-  private final class Release implements CallListener {
+  private final class ReleaseListener implements CallListener {
 
     private final List<String> handles;
 
-    Release(List<String> handles) {
+    ReleaseListener(List<String> handles) {
       this.handles = handles;
     }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageProtocol.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageProtocol.java
@@ -19,7 +19,7 @@
   Either<String, List<PieceResult>> decodeAnswer(byte[] body, int items);
 
   /** Returns the request that gives results up. */
-  OutgoingRequest encodeFree(UpstreamRecord target, List<String> handles);
+  OutgoingRequest encodeRelease(UpstreamRecord target, List<String> handles);
 
   /** Returns the address of the upstream that holds a result. */
   String addressOf(String handle);
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageWorkClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageWorkClient.java
@@ -32,5 +32,5 @@
   void cancel(String service, String requestId);
 
   /** Gives results up that were made for a service. */
-  void free(String service, List<String> handles);
+  void release(String service, List<String> handles);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/StageWorkListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/StageWorkListener.java
@@ -9,12 +9,12 @@
 public interface StageWorkListener {
 
   /** The work ended; called once, unless the group was cancelled. */
-  void ended(StageGroupResult result);
+  void onEnd(StageGroupResult result);
 
   /**
    * Upstreams have fetched the inputs of all pieces, so that they can be given up. Called at most
    * once, before the end; an input that was given up too early comes back as {@link
    * StageOutcome#GONE}.
    */
-  default void inputsTaken() {}
+  default void onInputsFetched() {}
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/WaitingPieces.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/WaitingPieces.java
@@ -34,10 +34,10 @@
   }
 
   /** Returns how many pieces go before those of a group; a call takes so many milliseconds. */
-  long aheadOf(GroupInProgress group, double callMillis, long now) {
+  long countAhead(GroupInProgress group, double callMillis, long now) {
     return pieces.stream()
-        .filter(piece -> piece.group().inTimeAfter(callMillis, now))
-        .filter(piece -> piece.group().orderNanos() <= group.orderNanos())
+        .filter(piece -> piece.group().meetsTargetAfter(callMillis, now))
+        .filter(piece -> piece.group().sortKeyNanos() <= group.sortKeyNanos())
         .count();
   }
 
@@ -45,10 +45,10 @@
    * Returns how many pieces can still be in time and are as urgent as a priority or more; a call
    * takes so many milliseconds.
    */
-  long inTime(int priority, double callMillis, long now) {
+  long countInTime(int priority, double callMillis, long now) {
     return pieces.stream()
         .filter(piece -> piece.group().group().priority() <= priority)
-        .filter(piece -> piece.group().inTimeAfter(callMillis, now))
+        .filter(piece -> piece.group().meetsTargetAfter(callMillis, now))
         .count();
   }
 
@@ -57,31 +57,32 @@
     pieces.stream()
         .filter(piece -> piece.group().group().requestId().equals(requestId))
         .forEach(piece -> piece.group().cancel());
-    pieces.removeIf(piece -> piece.group().isOver());
+    pieces.removeIf(piece -> piece.group().hasEnded());
   }
 
   /** Takes out the groups that are better given up; a call takes at least so many milliseconds. */
-  Set<GroupInProgress> takeLate(double shortestMillis, long now) {
+  Set<GroupInProgress> removeExpired(double shortestMillis, long now) {
     Set<GroupInProgress> late =
         pieces.stream()
             .map(StagePiece::group)
-            .filter(group -> !group.isOver())
-            .filter(group -> group.leftMillis(now) < shortestMillis || group.waitedTooLong(now))
+            .filter(group -> !group.hasEnded())
+            .filter(
+                group -> group.remainingMillis(now) < shortestMillis || group.hasExceededWait(now))
             .collect(Collectors.toSet());
-    pieces.removeIf(piece -> piece.group().isOver() || late.contains(piece.group()));
+    pieces.removeIf(piece -> piece.group().hasEnded() || late.contains(piece.group()));
     return late;
   }
 
   /** Pieces that can still be in time go first; those that cannot are worth little. */
   void sort(double callMillis, long now) {
     pieces.sort(
-        Comparator.comparing((StagePiece piece) -> !piece.group().inTimeAfter(callMillis, now))
-            .thenComparingLong(piece -> piece.group().orderNanos()));
+        Comparator.comparing((StagePiece piece) -> !piece.group().meetsTargetAfter(callMillis, now))
+            .thenComparingLong(piece -> piece.group().sortKeyNanos()));
   }
 
   /** Takes out the most urgent pieces that a call has place and room for. */
-  List<StagePiece> take(int most, long roomBytes, Predicate<GroupInProgress> suits) {
-    CallLoad load = new CallLoad(most, roomBytes);
+  List<StagePiece> takeBatch(int most, long roomBytes, Predicate<GroupInProgress> suits) {
+    BatchAssembler load = new BatchAssembler(most, roomBytes);
     byGroup().forEach((group, waiting) -> offer(load, group, waiting, suits));
     List<StagePiece> chosen = load.pieces();
     pieces.removeAll(Set.copyOf(chosen));
@@ -89,7 +90,7 @@
   }
 
   private static void offer(
-      CallLoad load,
+      BatchAssembler load,
       GroupInProgress group,
       List<StagePiece> waiting,
       Predicate<GroupInProgress> suits) {
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/BoxMesh.java
@@ -115,7 +115,8 @@
         MeshMessages.STAGE_CANCEL,
         (from, message) -> run(() -> coordinator.cancel(message.service(), message.requestId())));
     network.register(
-        MeshMessages.STAGE_FREE, (from, message) -> run(() -> coordinator.free(message.handles())));
+        MeshMessages.STAGE_FREE,
+        (from, message) -> run(() -> coordinator.release(message.handles())));
     backlogs = coordinator::backlogMillis;
     MeshStageWorkClient client =
         new MeshStageWorkClient(self, connections, peers, coordinator, loop, state.pendingPieces());
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshStageWorkClient.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshStageWorkClient.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import org.gradeledge.batch.BatchCoordinator;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.batch.StageGroup;
 import org.gradeledge.batch.StageGroupResult;
 import org.gradeledge.batch.StageWorkClient;
@@ -31,7 +31,7 @@
   private final PeerTable peers;
   private final BatchCoordinator localCoordinator;
   private final EventLoop loop;
-  private final PiecesToCome pendingPieces;
+  private final PendingPieces pendingPieces;
   private final DelegatedGroups delegated = new DelegatedGroups();
   private final Map<String, String> boxByHandle = new HashMap<>();
   private final Map<String, Map<String, List<Long>>> reportedBacklogs = new HashMap<>();
@@ -44,7 +44,7 @@
       PeerTable peers,
       BatchCoordinator localCoordinator,
       EventLoop loop,
-      PiecesToCome pendingPieces) {
+      PendingPieces pendingPieces) {
     this.self = self;
     this.connections = connections;
     this.peers = peers;
@@ -108,11 +108,11 @@
 
   private void onResult(DelegatedGroup delegatedGroup, StageGroupResult result) {
     if (!delegated.remove(delegatedGroup)) {
-      localCoordinator.free(result.handles());
+      localCoordinator.release(result.handles());
       return;
     }
     result.handles().forEach(handle -> boxByHandle.put(handle, result.box()));
-    delegatedGroup.listener().ended(result);
+    delegatedGroup.listener().onEnd(result);
   }
 
   private void runLocally(DelegatedGroup delegatedGroup) {
@@ -126,7 +126,7 @@
     delegated.ofRequest(message.requestId()).stream()
         .filter(delegatedGroup -> delegatedGroup.box().equals(box))
         .filter(delegatedGroup -> delegatedGroup.group().stage() == message.stage())
-        .forEach(delegatedGroup -> delegatedGroup.listener().inputsTaken());
+        .forEach(delegatedGroup -> delegatedGroup.listener().onInputsFetched());
   }
 
   /** Runs the groups locally that were delegated to a lost box. */
@@ -182,7 +182,7 @@
   }
 
   @Override
-  public void free(String service, List<String> handles) {
+  public void release(String service, List<String> handles) {
     Map<String, List<String>> byBox =
         handles.stream()
             .collect(Collectors.groupingBy(handle -> boxByHandle.getOrDefault(handle, self)));
@@ -192,7 +192,7 @@
 
   private void freeAt(String box, List<String> handles) {
     if (box.equals(self) || !peers.isAlive(box)) {
-      localCoordinator.free(handles);
+      localCoordinator.release(handles);
     } else {
       connections.send(box, MeshMessages.STAGE_FREE, new StageFree(handles));
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SharedBoxState.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.limit.UpstreamLimits;
@@ -24,7 +24,7 @@
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
     UpstreamLoads upstreamLoads,
-    PiecesToCome pendingPieces,
+    PendingPieces pendingPieces,
     Quarantine quarantine,
     UpstreamLimits limits) {
 
@@ -45,7 +45,7 @@
         List.of(),
         upstreamLoads.ownLoads(),
         backlogMillis,
-        pendingPieces.own(),
+        pendingPieces.ownCounts(),
         upstreams.evacuations(),
         quarantine.digest(),
         upstreams.listTrust().code(),
@@ -57,7 +57,7 @@
   /** Removes the state that a lost box reported. */
   void removeBox(String box) {
     upstreamLoads.setPeerLoads(box, Map.of());
-    pendingPieces.forget(box);
+    pendingPieces.removePeer(box);
   }
 
   /**
@@ -66,7 +66,7 @@
    */
   boolean applyHeartbeat(String box, Heartbeat heartbeat, long ageMillis) {
     upstreamLoads.setPeerLoads(box, heartbeat.loadShares());
-    pendingPieces.told(box, heartbeat.pendingPieces());
+    pendingPieces.setPeerCounts(box, heartbeat.pendingPieces());
     boolean limitsChanged = limits.merge(box, heartbeat.limits(), ageMillis);
     boolean leavingChanged =
         upstreams.applyPeerLeavingAnnouncements(box, heartbeat.leavingUpstreams());
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageWorkHandler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageWorkHandler.java
@@ -55,16 +55,16 @@
     }
 
     @Override
-    public void ended(StageGroupResult result) {
+    public void onEnd(StageGroupResult result) {
       if (awaited.get()) {
         sink.success(result);
       } else {
-        coordinator.free(result.handles());
+        coordinator.release(result.handles());
       }
     }
 
     @Override
-    public void inputsTaken() {
+    public void onInputsFetched() {
       connections.send(
           box,
           MeshMessages.STAGE_INPUTS_TAKEN,
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AbstractAttempt.java
@@ -9,14 +9,14 @@
 /** What attempts share: their load on the board, and answers that say "not run". */
 abstract class AbstractAttempt implements Attempt {
 
-  private static final int FIRST_FAILURE = 500;
+  private static final int FIRST_SERVER_ERROR = 500;
 
   private final RelayServices services;
   private final UpstreamRecord upstream;
   private final long tokens;
   private final long startNanos;
   private @Nullable CancellableCall call;
-  private boolean over;
+  private boolean finished;
   private boolean notRun;
 
   AbstractAttempt(RelayServices services, UpstreamRecord upstream, long tokens) {
@@ -24,20 +24,20 @@
     this.upstream = upstream;
     this.tokens = tokens;
     this.startNanos = services.clock().nanos();
-    services.board().recordStart(upstream, tokens);
+    services.loads().recordStart(upstream, tokens);
   }
 
   /** The upstream did not run the request. */
-  abstract void onNotRun(int status, HttpHeaders headers, AnswerFacts facts);
+  abstract void onNotRun(int status, HttpHeaders headers, AnswerSignals facts);
 
   /** The head of an answer that ran. */
-  abstract void onRunHead(int status, HttpHeaders headers);
+  abstract void onAnswerHead(int status, HttpHeaders headers);
 
   /** There is no whole answer, and none will come. */
-  abstract void onBroken(CallFailure failure);
+  abstract void onAnswerIncomplete(CallFailure failure);
 
   /** The answer is whole. */
-  abstract void onWhole();
+  abstract void onAnswerComplete();
 
   @Override
   public final UpstreamRecord upstream() {
@@ -45,9 +45,9 @@
   }
 
   @Override
-  public final void started(CancellableCall started) {
+  public final void setCall(CancellableCall started) {
     call = started;
-    if (over) {
+    if (finished) {
       started.cancel();
     }
   }
@@ -60,65 +60,65 @@
   }
 
   @Override
-  public final void giveUpSilent() {
+  public final void abandonAsSilent() {
     cancel();
-    services.caller().discardConnections(upstream);
-    services.board().recordFailure(upstream, true, "silent");
+    services.upstreamCaller().discardConnections(upstream);
+    services.loads().recordFailure(upstream, true, "silent");
   }
 
   @Override
   public final void onHead(int status, HttpHeaders headers) {
-    services.board().recordActivity(upstream);
+    services.loads().recordActivity(upstream);
     services.quarantine().recordAlive(upstream.incarnationId());
-    AnswerFacts facts = services.protocol().readAnswer(status, headers);
+    AnswerSignals facts = services.protocol().readAnswer(status, headers);
     notRun = facts.notRun();
     if (!notRun) {
-      onRunHead(status, headers);
+      onAnswerHead(status, headers);
       return;
     }
     cancel();
-    services.metrics().attempt("not_run");
+    services.metrics().attemptEnded("not_run");
     onNotRun(status, headers, facts);
   }
 
   @Override
   public final void onComplete() {
     if (finish()) {
-      services.metrics().attempt("answered");
-      onWhole();
+      services.metrics().attemptEnded("answered");
+      onAnswerComplete();
     }
   }
 
   @Override
   public final void onFailure(CallFailure failure) {
     if (finish()) {
-      services.metrics().attempt(failure.isRequestSent() ? "broken" : "not_sent");
-      noteFailure(failure);
-      onBroken(failure);
+      services.metrics().attemptEnded(failure.isRequestSent() ? "broken" : "not_sent");
+      recordFailure(failure);
+      onAnswerIncomplete(failure);
     }
   }
 
-  private void noteFailure(CallFailure failure) {
+  private void recordFailure(CallFailure failure) {
     if (failure.isUpstreamFault()) {
       boolean certain = failure == CallFailure.NOT_CONNECTED;
-      services.board().recordFailure(upstream, certain, failure.name());
+      services.loads().recordFailure(upstream, certain, failure.name());
     }
   }
 
   /** Notes on the board how the answer's status speaks of the upstream. */
-  final void noteStatus(int status) {
-    if (status >= FIRST_FAILURE) {
-      services.board().recordFailure(upstream, false, "status " + status);
+  final void recordStatus(int status) {
+    if (status >= FIRST_SERVER_ERROR) {
+      services.loads().recordFailure(upstream, false, "status " + status);
     } else {
-      services.board().recordSuccess(upstream, (services.clock().nanos() - startNanos) / 1e6);
+      services.loads().recordSuccess(upstream, (services.clock().nanos() - startNanos) / 1e6);
     }
   }
 
-  final boolean isOver() {
-    return over;
+  final boolean isFinished() {
+    return finished;
   }
 
-  final long runningMillis() {
+  final long elapsedMillis() {
     return (services.clock().nanos() - startNanos) / 1_000_000;
   }
 
@@ -127,11 +127,11 @@
   }
 
   private boolean finish() {
-    if (over) {
+    if (finished) {
       return false;
     }
-    over = true;
-    services.board().recordEnd(upstream, tokens);
+    finished = true;
+    services.loads().recordEnd(upstream, tokens);
     return true;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
@@ -22,11 +22,11 @@
 
   /** Returns the service that runs it. */
   String service() {
-    return route.serviceFor(request.id().hashCode());
+    return route.selectService(request.id().hashCode());
   }
 
   /** Returns after how many milliseconds its answer is worth nothing. */
-  long limitMillis() {
+  long timeoutMillis() {
     return Math.min(request.deadlineMillis().orElse(Long.MAX_VALUE), route.timeoutMillis());
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/Attempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/Attempt.java
@@ -11,7 +11,7 @@
   UpstreamRecord upstream();
 
   /** Tells how to give the call up. */
-  void started(CancellableCall call);
+  void setCall(CancellableCall call);
 
   /** Gives the call up. */
   void cancel();
@@ -20,7 +20,7 @@
    * Gives the call up as nothing came on its connection for too long: none of that age is used
    * again, and the upstream is avoided for a while.
    */
-  void giveUpSilent();
+  void abandonAsSilent();
 
   /** Returns an attempt of the kind that the route's answers need. */
   static Attempt create(
@@ -29,7 +29,7 @@
       AdmittedRequest admitted,
       AttemptListener listener) {
     return admitted.route().repeatability().streaming()
-        ? new StreamAttempt(services, upstream, admitted.request().tokens(), listener)
+        ? new StreamAttempt(services, upstream, admitted.request().maxTokens(), listener)
         : new WholeAnswerAttempt(services, upstream, listener);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/SendHistory.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptHistory.java
@@ -6,49 +6,49 @@
  * How often one request was sent to upstreams, how many of them may have run it, and what follows
  * for sending it again. Confined to the event loop.
  */
-final class SendHistory {
+final class AttemptHistory {
 
   /** Attempts that were turned away count too, so that a request does not visit every upstream. */
-  private static final int MOST_SENDS = 4;
+  private static final int MAX_SENDS = 4;
 
-  private static final int FIRST_FAILURE = 500;
+  private static final int FIRST_SERVER_ERROR = 500;
 
   private final RouteDefinition route;
-  private int sends;
-  private int runs;
+  private int sendCount;
+  private int possibleRuns;
 
-  SendHistory(RouteDefinition route) {
+  AttemptHistory(RouteDefinition route) {
     this.route = route;
   }
 
   /** Counts one more attempt; returns its number, from 1. */
-  int sent() {
-    sends++;
-    return sends;
+  int recordSent() {
+    sendCount++;
+    return sendCount;
   }
 
   /** Counts an attempt that failed in such a way that the upstream may have run the request. */
-  void mayHaveRun() {
-    runs++;
+  void recordPossibleRun() {
+    possibleRuns++;
   }
 
   /** Returns whether any upstream may have run the request. */
-  boolean maybeRan() {
-    return runs > 0;
+  boolean hasPossiblyRun() {
+    return possibleRuns > 0;
   }
 
   /** Returns whether another upstream may run the request while one more may have run it. */
   boolean mayRunAgain() {
-    return route.repeatability().repeatable() && runs + 1 < route.maxAttempts();
+    return route.repeatability().repeatable() && possibleRuns + 1 < route.maxAttempts();
   }
 
   /** Returns whether an answer with a status may give way to one of another upstream. */
-  boolean mayReplace(int status) {
-    return status >= FIRST_FAILURE && mayRunAgain() && !exhausted();
+  boolean mayReplaceAnswer(int status) {
+    return status >= FIRST_SERVER_ERROR && mayRunAgain() && !isExhausted();
   }
 
   /** Returns whether the request was sent as often as it may be. */
-  boolean exhausted() {
-    return sends >= MOST_SENDS;
+  boolean isExhausted() {
+    return sendCount >= MAX_SENDS;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptListener.java
@@ -11,7 +11,7 @@
   void sent(Attempt attempt);
 
   /** The upstream did not run the request. */
-  void notRun(Attempt attempt, int status, HttpHeaders headers, AnswerFacts facts);
+  void notRun(Attempt attempt, int status, HttpHeaders headers, AnswerSignals facts);
 
   /** There is no whole answer. */
   void failed(Attempt attempt, CallFailure failure);
@@ -20,7 +20,7 @@
   void answered(Attempt attempt, int status, HttpHeaders headers, ByteBuf body);
 
   /** Whole events have arrived; takes over the reference. */
-  void events(StreamAttempt attempt, ByteBuf events);
+  void eventsReceived(StreamAttempt attempt, ByteBuf events);
 
   /** The stream has ended after its last event. */
   void streamEnded(StreamAttempt attempt);
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptWatch.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptWatchdog.java
@@ -13,21 +13,21 @@
  *
  * <p>Confined to the event loop.
  */
-final class AttemptWatch {
+final class AttemptWatchdog {
 
   /** Several times the longest pause that engines make between two events of a stream. */
-  private static final long STREAM_SILENT_MILLIS = 1_500;
+  private static final long STREAM_SILENCE_TIMEOUT_MILLIS = 1_500;
 
   /** What is silent and cannot be given up now is looked at again after this. */
-  private static final long AGAIN_MILLIS = 100;
+  private static final long REPEAT_MILLIS = 100;
 
   /** Of the time that a request has left, so that as much is left for another upstream. */
-  private static final double PART_OF_TIME = 0.5;
+  private static final double SHARE_OF_REMAINING_TIME = 0.5;
 
   private final EventLoop loop;
   private final LongSupplier millisUntilSilent;
   private final Runnable onSilent;
-  private Future<?> looking;
+  private Future<?> scheduledCheck;
   private boolean stopped;
 
   /**
@@ -36,15 +36,15 @@
    * @param millisUntilSilent how much longer nothing may come; 0 or less once that has passed
    * @param onSilent called again and again while the upstream is not expected to answer any more
    */
-  AttemptWatch(EventLoop loop, LongSupplier millisUntilSilent, Runnable onSilent) {
+  AttemptWatchdog(EventLoop loop, LongSupplier millisUntilSilent, Runnable onSilent) {
     this.loop = loop;
     this.millisUntilSilent = millisUntilSilent;
     this.onSilent = onSilent;
-    this.looking = lookAfter(millisUntilSilent.getAsLong());
+    this.scheduledCheck = scheduleCheck(millisUntilSilent.getAsLong());
   }
 
   /** Watches an attempt by what the route's answers are expected to be like. */
-  static AttemptWatch of(
+  static AttemptWatchdog forAttempt(
       RelayServices services,
       RouteDefinition route,
       RequestClock clock,
@@ -52,39 +52,39 @@
       Runnable onSilent) {
     LongSupplier left =
         route.repeatability().streaming()
-            ? streamTime(services, (StreamAttempt) attempt)
-            : answerTime(clock);
-    return new AttemptWatch(services.loop(), left, onSilent);
+            ? streamTimeLeft(services, (StreamAttempt) attempt)
+            : answerTimeLeft(clock);
+    return new AttemptWatchdog(services.eventLoop(), left, onSilent);
   }
 
-  private static LongSupplier streamTime(RelayServices services, StreamAttempt stream) {
+  private static LongSupplier streamTimeLeft(RelayServices services, StreamAttempt stream) {
     return () ->
-        STREAM_SILENT_MILLIS
-            - Math.min(stream.silentMillis(), services.board().silentMillis(stream.upstream()));
+        STREAM_SILENCE_TIMEOUT_MILLIS
+            - Math.min(stream.silentMillis(), services.loads().silentMillis(stream.upstream()));
   }
 
-  private static LongSupplier answerTime(RequestClock clock) {
-    long end = clock.elapsedMillis() + (long) (clock.leftMillis() * PART_OF_TIME);
+  private static LongSupplier answerTimeLeft(RequestClock clock) {
+    long end = clock.elapsedMillis() + (long) (clock.remainingMillis() * SHARE_OF_REMAINING_TIME);
     return () -> end - clock.elapsedMillis();
   }
 
   /** Stops to look. */
   void stop() {
     stopped = true;
-    looking.cancel(false);
+    scheduledCheck.cancel(false);
   }
 
-  private void look() {
+  private void check() {
     long left = millisUntilSilent.getAsLong();
     if (left <= 0) {
       onSilent.run();
     }
     if (!stopped) {
-      looking = lookAfter(left <= 0 ? AGAIN_MILLIS : left);
+      scheduledCheck = scheduleCheck(left <= 0 ? REPEAT_MILLIS : left);
     }
   }
 
-  private Future<?> lookAfter(long millis) {
-    return loop.schedule(this::look, Math.max(1, millis), TimeUnit.MILLISECONDS);
+  private Future<?> scheduleCheck(long millis) {
+    return loop.schedule(this::check, Math.max(1, millis), TimeUnit.MILLISECONDS);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/CallerResponse.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/CallerResponse.java
@@ -25,7 +25,7 @@
   void beginStream(int status, HttpHeaders headers);
 
   /** Passes a part of the stream on and takes over its reference. */
-  void part(ByteBuf events);
+  void sendEvents(ByteBuf events);
 
   /** Ends the stream as complete. */
   void endStream();
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/DispatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/DispatchQueue.java
@@ -18,17 +18,17 @@
 final class DispatchQueue {
 
   /** A small part of the time that a limited upstream takes between two requests of a box. */
-  private static final long LOOK_MILLIS = 20;
+  private static final long POLL_INTERVAL_MILLIS = 20;
 
   /** One request in the queue. */
-  static final class Place {
+  static final class QueuedRequest {
 
     private final String service;
     private final int priority;
     private final Runnable dispatch;
     private boolean waiting;
 
-    Place(String service, int priority, Runnable dispatch) {
+    QueuedRequest(String service, int priority, Runnable dispatch) {
       this.service = service;
       this.priority = priority;
       this.dispatch = dispatch;
@@ -36,7 +36,7 @@
   }
 
   private final EventLoop loop;
-  private final Map<String, Set<Place>> byService = new HashMap<>();
+  private final Map<String, Set<QueuedRequest>> requestsByService = new HashMap<>();
   private boolean scheduled;
 
   DispatchQueue(EventLoop loop) {
@@ -44,20 +44,20 @@
   }
 
   /** Adds a request that will want an upstream later. */
-  void expect(Place place) {
-    byService.computeIfAbsent(place.service, service -> new LinkedHashSet<>()).add(place);
+  void add(QueuedRequest place) {
+    requestsByService.computeIfAbsent(place.service, service -> new LinkedHashSet<>()).add(place);
   }
 
   /** Lets a request wait; it is dispatched when it may be its turn, as often as it waits again. */
-  void await(Place place) {
-    expect(place);
+  void addWaiting(QueuedRequest place) {
+    add(place);
     place.waiting = true;
-    schedule();
+    schedulePoll();
   }
 
   /** Takes a request out that was sent or has ended. */
-  void remove(Place place) {
-    byService.computeIfPresent(
+  void remove(QueuedRequest place) {
+    requestsByService.computeIfPresent(
         place.service,
         (service, places) -> {
           places.remove(place);
@@ -66,17 +66,17 @@
   }
 
   /** Returns how many other requests for the same service are before one. */
-  long ahead(Place place) {
-    return before(place).count();
+  long countAhead(QueuedRequest place) {
+    return requestsAhead(place).count();
   }
 
   /** Returns how many others before one wait for an upstream already. */
-  long waitingAhead(Place place) {
-    return before(place).filter(each -> each.waiting).count();
+  long countWaitingAhead(QueuedRequest place) {
+    return requestsAhead(place).filter(each -> each.waiting).count();
   }
 
-  private Stream<Place> before(Place place) {
-    Set<Place> places = byService.getOrDefault(place.service, Set.of());
+  private Stream<QueuedRequest> requestsAhead(QueuedRequest place) {
+    Set<QueuedRequest> places = requestsByService.getOrDefault(place.service, Set.of());
     return Stream.concat(
         places.stream().filter(each -> each.priority < place.priority),
         places.stream()
@@ -84,34 +84,34 @@
             .filter(each -> each.priority == place.priority));
   }
 
-  private void schedule() {
+  private void schedulePoll() {
     if (!scheduled) {
       scheduled = true;
-      loop.schedule(this::look, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void look() {
+  private void poll() {
     scheduled = false;
-    Set.copyOf(byService.keySet()).forEach(this::dispatch);
+    Set.copyOf(requestsByService.keySet()).forEach(this::dispatch);
   }
 
   /** Dispatches as long as the request whose turn it is does not have to wait again. */
   private void dispatch(String service) {
-    Optional<Place> next = next(service);
+    Optional<QueuedRequest> next = nextWaiting(service);
     while (next.isPresent()) {
-      Place place = next.get();
+      QueuedRequest place = next.get();
       place.waiting = false;
       place.dispatch.run();
       if (place.waiting) {
         return;
       }
-      next = next(service);
+      next = nextWaiting(service);
     }
   }
 
-  private Optional<Place> next(String service) {
-    return byService.getOrDefault(service, Set.of()).stream()
+  private Optional<QueuedRequest> nextWaiting(String service) {
+    return requestsByService.getOrDefault(service, Set.of()).stream()
         .filter(place -> place.waiting)
         .min(Comparator.comparingInt(place -> place.priority));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/EventFramer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/EventFramer.java
@@ -12,7 +12,7 @@
  */
 final class EventFramer {
 
-  private static final int MOST_PENDING_BYTES = 1024 * 1024;
+  private static final int MAX_PENDING_BYTES = 1024 * 1024;
   private static final String ID_FIELD = "id:";
 
   private ByteBuf pending = Unpooled.EMPTY_BUFFER;
@@ -23,16 +23,16 @@
    *
    * @throws IllegalStateException if one event grows without end
    */
-  ByteBuf take(ByteBuf bytes) {
+  ByteBuf append(ByteBuf bytes) {
     ByteBuf all = pending.isReadable() ? Unpooled.copiedBuffer(pending, bytes) : bytes.copy();
-    int end = endOfLastEvent(all);
+    int end = lengthOfWholeEvents(all);
     ByteBuf whole = all.readRetainedSlice(end);
     pending = all.isReadable() ? Unpooled.copiedBuffer(all) : Unpooled.EMPTY_BUFFER;
     all.release();
-    if (pending.readableBytes() > MOST_PENDING_BYTES) {
+    if (pending.readableBytes() > MAX_PENDING_BYTES) {
       throw new IllegalStateException("an event has no end after " + pending.readableBytes());
     }
-    noteId(whole);
+    recordLastId(whole);
     return whole;
   }
 
@@ -42,7 +42,7 @@
   }
 
   /** Returns whether the stream stands between two events. */
-  boolean atBoundary() {
+  boolean isAtEventBoundary() {
     return !pending.isReadable();
   }
 
@@ -51,22 +51,22 @@
     pending = Unpooled.EMPTY_BUFFER;
   }
 
-  private static int endOfLastEvent(ByteBuf bytes) {
+  private static int lengthOfWholeEvents(ByteBuf bytes) {
     int from = bytes.readerIndex();
     for (int i = bytes.writerIndex() - 1; i > from; i--) {
-      if (bytes.getByte(i) == '\n' && endsBlankLine(bytes, i, from)) {
+      if (bytes.getByte(i) == '\n' && isBlankLineEnd(bytes, i, from)) {
         return i + 1 - from;
       }
     }
     return 0;
   }
 
-  private static boolean endsBlankLine(ByteBuf bytes, int newline, int from) {
+  private static boolean isBlankLineEnd(ByteBuf bytes, int newline, int from) {
     int before = bytes.getByte(newline - 1) == '\r' ? newline - 2 : newline - 1;
     return before >= from && bytes.getByte(before) == '\n';
   }
 
-  private void noteId(ByteBuf events) {
+  private void recordLastId(ByteBuf events) {
     if (!events.isReadable()) {
       return;
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeParts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeContext.java
@@ -14,30 +14,31 @@
  * @param clock its times
  * @param outcome its answer
  * @param candidates the upstreams it may go to
- * @param plan its stage work
+ * @param stagePlan its stage work
  * @param inputs results of that
  * @param queue requests that have not been sent yet
  */
-record ExchangeParts(
+record ExchangeContext(
     RelayServices services,
     AdmittedRequest admitted,
     RequestClock clock,
     ExchangeOutcome outcome,
     UpstreamCandidates candidates,
-    StagePlan plan,
+    StagePlan stagePlan,
     RequestInputs inputs,
     DispatchQueue queue) {
 
-  static ExchangeParts of(
+  static ExchangeContext create(
       RelayServices services,
       AdmittedRequest admitted,
       FirstEventTimes firstEvents,
-      InputRelease inputRelease,
+      InputReleasePolicy inputRelease,
       DispatchQueue queue,
       CallerResponse response) {
     String service = admitted.service();
     RequestClock clock =
-        new RequestClock(services.clock(), admitted.limitMillis(), admitted.route().targetMillis());
+        new RequestClock(
+            services.clock(), admitted.timeoutMillis(), admitted.route().targetLatencyMillis());
     StageTimeline timeline = new StageTimeline(clock);
     UpstreamCandidates candidates = new UpstreamCandidates(services, service, admitted.request());
     StagePlan plan =
@@ -45,13 +46,13 @@
             admitted.request(),
             admitted.deployment(),
             admitted.route(),
-            services.stages(),
+            services.stageWorkClient(),
             clock,
             admitted.priority(),
             candidates.likelyZone(),
-            firstEvents.usualMillis(admitted.route().name()),
+            firstEvents.meanMillis(admitted.route().name()),
             timeline);
-    return new ExchangeParts(
+    return new ExchangeContext(
         services,
         admitted,
         clock,
@@ -64,20 +65,23 @@
 
   /** Counts the request for the retry budgets of all services that it needs. */
   void countRequest() {
-    services.budget().requested(admitted.service());
-    admitted.route().stages().forEach(stage -> services.budget().requested(stage.service()));
+    services.retryBudget().recordRequest(admitted.service());
+    admitted
+        .route()
+        .stages()
+        .forEach(stage -> services.retryBudget().recordRequest(stage.service()));
   }
 
   /** Returns whether the retry budget allows to send the request again, and counts that. */
-  boolean mayRepeat() {
-    return services.budget().trySpend(admitted.service());
+  boolean trySpendRetry() {
+    return services.retryBudget().trySpend(admitted.service());
   }
 
   /** Returns the request as it goes to an upstream, after what was passed on of its answer. */
-  OutgoingRequest outgoing(UpstreamRecord upstream, Optional<String> passedOn) {
-    AttemptFacts facts =
-        new AttemptFacts(
-            clock.leftMillis(),
+  OutgoingRequest outgoingRequest(UpstreamRecord upstream, Optional<String> passedOn) {
+    ForwardingContext facts =
+        new ForwardingContext(
+            clock.remainingMillis(),
             admitted.account().map(ClientAccount::name),
             admitted.priority(),
             inputs.handles(),
@@ -86,6 +90,6 @@
         admitted.route().repeatability().repeatable()
             ? ConnectionReuse.ANY
             : ConnectionReuse.RECENT;
-    return services.protocol().encode(admitted.request(), upstream, facts, reuse);
+    return services.protocol().encodeRequest(admitted.request(), upstream, facts, reuse);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeTimers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeTimers.java
@@ -10,9 +10,9 @@
 
   private final EventLoop loop;
   private final RequestClock clock;
-  private Runnable onTimeUp = () -> {};
-  private @Nullable Future<?> timeUp;
-  private @Nullable AttemptWatch watch;
+  private Runnable onTimeout = () -> {};
+  private @Nullable Future<?> timeout;
+  private @Nullable AttemptWatchdog watchdog;
 
   ExchangeTimers(EventLoop loop, RequestClock clock) {
     this.loop = loop;
@@ -21,32 +21,32 @@
 
   /** Runs an action once the time of the request is up. */
   void start(Runnable action) {
-    onTimeUp = action;
-    timeUp = loop.schedule(action, clock.leftMillis(), TimeUnit.MILLISECONDS);
+    onTimeout = action;
+    timeout = loop.schedule(action, clock.remainingMillis(), TimeUnit.MILLISECONDS);
   }
 
   /** Does what is due by the true time, as timers do not count suspended time. */
-  void wokeUp() {
-    if (clock.leftMillis() == 0) {
-      onTimeUp.run();
+  void expireOverdue() {
+    if (clock.remainingMillis() == 0) {
+      onTimeout.run();
     }
   }
 
-  void watch(AttemptWatch started) {
-    watch = started;
+  void setWatchdog(AttemptWatchdog started) {
+    watchdog = started;
   }
 
-  void stopWatch() {
-    if (watch != null) {
-      watch.stop();
-      watch = null;
+  void stopWatchdog() {
+    if (watchdog != null) {
+      watchdog.stop();
+      watchdog = null;
     }
   }
 
   void stopAll() {
-    stopWatch();
-    if (timeUp != null) {
-      timeUp.cancel(false);
+    stopWatchdog();
+    if (timeout != null) {
+      timeout.cancel(false);
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/FirstEventTimes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/FirstEventTimes.java
@@ -9,18 +9,18 @@
  */
 final class FirstEventTimes {
 
-  private static final double FIRST_GUESS_MILLIS = 250;
+  private static final double INITIAL_MILLIS = 250;
   private static final double SMOOTHING = 0.1;
 
-  private final Map<String, Double> byRoute = new HashMap<>();
+  private final Map<String, Double> meanMillisByRoute = new HashMap<>();
 
   /** Takes a measurement in. */
   void observe(String route, double millis) {
-    byRoute.merge(route, millis, (mean, latest) -> mean + SMOOTHING * (latest - mean));
+    meanMillisByRoute.merge(route, millis, (mean, latest) -> mean + SMOOTHING * (latest - mean));
   }
 
   /** Returns the usual time in milliseconds, a guess where none was measured. */
-  double usualMillis(String route) {
-    return byRoute.getOrDefault(route, FIRST_GUESS_MILLIS);
+  double meanMillis(String route) {
+    return meanMillisByRoute.getOrDefault(route, INITIAL_MILLIS);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/PassedOnStream.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ForwardedStream.java
@@ -3,34 +3,34 @@
 import java.util.Optional;
 
 /** How far the stream of one answer was passed on to the caller. Confined to the event loop. */
-final class PassedOnStream {
+final class ForwardedStream {
 
   private Optional<String> lastEventId;
-  private boolean begun;
+  private boolean started;
 
   /**
    * Creates one that has not begun.
    *
    * @param resumeAfter the event after which the caller wants the stream to begin
    */
-  PassedOnStream(Optional<String> resumeAfter) {
+  ForwardedStream(Optional<String> resumeAfter) {
     this.lastEventId = resumeAfter;
   }
 
   /** Notes that events are passed on; returns whether they are the first. */
-  boolean begin() {
-    boolean first = !begun;
-    begun = true;
+  boolean start() {
+    boolean first = !started;
+    started = true;
     return first;
   }
 
   /** Returns whether the caller has got any of it. */
-  boolean hasBegun() {
-    return begun;
+  boolean isStarted() {
+    return started;
   }
 
   /** Notes the id of the last event, where it had one. */
-  void passedOn(Optional<String> id) {
+  void recordLastEventId(Optional<String> id) {
     lastEventId = id.or(() -> lastEventId);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AttemptFacts.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ForwardingContext.java
@@ -9,13 +9,13 @@
  * @param remainingMillis time left for it
  * @param account name of the client account
  * @param priority 0 is the most urgent
- * @param inputs results of the stages that come before
- * @param resumeAfter id of the last event that was passed on
+ * @param inputHandles results of the stages that come before
+ * @param lastEventId id of the last event that was passed on
  * @since 0.2
  */
-public record AttemptFacts(
+public record ForwardingContext(
     long remainingMillis,
     Optional<String> account,
     int priority,
-    List<String> inputs,
-    Optional<String> resumeAfter) {}
+    List<String> inputHandles,
+    Optional<String> lastEventId) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/InputRelease.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/InputReleasePolicy.java
@@ -15,39 +15,39 @@
  * <p>An upstream that says that inputs were gone proves the guess wrong; then inputs are kept until
  * the first event for a while. Confined to the event loop.
  */
-final class InputRelease {
+final class InputReleasePolicy {
 
   /** Ten times what a call's inputs of some 5 MB need over a link of 10,000 Mbit/s, and a hop. */
-  private static final long FETCHING_MILLIS = 80;
+  private static final long FETCH_MILLIS = 80;
 
   /** About the length of a burst, in which a busy upstream lets requests wait. */
-  private static final long CAUTIOUS_MILLIS = 5_000;
+  private static final long SUSPENSION_MILLIS = 5_000;
 
-  private static final long NANOS_OF_MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final EventLoop loop;
   private final MonotonicClock clock;
-  private final Map<String, Long> cautiousUntilNanos = new HashMap<>();
+  private final Map<String, Long> suspendedUntilNanos = new HashMap<>();
 
-  InputRelease(EventLoop loop, MonotonicClock clock) {
+  InputReleasePolicy(EventLoop loop, MonotonicClock clock) {
     this.loop = loop;
     this.clock = clock;
   }
 
   /** Runs an action once an upstream of a service that was sent a request has its inputs. */
-  void afterFetching(String service, Runnable action) {
-    if (!cautious(service)) {
-      loop.schedule(action, FETCHING_MILLIS, TimeUnit.MILLISECONDS);
+  void scheduleRelease(String service, Runnable action) {
+    if (!isSuspended(service)) {
+      loop.schedule(action, FETCH_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   /** Notes that an upstream of a service did not find the inputs of a request any more. */
-  void inputsWereGone(String service) {
-    cautiousUntilNanos.put(service, clock.nanos() + CAUTIOUS_MILLIS * NANOS_OF_MILLI);
+  void suspendEarlyRelease(String service) {
+    suspendedUntilNanos.put(service, clock.nanos() + SUSPENSION_MILLIS * NANOS_PER_MILLI);
   }
 
-  private boolean cautious(String service) {
-    Long until = cautiousUntilNanos.get(service);
+  private boolean isSuspended(String service) {
+    Long until = suspendedUntilNanos.get(service);
     return until != null && until - clock.nanos() > 0;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ReactorCallerResponse.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ReactorCallerResponse.java
@@ -16,7 +16,7 @@
 /** Hands the answer of an exchange to Reactor Netty. Confined to the event loop. */
 final class ReactorCallerResponse implements CallerResponse {
 
-  private static final List<CharSequence> OF_ONE_CONNECTION =
+  private static final List<CharSequence> HOP_BY_HOP_HEADERS =
       List.of(
           HttpHeaderNames.CONNECTION,
           "keep-alive",
@@ -25,10 +25,10 @@
           HttpHeaderNames.TE,
           HttpHeaderNames.UPGRADE,
           HttpHeaderNames.CONTENT_LENGTH);
-  private static final long MILLIS_IN_SECOND = 1_000;
+  private static final long MILLIS_PER_SECOND = 1_000;
 
   private final Sinks.One<RelayAnswer> answer = Sinks.one();
-  private final Sinks.Many<ByteBuf> parts = Sinks.many().unicast().onBackpressureBuffer();
+  private final Sinks.Many<ByteBuf> eventSink = Sinks.many().unicast().onBackpressureBuffer();
 
   /** Returns the answer, once it has begun. */
   Mono<RelayAnswer> answer() {
@@ -39,7 +39,7 @@
   public void refuse(Refusal refusal, long retryAfterMillis) {
     HttpHeaders headers = new DefaultHttpHeaders();
     if (refusal.notRun()) {
-      headers.set(HttpHeaderNames.RETRY_AFTER, seconds(Math.max(0, retryAfterMillis)));
+      headers.set(HttpHeaderNames.RETRY_AFTER, formatSeconds(Math.max(0, retryAfterMillis)));
     }
     ByteBuf words = Unpooled.copiedBuffer(refusal.explanation(), StandardCharsets.UTF_8);
     headers.set(HttpHeaderNames.CONTENT_LENGTH, words.readableBytes());
@@ -51,14 +51,14 @@
   }
 
   /** Returns seconds with all three decimals, put together by hand: a formatter is slow to load. */
-  static String seconds(long millis) {
-    String decimals = String.valueOf(MILLIS_IN_SECOND + millis % MILLIS_IN_SECOND).substring(1);
-    return millis / MILLIS_IN_SECOND + "." + decimals;
+  static String formatSeconds(long millis) {
+    String decimals = String.valueOf(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND).substring(1);
+    return millis / MILLIS_PER_SECOND + "." + decimals;
   }
 
   @Override
   public void answer(int status, HttpHeaders headers, ByteBuf body) {
-    HttpHeaders passedOn = endToEnd(headers);
+    HttpHeaders passedOn = endToEndHeaders(headers);
     passedOn.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     Flux<ByteBuf> content = body.isReadable() ? Flux.just(body) : Flux.empty();
     answer.tryEmitValue(new RelayAnswer(status, passedOn, content, false));
@@ -66,29 +66,30 @@
 
   @Override
   public void beginStream(int status, HttpHeaders headers) {
-    answer.tryEmitValue(new RelayAnswer(status, endToEnd(headers), parts.asFlux(), true));
+    answer.tryEmitValue(
+        new RelayAnswer(status, endToEndHeaders(headers), eventSink.asFlux(), true));
   }
 
   @Override
-  public void part(ByteBuf events) {
-    if (parts.tryEmitNext(events).isFailure()) {
+  public void sendEvents(ByteBuf events) {
+    if (eventSink.tryEmitNext(events).isFailure()) {
       events.release();
     }
   }
 
   @Override
   public void endStream() {
-    parts.tryEmitComplete();
+    eventSink.tryEmitComplete();
   }
 
   @Override
   public void abort() {
-    parts.tryEmitError(new IOException("the upstream broke the stream off"));
+    eventSink.tryEmitError(new IOException("the upstream broke the stream off"));
   }
 
-  private static HttpHeaders endToEnd(HttpHeaders headers) {
+  private static HttpHeaders endToEndHeaders(HttpHeaders headers) {
     HttpHeaders passedOn = new DefaultHttpHeaders().set(headers);
-    OF_ONE_CONNECTION.forEach(passedOn::remove);
+    HOP_BY_HOP_HEADERS.forEach(passedOn::remove);
     return passedOn;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayAnswer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayAnswer.java
@@ -10,6 +10,6 @@
  * @param status status code
  * @param headers its headers
  * @param body its body; an error breaks the connection off
- * @param stream whether each part is written at once
+ * @param streaming whether each part is written at once
  */
-record RelayAnswer(int status, HttpHeaders headers, Flux<ByteBuf> body, boolean stream) {}
+record RelayAnswer(int status, HttpHeaders headers, Flux<ByteBuf> body, boolean streaming) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayExchange.java
@@ -17,154 +17,157 @@
  */
 final class RelayExchange implements AttemptListener {
 
-  private static final int INPUTS_GONE = 409;
-  private static final long FULL_PAUSE_MILLIS = 200;
+  private static final int INPUTS_GONE_STATUS = 409;
+  private static final long REJECTION_PAUSE_MILLIS = 200;
 
   private final RelayServices services;
   private final RouteDefinition route;
-  private final ExchangeParts parts;
+  private final ExchangeContext context;
   private final ExchangeOutcome outcome;
-  private final StagePlan plan;
-  private final SendHistory history;
-  private final RequestStanding standing;
+  private final StagePlan stagePlan;
+  private final AttemptHistory history;
+  private final RequestQuarantine quarantine;
   private final ExchangeTimers timers;
-  private final DispatchTurn turn;
-  private final PassedOnStream stream;
-  private final Consumer<RelayExchange> onOver;
+  private final RequestDispatcher dispatcher;
+  private final ForwardedStream stream;
+  private final Consumer<RelayExchange> onFinished;
   private @Nullable Attempt attempt;
 
-  RelayExchange(ExchangeParts parts, Consumer<RelayExchange> onOver) {
+  RelayExchange(ExchangeContext parts, Consumer<RelayExchange> onOver) {
     AdmittedRequest admitted = parts.admitted();
     this.services = parts.services();
     this.route = admitted.route();
-    this.history = new SendHistory(route);
-    this.standing = new RequestStanding(services, admitted);
-    this.timers = new ExchangeTimers(services.loop(), parts.clock());
-    this.parts = parts;
-    this.turn = new DispatchTurn(parts, this::dispatch);
+    this.history = new AttemptHistory(route);
+    this.quarantine = new RequestQuarantine(services, admitted);
+    this.timers = new ExchangeTimers(services.eventLoop(), parts.clock());
+    this.context = parts;
+    this.dispatcher = new RequestDispatcher(parts, this::dispatch);
     this.outcome = parts.outcome();
-    this.plan = parts.plan();
-    this.onOver = onOver;
-    this.stream = new PassedOnStream(admitted.request().resumeAfter());
+    this.stagePlan = parts.stagePlan();
+    this.onFinished = onOver;
+    this.stream = new ForwardedStream(admitted.request().lastEventId());
   }
 
   /** A request that is held back is refused before anything is done for it. */
   void start() {
-    timers.start(this::timeUp);
-    standing.whetherItMayRun(may -> begin(may));
+    timers.start(this::onTimeout);
+    quarantine.checkMayRun(may -> proceed(may));
   }
 
-  private void begin(boolean mayRun) {
-    if (outcome.isOver()) {
+  private void proceed(boolean mayRun) {
+    if (outcome.isFinished()) {
       return;
     }
     if (!mayRun) {
-      holdBack();
+      rejectQuarantined();
       return;
     }
-    parts.countRequest();
-    if (plan.isEmpty()) {
+    context.countRequest();
+    if (stagePlan.isEmpty()) {
       dispatch();
-    } else if (turn.comesTooLate()) {
-      giveUp(Refusal.UPSTREAMS_LIMITED, "before stage work");
+    } else if (dispatcher.enqueueAndCheckLate()) {
+      fail(Refusal.UPSTREAMS_LIMITED, "before stage work");
     } else {
-      plan.start(this::stagesDone, this::stagesFailed);
+      stagePlan.start(this::stagesCompleted, this::stagesFailed);
     }
   }
 
   /** Looks whether the request is held back by now; what is under way at an upstream goes on. */
-  void quarantineChanged() {
-    if (attempt == null && !outcome.isOver() && standing.isBarred()) {
-      holdBack();
+  void rejectIfQuarantined() {
+    if (attempt == null && !outcome.isFinished() && quarantine.isQuarantined()) {
+      rejectQuarantined();
     }
   }
 
-  private void holdBack() {
-    outcome.heldBackFor(standing.heldBackMillis());
-    giveUp(Refusal.QUARANTINED, "upstreams ended under it");
+  private void rejectQuarantined() {
+    outcome.setRetryAfter(quarantine.remainingMillis());
+    fail(Refusal.QUARANTINED, "upstreams ended under it");
   }
 
   /** The caller has gone: whatever is under way for it is given up. */
-  void callerGone() {
-    if (!outcome.isOver()) {
-      outcome.callerGone();
+  void callerDisconnected() {
+    if (!outcome.isFinished()) {
+      outcome.callerDisconnected();
       release();
     }
   }
 
-  private void stagesDone(List<String> results) {
-    services.metrics().stagesDone(route.repeatability(), parts.clock().elapsedMillis());
-    outcome.stagesDone();
-    parts.inputs().made(results);
-    parts.candidates().setInputs(plan.bytesByZone());
+  private void stagesCompleted(List<String> results) {
+    services.metrics().stagesCompleted(route.repeatability(), context.clock().elapsedMillis());
+    outcome.stagesCompleted();
+    context.inputs().setHandles(results);
+    context.candidates().setInputBytes(stagePlan.bytesByZone());
     dispatch();
   }
 
   private void stagesFailed(int stage, StageGroupResult result) {
-    outcome.comeBackAfter(result.comeBackMillis());
-    standing.stagesEnded(result.endedUpstreams());
+    outcome.setJitteredRetryAfter(result.comeBackMillis());
+    quarantine.recordStageCrashes(result.endedUpstreams());
     finish(Refusal.STAGES_FAILED, "stage " + stage + " " + result.outcome());
   }
 
   private void dispatch() {
-    if (standing.isBarred()) {
-      holdBack();
+    if (quarantine.isQuarantined()) {
+      rejectQuarantined();
       return;
     }
-    turn.take(this::send, refusal -> giveUp(refusal, "all tried or held off"));
+    dispatcher.chooseUpstream(this::send, refusal -> fail(refusal, "all tried or held off"));
   }
 
   private void send(UpstreamRecord upstream) {
-    Attempt next = Attempt.create(services, upstream, parts.admitted(), this);
+    Attempt next = Attempt.create(services, upstream, context.admitted(), this);
     attempt = next;
-    outcome.sent(upstream, history.sent());
-    standing.sent();
-    next.started(
-        services.caller().call(upstream, parts.outgoing(upstream, stream.lastEventId()), next));
-    watch(next);
+    outcome.attemptSent(upstream, history.recordSent());
+    quarantine.recordSent();
+    next.setCall(
+        services
+            .upstreamCaller()
+            .call(upstream, context.outgoingRequest(upstream, stream.lastEventId()), next));
+    startWatchdog(next);
   }
 
-  private void watch(Attempt watched) {
+  private void startWatchdog(Attempt watched) {
     if (route.repeatability().repeatable()) {
-      timers.watch(
-          AttemptWatch.of(services, route, parts.clock(), watched, () -> giveUpSilent(watched)));
+      timers.setWatchdog(
+          AttemptWatchdog.forAttempt(
+              services, route, context.clock(), watched, () -> abandonIfSilent(watched)));
     }
   }
 
-  private void giveUpSilent(Attempt watched) {
+  private void abandonIfSilent(Attempt watched) {
     if (watched == attempt && history.mayRunAgain()) {
-      watched.giveUpSilent();
+      watched.abandonAsSilent();
       failed(watched, CallFailure.BROKEN);
     }
   }
 
   @Override
   public void sent(Attempt sent) {
-    parts.inputs().sent(() -> sent == attempt && !outcome.isOver());
+    context.inputs().scheduleRelease(() -> sent == attempt && !outcome.isFinished());
   }
 
   @Override
-  public void notRun(Attempt ended, int status, HttpHeaders headers, AnswerFacts facts) {
-    timers.stopWatch();
-    outcome.notRun(ended.upstream(), status);
-    if (facts.otherUpstream()) {
+  public void notRun(Attempt ended, int status, HttpHeaders headers, AnswerSignals facts) {
+    timers.stopWatchdog();
+    outcome.attemptNotRun(ended.upstream(), status);
+    if (facts.addressReused()) {
       services.upstreams().markGone(ended.upstream());
-    } else if (status == INPUTS_GONE && parts.inputs().wereGone()) {
-      remakeInputs();
+    } else if (status == INPUTS_GONE_STATUS && context.inputs().recordMissing()) {
+      recomputeInputs();
       return;
-    } else if (status == INPUTS_GONE || status < INPUTS_GONE) {
+    } else if (status == INPUTS_GONE_STATUS || status < INPUTS_GONE_STATUS) {
       finish(Refusal.STAGES_FAILED, "upstream refused with " + status);
       return;
     } else {
-      services.board().avoidFor(ended.upstream(), FULL_PAUSE_MILLIS);
+      services.loads().avoidFor(ended.upstream(), REJECTION_PAUSE_MILLIS);
     }
-    again("not run, status " + status, Refusal.UPSTREAMS_FULL, true);
+    retry("not run, status " + status, Refusal.UPSTREAMS_FULL, true);
   }
 
-  private void remakeInputs() {
-    parts.candidates().reset();
-    if (parts.mayRepeat()) {
-      plan.restart();
+  private void recomputeInputs() {
+    context.candidates().clearTried();
+    if (context.trySpendRetry()) {
+      stagePlan.restart();
     } else {
       finish(Refusal.STAGES_FAILED, "inputs gone, retry budget spent");
     }
@@ -172,33 +175,33 @@
 
   @Override
   public void failed(Attempt ended, CallFailure failure) {
-    timers.stopWatch();
-    outcome.failed(ended.upstream(), failure);
+    timers.stopWatchdog();
+    outcome.attemptFailed(ended.upstream(), failure);
     if (failure.isRequestSent()) {
       boolean mayRun = history.mayRunAgain();
-      history.mayHaveRun();
-      standing.broken(ended.upstream(), () -> brokenOff(mayRun, failure));
+      history.recordPossibleRun();
+      quarantine.connectionLost(ended.upstream(), () -> connectionLost(mayRun, failure));
     } else {
-      again(failure.name(), Refusal.UPSTREAMS_FULL, false);
+      retry(failure.name(), Refusal.UPSTREAMS_FULL, false);
     }
   }
 
-  private void brokenOff(boolean mayRunAgain, CallFailure failure) {
-    if (outcome.isOver()) {
+  private void connectionLost(boolean mayRunAgain, CallFailure failure) {
+    if (outcome.isFinished()) {
       return;
     }
     if (mayRunAgain) {
-      again(failure.name(), Refusal.BROKEN, true);
+      retry(failure.name(), Refusal.BROKEN, true);
     } else {
-      giveUp(Refusal.BROKEN, failure.name());
+      fail(Refusal.BROKEN, failure.name());
     }
   }
 
-  private void again(String why, Refusal otherwise, boolean counted) {
-    if (history.exhausted()) {
-      giveUp(otherwise, why);
-    } else if (counted && !parts.mayRepeat()) {
-      giveUp(otherwise, why + ", retry budget spent");
+  private void retry(String why, Refusal otherwise, boolean counted) {
+    if (history.isExhausted()) {
+      fail(otherwise, why);
+    } else if (counted && !context.trySpendRetry()) {
+      fail(otherwise, why + ", retry budget spent");
     } else {
       dispatch();
     }
@@ -206,18 +209,18 @@
 
   @Override
   public void answered(Attempt ended, int status, HttpHeaders headers, ByteBuf body) {
-    timers.stopWatch();
-    standing.answered();
-    if (history.mayReplace(status) && parts.mayRepeat()) {
+    timers.stopWatchdog();
+    quarantine.recordAnswered();
+    if (history.mayReplaceAnswer(status) && context.trySpendRetry()) {
       body.release();
-      history.mayHaveRun();
-      outcome.failed(ended.upstream(), CallFailure.BROKEN);
+      history.recordPossibleRun();
+      outcome.attemptFailed(ended.upstream(), CallFailure.BROKEN);
       dispatch();
       return;
     }
-    if (stream.hasBegun()) {
+    if (stream.isStarted()) {
       body.release();
-      giveUp(Refusal.BROKEN, "status " + status + " in place of the rest of a stream");
+      fail(Refusal.BROKEN, "status " + status + " in place of the rest of a stream");
     } else {
       release();
       outcome.answered(status, headers, body);
@@ -225,56 +228,56 @@
   }
 
   @Override
-  public void events(StreamAttempt source, ByteBuf events) {
-    if (stream.begin()) {
-      plan.freeAll();
+  public void eventsReceived(StreamAttempt source, ByteBuf events) {
+    if (stream.start()) {
+      stagePlan.releaseAll();
       outcome.beginStream(source.status(), source.headers());
     }
-    stream.passedOn(source.lastEventId());
-    outcome.part(events);
+    stream.recordLastEventId(source.lastEventId());
+    outcome.sendEvents(events);
   }
 
   @Override
   public void streamEnded(StreamAttempt source) {
-    standing.answered();
+    quarantine.recordAnswered();
     release();
     outcome.endStream();
   }
 
   /** Gives the request up if its time passed while no timer counted it. */
-  void wokeUp() {
-    timers.wokeUp();
+  void expireOverdue() {
+    timers.expireOverdue();
   }
 
-  private void timeUp() {
-    if (!outcome.isOver()) {
+  private void onTimeout() {
+    if (!outcome.isFinished()) {
       finish(attempt == null ? Refusal.LATE_NOT_RUN : Refusal.LATE, "time is up");
     }
   }
 
   /** The box ends soon: a request that no upstream has got by now is refused, not cut then. */
   void refuseUnsent() {
-    if (attempt == null && !outcome.isOver()) {
+    if (attempt == null && !outcome.isFinished()) {
       finish(Refusal.STOPPING, "not sent before the stop");
     }
   }
 
   /** Ends the request; where an attempt may have run, that is what the caller is told. */
-  private void giveUp(Refusal refusal, String why) {
-    turn.noteComeBack(refusal);
-    finish(history.maybeRan() && refusal.notRun() ? Refusal.BROKEN : refusal, why);
+  private void fail(Refusal refusal, String why) {
+    dispatcher.recordRetryAfter(refusal);
+    finish(history.hasPossiblyRun() && refusal.notRun() ? Refusal.BROKEN : refusal, why);
   }
 
   private void finish(Refusal refusal, String why) {
     release();
-    outcome.refuse(refusal, why, stream.hasBegun());
+    outcome.refuse(refusal, why, stream.isStarted());
   }
 
   private void release() {
-    onOver.accept(this);
-    turn.leave();
+    onFinished.accept(this);
+    dispatcher.leaveQueue();
     timers.stopAll();
     Optional.ofNullable(attempt).ifPresent(Attempt::cancel);
-    plan.cancel();
+    stagePlan.cancel();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayHandler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayHandler.java
@@ -18,28 +18,28 @@
 
   /** A request that is under way, as its connection sees it. */
   @FunctionalInterface
-  public interface Running {
+  public interface ActiveRequest {
 
     /** The caller has closed its connection. */
-    void callerGone();
+    void callerDisconnected();
   }
 
-  private static final Running ENDED = () -> {};
-  private static final long SOON_MILLIS = 250;
+  private static final ActiveRequest FINISHED = () -> {};
+  private static final long RETRY_AFTER_MILLIS = 250;
 
   private final RelayServices services;
-  private final FirstEventTimes firstEvents = new FirstEventTimes();
-  private final InputRelease inputRelease;
+  private final FirstEventTimes firstEventTimes = new FirstEventTimes();
+  private final InputReleasePolicy inputReleasePolicy;
   private final DispatchQueue queue;
-  private final Set<RelayExchange> underWay = new HashSet<>();
+  private final Set<RelayExchange> inFlight = new HashSet<>();
   private boolean stopping;
 
   /** Creates the handler. */
   public RelayHandler(RelayServices services) {
     this.services = services;
-    this.inputRelease = new InputRelease(services.loop(), services.clock());
-    this.queue = new DispatchQueue(services.loop());
-    services.quarantine().onVerdict(verdict -> holdBackWhatWaits());
+    this.inputReleasePolicy = new InputReleasePolicy(services.eventLoop(), services.clock());
+    this.queue = new DispatchQueue(services.eventLoop());
+    services.quarantine().onVerdict(verdict -> rejectQuarantined());
   }
 
   /** Refuses all requests from now on. */
@@ -49,16 +49,16 @@
 
   /** Refuses the requests under way that no upstream has got yet. */
   public void refuseUnsent() {
-    List.copyOf(underWay).forEach(RelayExchange::refuseUnsent);
+    List.copyOf(inFlight).forEach(RelayExchange::refuseUnsent);
   }
 
   /** Gives up the requests whose time passed while the machine was suspended. */
-  public void wokeUp() {
-    List.copyOf(underWay).forEach(RelayExchange::wokeUp);
+  public void expireOverdue() {
+    List.copyOf(inFlight).forEach(RelayExchange::expireOverdue);
   }
 
   /** Takes a request; the response is called on the event loop, also before this returns. */
-  public Running handle(RelayRequest request, CallerResponse response) {
+  public ActiveRequest handle(RelayRequest request, CallerResponse response) {
     Optional<Deployment> deployment = services.deployments().current();
     if (deployment.isEmpty()) {
       return refuse(request, Refusal.NO_CONFIGURATION, response);
@@ -69,34 +69,36 @@
     return handle(request, deployment.get(), response);
   }
 
-  private Running handle(RelayRequest request, Deployment deployment, CallerResponse response) {
+  private ActiveRequest handle(
+      RelayRequest request, Deployment deployment, CallerResponse response) {
     Optional<RouteDefinition> route = deployment.routes().find(request.host(), request.path());
     if (route.isEmpty()) {
       return refuse(request, Refusal.NO_ROUTE, response);
     }
     Optional<ClientAccount> account =
-        request.key().flatMap(key -> Optional.ofNullable(deployment.accounts().get(key)));
-    if (deployment.keysRequired() && !route.get().open() && account.isEmpty()) {
+        request.accountKey().flatMap(key -> Optional.ofNullable(deployment.accounts().get(key)));
+    if (deployment.keysRequired() && !route.get().publicAccess() && account.isEmpty()) {
       return refuse(request, Refusal.UNKNOWN_KEY, response);
     }
-    if (request.body().length > deployment.bounds().bodyBytes()) {
+    if (request.body().length > deployment.callerLimits().maxBodyBytes()) {
       return refuse(request, Refusal.BODY_TOO_LARGE, response);
     }
     AdmittedRequest admitted = new AdmittedRequest(request, deployment, route.get(), account);
     RelayExchange exchange =
         new RelayExchange(
-            ExchangeParts.of(services, admitted, firstEvents, inputRelease, queue, response),
-            underWay::remove);
-    underWay.add(exchange);
+            ExchangeContext.create(
+                services, admitted, firstEventTimes, inputReleasePolicy, queue, response),
+            inFlight::remove);
+    inFlight.add(exchange);
     exchange.start();
-    return exchange::callerGone;
+    return exchange::callerDisconnected;
   }
 
-  private void holdBackWhatWaits() {
-    List.copyOf(underWay).forEach(RelayExchange::quarantineChanged);
+  private void rejectQuarantined() {
+    List.copyOf(inFlight).forEach(RelayExchange::rejectIfQuarantined);
   }
 
-  private Running refuse(RelayRequest request, Refusal refusal, CallerResponse response) {
+  private ActiveRequest refuse(RelayRequest request, Refusal refusal, CallerResponse response) {
     services
         .events()
         .problem("request-refused")
@@ -106,7 +108,7 @@
         .with("why", refusal.name())
         .with("revision", services.deployments().revision())
         .write();
-    response.refuse(refusal, SOON_MILLIS);
-    return ENDED;
+    response.refuse(refusal, RETRY_AFTER_MILLIS);
+    return FINISHED;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayMetrics.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayMetrics.java
@@ -76,7 +76,7 @@
    * @param limited how many name one now
    * @param heldOff how often one was passed over so far, as nothing more may be sent there
    */
-  public void watchLimits(LongSupplier limited, LongSupplier heldOff) {
+  public void registerLimits(LongSupplier limited, LongSupplier heldOff) {
     GaugeWithCallback.builder()
         .name("gradeledge_upstreams_limited")
         .help("Upstreams that name a limit of requests now")
@@ -96,7 +96,7 @@
    * @param backingOff how many want nothing from this box now
    * @param heldOff how often one was passed over so far, as it wants nothing for a while
    */
-  public void watchSignals(LongSupplier leaving, LongSupplier backingOff, LongSupplier heldOff) {
+  public void registerSignals(LongSupplier leaving, LongSupplier backingOff, LongSupplier heldOff) {
     GaugeWithCallback.builder()
         .name("gradeledge_upstreams_announced_leaving")
         .help("Upstreams that told this box that they leave while the list does not say so")
@@ -125,23 +125,23 @@
   }
 
   /** Counts a request that ended. */
-  public void ended(Repeatability kind, String outcome, long millis) {
+  public void requestEnded(Repeatability kind, String outcome, long millis) {
     requests.labelValues(name(kind), outcome).inc();
     seconds.labelValues(name(kind)).observe(millis / 1e3);
   }
 
   /** Counts the stage work of a request. */
-  public void stagesDone(Repeatability kind, long millis) {
+  public void stagesCompleted(Repeatability kind, long millis) {
     stageSeconds.labelValues(name(kind)).observe(millis / 1e3);
   }
 
   /** Counts what came of a request that was sent to an upstream. */
-  public void attempt(String result) {
+  public void attemptEnded(String result) {
     attempts.labelValues(result).inc();
   }
 
   /** Returns all metrics in the Prometheus text format. */
-  public byte[] exposition() {
+  public byte[] scrape() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try {
       PrometheusTextFormatWriter.create().write(out, registry.scrape());
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayProtocol.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayProtocol.java
@@ -18,9 +18,9 @@
   Either<String, RelayRequest> read(HttpServerRequest request, byte[] body);
 
   /** Returns the request as it goes to an upstream. */
-  OutgoingRequest encode(
-      RelayRequest request, UpstreamRecord target, AttemptFacts facts, ConnectionReuse reuse);
+  OutgoingRequest encodeRequest(
+      RelayRequest request, UpstreamRecord target, ForwardingContext facts, ConnectionReuse reuse);
 
   /** Returns what the head of an answer tells. */
-  AnswerFacts readAnswer(int status, HttpHeaders headers);
+  AnswerSignals readAnswer(int status, HttpHeaders headers);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayRequest.java
@@ -16,11 +16,11 @@
  * @param headers all headers as they came
  * @param body the whole body
  * @param deadlineMillis how long the caller waits, where it says so
- * @param key key of a client account
- * @param resumeAfter id of the last event that the caller has of a stream
- * @param prompt parts of the prompt, shared ones first
- * @param tokens tokens of the prompt and of the longest answer together
- * @param pieces pieces of each stage
+ * @param accountKey key of a client account
+ * @param lastEventId id of the last event that the caller has of a stream
+ * @param promptParts parts of the prompt, shared ones first
+ * @param maxTokens tokens of the prompt and of the longest answer together
+ * @param pieceCounts pieces of each stage
  * @param pieceKey what the first stages work from
  * @since 0.2
  */
@@ -33,22 +33,24 @@
     HttpHeaders headers,
     byte[] body,
     Optional<Long> deadlineMillis,
-    Optional<String> key,
-    Optional<String> resumeAfter,
-    List<PromptPart> prompt,
-    long tokens,
-    List<Integer> pieces,
+    Optional<String> accountKey,
+    Optional<String> lastEventId,
+    List<PromptPart> promptParts,
+    long maxTokens,
+    List<Integer> pieceCounts,
     Optional<String> pieceKey) {
 
   /** Returns the id of the last part of the prompt that other requests share. */
-  public Optional<String> sharedPart() {
-    return prompt.size() < 2 ? Optional.empty() : Optional.of(prompt.get(prompt.size() - 2).id());
+  public Optional<String> sharedPartId() {
+    return promptParts.size() < 2
+        ? Optional.empty()
+        : Optional.of(promptParts.get(promptParts.size() - 2).id());
   }
 
   /** Returns the tokens of the prompt that other requests share. */
   public long sharedTokens() {
-    return prompt.stream()
-        .limit(Math.max(0, prompt.size() - 1))
+    return promptParts.stream()
+        .limit(Math.max(0, promptParts.size() - 1))
         .mapToLong(PromptPart::tokens)
         .sum();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServer.java
@@ -9,7 +9,7 @@
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.time.Duration;
-import org.gradeledge.deployment.CallerBounds;
+import org.gradeledge.deployment.CallerLimits;
 import org.gradeledge.deployment.Deployment;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.reactivestreams.Publisher;
@@ -28,20 +28,20 @@
  */
 public final class RelayServer {
 
-  private static final int HEADER_BYTES = 64 * 1024;
-  private static final long BODY_BYTES = 4L * 1024 * 1024;
-  private static final Duration READ_LIMIT = Duration.ofSeconds(10);
-  private static final Duration IDLE_LIMIT = Duration.ofSeconds(75);
+  private static final int MAX_HEADER_BYTES = 64 * 1024;
+  private static final long DEFAULT_MAX_BODY_BYTES = 4L * 1024 * 1024;
+  private static final Duration READ_TIMEOUT = Duration.ofSeconds(10);
+  private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(75);
   private static final int BACKLOG = 1024;
-  private static final AttributeKey<Boolean> BUSY = AttributeKey.valueOf("gradeledge.busy");
+  private static final AttributeKey<Boolean> PROCESSING = AttributeKey.valueOf("gradeledge.busy");
 
   private final RelayHandler handler;
   private final RelayProtocol protocol;
   private final DeploymentRegistry deployments;
   private final LoopResources loops;
   private final ChannelGroup connections;
-  private int active;
-  private boolean closing;
+  private int activeRequests;
+  private boolean closeConnections;
 
   /** Creates the server; it does not listen yet. */
   public RelayServer(RelayHandler handler, RelayServices services, LoopResources loops) {
@@ -49,7 +49,7 @@
     this.protocol = services.protocol();
     this.deployments = services.deployments();
     this.loops = loops;
-    this.connections = new DefaultChannelGroup(services.loop());
+    this.connections = new DefaultChannelGroup(services.eventLoop());
   }
 
   /** Starts to listen. */
@@ -58,28 +58,28 @@
         .runOn(loops, false)
         .bindAddress(() -> address)
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
-        .httpRequestDecoder(spec -> spec.maxHeaderSize(HEADER_BYTES))
-        .requestTimeout(READ_LIMIT)
-        .idleTimeout(IDLE_LIMIT)
+        .httpRequestDecoder(spec -> spec.maxHeaderSize(MAX_HEADER_BYTES))
+        .requestTimeout(READ_TIMEOUT)
+        .idleTimeout(IDLE_TIMEOUT)
         .doOnChannelInit((observer, channel, remote) -> connections.add(channel))
         .handle(this::handle)
         .bind();
   }
 
   /** Returns how many requests are under way. */
-  public int active() {
-    return active;
+  public int activeRequests() {
+    return activeRequests;
   }
 
   /** Tells callers with each answer from now on that their connection is closed. */
   public void closeAfterAnswers() {
-    closing = true;
+    closeConnections = true;
   }
 
   /** Closes the connections on which no request is under way. */
   public void closeIdle() {
     connections.stream()
-        .filter(channel -> !Boolean.TRUE.equals(channel.attr(BUSY).get()))
+        .filter(channel -> !Boolean.TRUE.equals(channel.attr(PROCESSING).get()))
         .forEach(Channel::close);
   }
 
@@ -88,37 +88,37 @@
     request.withConnection(connection -> channel[0] = connection.channel());
     channel[0].config().setAutoRead(true);
     begin(channel[0]);
-    return body(request)
+    return readBody(request)
         .flatMap(bytes -> relay(request, bytes))
-        .onErrorResume(BodyTooLargeException.class, e -> tooLarge(response))
+        .onErrorResume(BodyTooLargeException.class, e -> rejectTooLarge(response))
         .flatMap(answer -> write(response, answer))
         .doFinally(signal -> end(channel[0]));
   }
 
   private void begin(Channel channel) {
-    channel.attr(BUSY).set(true);
-    active++;
+    channel.attr(PROCESSING).set(true);
+    activeRequests++;
   }
 
   private void end(Channel channel) {
-    channel.attr(BUSY).set(false);
-    active--;
+    channel.attr(PROCESSING).set(false);
+    activeRequests--;
   }
 
-  private Mono<byte[]> body(HttpServerRequest request) {
+  private Mono<byte[]> readBody(HttpServerRequest request) {
     long limit =
         deployments
             .current()
-            .map(Deployment::bounds)
-            .map(CallerBounds::bodyBytes)
-            .orElse(BODY_BYTES);
+            .map(Deployment::callerLimits)
+            .map(CallerLimits::maxBodyBytes)
+            .orElse(DEFAULT_MAX_BODY_BYTES);
     return request
         .receive()
-        .collect(ByteArrayOutputStream::new, (gathered, part) -> gather(gathered, part, limit))
+        .collect(ByteArrayOutputStream::new, (gathered, part) -> appendPart(gathered, part, limit))
         .map(ByteArrayOutputStream::toByteArray);
   }
 
-  private static void gather(ByteArrayOutputStream gathered, ByteBuf part, long limit) {
+  private static void appendPart(ByteArrayOutputStream gathered, ByteBuf part, long limit) {
     if (gathered.size() + part.readableBytes() > limit) {
       throw new BodyTooLargeException();
     }
@@ -133,29 +133,30 @@
           ReactorCallerResponse response = new ReactorCallerResponse();
           return protocol
               .read(request, bytes)
-              .fold(why -> refused(response), read -> relay(read, response));
+              .fold(why -> rejectUnreadable(response), read -> relay(read, response));
         });
   }
 
-  private static Mono<RelayAnswer> refused(ReactorCallerResponse response) {
+  private static Mono<RelayAnswer> rejectUnreadable(ReactorCallerResponse response) {
     response.refuse(Refusal.BAD_REQUEST, 0);
     return response.answer();
   }
 
   private Mono<RelayAnswer> relay(RelayRequest request, ReactorCallerResponse response) {
-    RelayHandler.Running running = handler.handle(request, response);
+    RelayHandler.ActiveRequest running = handler.handle(request, response);
     return response
         .answer()
-        .doOnCancel(running::callerGone)
-        .map(answer -> cancelling(answer, running));
+        .doOnCancel(running::callerDisconnected)
+        .map(answer -> withDisconnectHandler(answer, running));
   }
 
-  private static RelayAnswer cancelling(RelayAnswer answer, RelayHandler.Running running) {
-    Flux<ByteBuf> body = answer.body().doOnCancel(running::callerGone);
-    return new RelayAnswer(answer.status(), answer.headers(), body, answer.stream());
+  private static RelayAnswer withDisconnectHandler(
+      RelayAnswer answer, RelayHandler.ActiveRequest running) {
+    Flux<ByteBuf> body = answer.body().doOnCancel(running::callerDisconnected);
+    return new RelayAnswer(answer.status(), answer.headers(), body, answer.streaming());
   }
 
-  private static Mono<RelayAnswer> tooLarge(HttpServerResponse response) {
+  private static Mono<RelayAnswer> rejectTooLarge(HttpServerResponse response) {
     ReactorCallerResponse refused = new ReactorCallerResponse();
     refused.refuse(Refusal.BODY_TOO_LARGE, 0);
     response.keepAlive(false);
@@ -164,10 +165,10 @@
 
   private Mono<Void> write(HttpServerResponse response, RelayAnswer answer) {
     response.status(answer.status()).headers(answer.headers());
-    if (closing) {
+    if (closeConnections) {
       response.keepAlive(false);
     }
-    if (answer.stream()) {
+    if (answer.streaming()) {
       response.chunkedTransfer(true);
       return response.sendObject(answer.body(), part -> true).then();
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
@@ -19,39 +19,39 @@
  * What all requests of a box share.
  *
  * @param zone availability zone of the box
- * @param loop where all of it happens
+ * @param eventLoop where all of it happens
  * @param clock monotonic clock
  * @param deployments configuration in force
  * @param upstreams upstreams that are known
- * @param board their load and health
+ * @param loads their load and health
  * @param chooser chooses among them
- * @param sending tells which of them takes one more request of this box now
- * @param budget what may be sent again
- * @param caller sends requests to them
- * @param ends tells whether one that broke a call off has ended
+ * @param sendingRule tells which of them takes one more request of this box now
+ * @param retryBudget what may be sent again
+ * @param upstreamCaller sends requests to them
+ * @param crashDetector tells whether one that broke a call off has ended
  * @param quarantine holds back requests that end upstreams
  * @param trials tells when one that is held back is tried once more
  * @param protocol how requests look on the wire
- * @param stages has stage work done
+ * @param stageWorkClient has stage work done
  * @param metrics counts
  * @param events log
  * @since 0.2
  */
 public record RelayServices(
     String zone,
-    EventLoop loop,
+    EventLoop eventLoop,
     MonotonicClock clock,
     DeploymentRegistry deployments,
     UpstreamRegistry upstreams,
-    UpstreamLoads board,
+    UpstreamLoads loads,
     UpstreamChooser chooser,
-    SendLimiter sending,
-    RetryBudget budget,
-    UpstreamCaller caller,
-    LivenessChecker ends,
+    SendLimiter sendingRule,
+    RetryBudget retryBudget,
+    UpstreamCaller upstreamCaller,
+    LivenessChecker crashDetector,
     Quarantine quarantine,
     QuarantineTrials trials,
     RelayProtocol protocol,
-    StageWorkClient stages,
+    StageWorkClient stageWorkClient,
     RelayMetrics metrics,
     EventLog events) {}
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestClock.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestClock.java
@@ -7,7 +7,7 @@
 
   private final MonotonicClock clock;
   private final long startNanos;
-  private final long limitMillis;
+  private final long timeoutMillis;
   private final long targetMillis;
 
   /**
@@ -19,7 +19,7 @@
   RequestClock(MonotonicClock clock, long limitMillis, long targetMillis) {
     this.clock = clock;
     this.startNanos = clock.nanos();
-    this.limitMillis = limitMillis;
+    this.timeoutMillis = limitMillis;
     this.targetMillis = targetMillis;
   }
 
@@ -27,18 +27,18 @@
     return (clock.nanos() - startNanos) / 1_000_000;
   }
 
-  long leftMillis() {
-    return Math.max(0, limitMillis - elapsedMillis());
+  long remainingMillis() {
+    return Math.max(0, timeoutMillis - elapsedMillis());
   }
 
   /** Returns the time left until a part of all the time is used, the whole rest once it is. */
-  long leftOfPartMillis(double part) {
-    long left = (long) (limitMillis * part) - elapsedMillis();
-    return left > 0 ? left : leftMillis();
+  long remainingMillisOfShare(double part) {
+    long left = (long) (timeoutMillis * part) - elapsedMillis();
+    return left > 0 ? left : remainingMillis();
   }
 
   /** Returns the time left until the answer comes late, negative once it is. */
-  long targetLeftMillis() {
+  long targetRemainingMillis() {
     return targetMillis - elapsedMillis();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/DispatchTurn.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestDispatcher.java
@@ -10,45 +10,47 @@
  * for its turn as long as its answer can still be in time, and is refused at once otherwise.
  * Confined to the event loop.
  */
-final class DispatchTurn {
+final class RequestDispatcher {
 
   /** What waits leaves the rest of its time for the answer. */
-  private static final double MOST_OF_TARGET_WAITED = 0.5;
+  private static final double MAX_WAIT_SHARE_OF_TARGET = 0.5;
 
   private final DispatchQueue queue;
-  private final DispatchQueue.Place place;
+  private final DispatchQueue.QueuedRequest queued;
   private final UpstreamCandidates candidates;
   private final RequestClock clock;
   private final ExchangeOutcome outcome;
 
-  DispatchTurn(ExchangeParts parts, Runnable dispatch) {
+  RequestDispatcher(ExchangeContext parts, Runnable dispatch) {
     this.queue = parts.queue();
-    this.place =
-        new DispatchQueue.Place(parts.admitted().service(), parts.admitted().priority(), dispatch);
+    this.queued =
+        new DispatchQueue.QueuedRequest(
+            parts.admitted().service(), parts.admitted().priority(), dispatch);
     this.candidates = parts.candidates();
     this.clock = parts.clock();
     this.outcome = parts.outcome();
   }
 
   /** The request is over. */
-  void leave() {
-    queue.remove(place);
+  void leaveQueue() {
+    queue.remove(queued);
   }
 
   /** Hands on the upstream to be tried, or why there is none; neither while the request waits. */
-  void take(Consumer<UpstreamRecord> send, Consumer<Refusal> refuse) {
-    Optional<UpstreamRecord> next = isOthers() ? Optional.empty() : candidates.next();
+  void chooseUpstream(Consumer<UpstreamRecord> send, Consumer<Refusal> refuse) {
+    Optional<UpstreamRecord> next =
+        isReservedForOthers() ? Optional.empty() : candidates.chooseNext();
     if (next.isPresent()) {
-      queue.remove(place);
+      queue.remove(queued);
       send.accept(next.get());
-    } else if (!await()) {
-      refuse.accept(candidates.whyNone());
+    } else if (!tryWait()) {
+      refuse.accept(candidates.refusal());
     }
   }
 
   /** Returns whether other requests that wait take what the upstreams still take now. */
-  private boolean isOthers() {
-    long ahead = queue.waitingAhead(place);
+  private boolean isReservedForOthers() {
+    long ahead = queue.countWaitingAhead(queued);
     return ahead > 0 && candidates.millisUntilNext(ahead).orElse(0) > 0;
   }
 
@@ -56,18 +58,18 @@
    * Puts the request, which will want an upstream once its stage work is done, into the queue;
    * returns whether none takes it before its answer is late.
    */
-  boolean comesTooLate() {
-    queue.expect(place);
-    return isLongerThan(clock.targetLeftMillis());
+  boolean enqueueAndCheckLate() {
+    queue.add(queued);
+    return waitExceeds(clock.targetRemainingMillis());
   }
 
-  private boolean await() {
-    queue.expect(place);
+  private boolean tryWait() {
+    queue.add(queued);
     boolean waits =
-        candidates.whyNone() == Refusal.UPSTREAMS_LIMITED
-            && !isLongerThan(clock.targetLeftMillis() * MOST_OF_TARGET_WAITED);
+        candidates.refusal() == Refusal.UPSTREAMS_LIMITED
+            && !waitExceeds(clock.targetRemainingMillis() * MAX_WAIT_SHARE_OF_TARGET);
     if (waits) {
-      queue.await(place);
+      queue.addWaiting(queued);
     }
     return waits;
   }
@@ -76,18 +78,18 @@
    * Notes when asking again may help, where the request ends as all that were asked are full: not
    * before one of the service takes any request of this box.
    */
-  void noteComeBack(Refusal refusal) {
+  void recordRetryAfter(Refusal refusal) {
     if (refusal == Refusal.UPSTREAMS_FULL) {
-      candidates.millisUntilAny().ifPresent(millis -> outcome.comeBackAfter((long) millis));
+      candidates.millisUntilAny().ifPresent(millis -> outcome.setJitteredRetryAfter((long) millis));
     }
   }
 
-  private boolean isLongerThan(double mostMillis) {
-    OptionalDouble wait = candidates.millisUntilNext(queue.ahead(place));
+  private boolean waitExceeds(double mostMillis) {
+    OptionalDouble wait = candidates.millisUntilNext(queue.countAhead(queued));
     if (wait.isEmpty() || wait.getAsDouble() <= mostMillis) {
       return false;
     }
-    outcome.comeBackAfter((long) wait.getAsDouble());
+    outcome.setJitteredRetryAfter((long) wait.getAsDouble());
     return true;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestInputs.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestInputs.java
@@ -10,19 +10,19 @@
 final class RequestInputs {
 
   private final String service;
-  private final StagePlan plan;
-  private final InputRelease release;
+  private final StagePlan stagePlan;
+  private final InputReleasePolicy releasePolicy;
   private List<String> handles = List.of();
-  private boolean remade;
+  private boolean recomputed;
 
-  RequestInputs(String service, StagePlan plan, InputRelease release) {
+  RequestInputs(String service, StagePlan plan, InputReleasePolicy release) {
     this.service = service;
-    this.plan = plan;
-    this.release = release;
+    this.stagePlan = plan;
+    this.releasePolicy = release;
   }
 
   /** Notes where the results lie. */
-  void made(List<String> results) {
+  void setHandles(List<String> results) {
     handles = results;
   }
 
@@ -31,24 +31,24 @@
   }
 
   /** Notes that an upstream has the request, and gives the inputs up once it has fetched them. */
-  void sent(BooleanSupplier stillUnderWay) {
+  void scheduleRelease(BooleanSupplier stillUnderWay) {
     if (handles.isEmpty()) {
       return;
     }
-    release.afterFetching(
+    releasePolicy.scheduleRelease(
         service,
         () -> {
           if (stillUnderWay.getAsBoolean()) {
-            plan.freeAll();
+            stagePlan.releaseAll();
           }
         });
   }
 
   /** Notes that an upstream did not find them; returns whether they may be made again, once. */
-  boolean wereGone() {
-    release.inputsWereGone(service);
-    boolean again = !plan.isEmpty() && !remade;
-    remade = true;
+  boolean recordMissing() {
+    releasePolicy.suspendEarlyRelease(service);
+    boolean again = !stagePlan.isEmpty() && !recomputed;
+    recomputed = true;
     return again;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestStanding.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestQuarantine.java
@@ -18,14 +18,14 @@
  * at only where an upstream ended under it, or under another one of the same shape. Confined to the
  * event loop.
  */
-final class RequestStanding {
+final class RequestQuarantine {
 
   private static final String NO_ACCOUNT = "";
 
   /**
    * Told to a caller where no trial is due any more: it is for the operator to lift the verdict.
    */
-  private static final Duration FAR_OFF = Duration.ofHours(1);
+  private static final Duration RETRY_AFTER_WITHOUT_TRIAL = Duration.ofHours(1);
 
   private final RelayServices services;
   private final Quarantine quarantine;
@@ -36,7 +36,7 @@
   /** Whether this request is the one trial that a held back one is given. */
   private boolean trial;
 
-  RequestStanding(RelayServices services, AdmittedRequest admitted) {
+  RequestQuarantine(RelayServices services, AdmittedRequest admitted) {
     this.services = services;
     this.quarantine = services.quarantine();
     this.admitted = admitted;
@@ -44,26 +44,26 @@
   }
 
   /** Returns whether the request must be sent to no upstream. */
-  boolean isBarred() {
-    return !trial && isKnown() && quarantine.isQuarantined(fingerprint());
+  boolean isQuarantined() {
+    return !trial && isShapeKnown() && quarantine.isQuarantined(fingerprint());
   }
 
   /**
    * Tells whether the request may run: at once, unless it is held back and a trial is due, which
    * the platform grants to one box.
    */
-  void whetherItMayRun(Consumer<Boolean> answer) {
-    if (!isBarred()) {
+  void checkMayRun(Consumer<Boolean> answer) {
+    if (!isQuarantined()) {
       answer.accept(true);
     } else if (untilTrial().filter(Duration::isZero).isPresent()) {
-      askForTrial(answer);
+      requestTrial(answer);
     } else {
       answer.accept(false);
     }
   }
 
-  private void askForTrial(Consumer<Boolean> answer) {
-    EventLoop loop = services.loop();
+  private void requestTrial(Consumer<Boolean> answer) {
+    EventLoop loop = services.eventLoop();
     services
         .trials()
         .claim(fingerprint())
@@ -79,13 +79,13 @@
   }
 
   /** Notes that the request goes to an upstream; a trial is over with that. */
-  void sent() {
+  void recordSent() {
     trial = false;
   }
 
   /** Returns how long the request is held back from now on, in milliseconds. */
-  long heldBackMillis() {
-    return untilTrial().orElse(FAR_OFF).toMillis();
+  long remainingMillis() {
+    return untilTrial().orElse(RETRY_AFTER_WITHOUT_TRIAL).toMillis();
   }
 
   private Optional<Duration> untilTrial() {
@@ -93,8 +93,8 @@
   }
 
   /** Notes that the request was answered whole. */
-  void answered() {
-    if (isKnown()) {
+  void recordAnswered() {
+    if (isShapeKnown()) {
       quarantine.recordSuccess(fingerprint());
     }
   }
@@ -105,14 +105,14 @@
    * this is one more, the request goes nowhere. Else it follows at once, as most connections are
    * lost for reasons of their own.
    */
-  void broken(UpstreamRecord upstream, Runnable then) {
-    boolean suspect = isKnown() && quarantine.crashCount(fingerprint()) > 0;
+  void connectionLost(UpstreamRecord upstream, Runnable then) {
+    boolean suspect = isShapeKnown() && quarantine.crashCount(fingerprint()) > 0;
     services
-        .ends()
+        .crashDetector()
         .check(
             upstream,
             proof -> {
-              proved(upstream, proof);
+              recordLivenessCheck(upstream, proof);
               if (suspect) {
                 then.run();
               }
@@ -123,7 +123,7 @@
   }
 
   /** Only a refusal shows an end: what is silent may be a network that parts this box from it. */
-  private void proved(UpstreamRecord upstream, LivenessResult proof) {
+  private void recordLivenessCheck(UpstreamRecord upstream, LivenessResult proof) {
     services
         .events()
         .problem("upstream-broke-off")
@@ -139,11 +139,11 @@
   }
 
   /** Notes that upstreams ended while they made the pieces of a stage that was not made. */
-  void stagesEnded(List<String> starts) {
+  void recordStageCrashes(List<String> starts) {
     starts.forEach(start -> quarantine.recordCrash(fingerprint(), start));
   }
 
-  private boolean isKnown() {
+  private boolean isShapeKnown() {
     return quarantine.hasShapeHash(identity.shapeHash());
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageEstimate.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageEstimator.java
@@ -9,21 +9,21 @@
 import org.gradeledge.deployment.StageWork;
 
 /** How long the stage work of one request takes. Confined to the event loop. */
-final class StageEstimate {
+final class StageEstimator {
 
-  private final List<Integer> pieces;
+  private final List<Integer> pieceCounts;
   private final List<StageWork> stages;
   private final Deployment deployment;
   private final StageWorkClient client;
   private final int priority;
 
-  StageEstimate(
+  StageEstimator(
       List<Integer> pieces,
       List<StageWork> stages,
       Deployment deployment,
       StageWorkClient client,
       int priority) {
-    this.pieces = pieces;
+    this.pieceCounts = pieces;
     this.stages = stages;
     this.deployment = deployment;
     this.client = client;
@@ -37,32 +37,33 @@
   double expectedMillis() {
     double[] doneAfter = new double[stages.size()];
     for (int stage = 0; stage < stages.size(); stage++) {
-      if (wanted(stage)) {
-        doneAfter[stage] = doneAfter(stage, doneAfter);
+      if (hasPieces(stage)) {
+        doneAfter[stage] = completionMillis(stage, doneAfter);
       }
     }
     return Arrays.stream(doneAfter).max().orElse(0);
   }
 
-  private double doneAfter(int stage, double[] doneBefore) {
+  private double completionMillis(int stage, double[] doneBefore) {
     StageWork work = stages.get(stage);
-    double ready = work.after().stream().mapToDouble(before -> doneBefore[before]).max().orElse(0);
+    double ready =
+        work.dependencies().stream().mapToDouble(before -> doneBefore[before]).max().orElse(0);
     long backlog = client.backlogMillis(work.service(), priority);
     int others = backlog > 0 ? Integer.MAX_VALUE : 0;
     return Math.max(ready, backlog) + callMillis(stage, others);
   }
 
   /** Returns about how long a stage takes alone behind what waits for its service now. */
-  double ownMillis(int stage) {
+  double stageMillis(int stage) {
     return client.backlogMillis(stages.get(stage).service(), priority) + callMillis(stage, 0);
   }
 
   /** Returns about how long the stages after a stage take where nothing waits. */
-  double tailMillis(int stage) {
+  double downstreamMillis(int stage) {
     double longest = 0;
     for (int next = stage + 1; next < stages.size(); next++) {
-      if (wanted(next) && stages.get(next).after().contains(stage)) {
-        longest = Math.max(longest, callMillis(next, 0) + tailMillis(next));
+      if (hasPieces(next) && stages.get(next).dependencies().contains(stage)) {
+        longest = Math.max(longest, callMillis(next, 0) + downstreamMillis(next));
       }
     }
     return longest;
@@ -80,16 +81,16 @@
   private double callMillis(int stage, int others) {
     return deployment
         .service(stages.get(stage).service())
-        .flatMap(ServiceDefinition::batch)
-        .map(batch -> batch.expectedMillis(itemsOfCall(stage, others, batch)))
+        .flatMap(ServiceDefinition::batchLimits)
+        .map(batch -> batch.expectedMillis(itemsInCall(stage, others, batch)))
         .orElse(0.0);
   }
 
-  private int itemsOfCall(int stage, int others, BatchLimits batch) {
-    return (int) Math.min((long) pieces.get(stage) + others, batch.itemsPerCall());
+  private int itemsInCall(int stage, int others, BatchLimits batch) {
+    return (int) Math.min((long) pieceCounts.get(stage) + others, batch.maxItemsPerCall());
   }
 
-  private boolean wanted(int stage) {
-    return stage < pieces.size() && pieces.get(stage) > 0;
+  private boolean hasPieces(int stage) {
+    return stage < pieceCounts.size() && pieceCounts.get(stage) > 0;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
@@ -24,17 +24,17 @@
  */
 final class StagePlan {
 
-  private static final int MOST_REPEATS = 2;
-  private static final double MOST_OF_TIME_WAITED = 0.4;
+  private static final int MAX_RECOMPUTATIONS = 2;
+  private static final double MAX_WAIT_SHARE = 0.4;
 
   /** Estimates are rough, and a late answer is worth more than none. */
-  private static final double TOLERANCE = 1.15;
+  private static final double LATENESS_TOLERANCE = 1.15;
 
   /** A stage that can wait must take so much less than what is waited for. */
-  private static final double SLACK = 1.2;
+  private static final double DEFERRAL_MARGIN = 1.2;
 
   private final RelayRequest request;
-  private final StageEstimate estimate;
+  private final StageEstimator estimator;
   private final List<StageWork> stages;
   private final StageWorkClient client;
   private final RequestClock clock;
@@ -47,8 +47,8 @@
   private final Set<Integer> announced = new HashSet<>();
   private Consumer<List<String>> onDone = handles -> {};
   private BiConsumer<Integer, StageGroupResult> onFailure = (stage, result) -> {};
-  private int repeats;
-  private boolean over;
+  private int recomputations;
+  private boolean finished;
 
   StagePlan(
       RelayRequest request,
@@ -63,13 +63,14 @@
     this.request = request;
     this.stages = route.stages();
     this.client = client;
-    this.results = new StageResults(request.pieces(), stages, client);
+    this.results = new StageResults(request.pieceCounts(), stages, client);
     this.clock = clock;
     this.priority = priority;
     this.zone = zone;
     this.firstEventMillis = firstEventMillis;
     this.timeline = timeline;
-    this.estimate = new StageEstimate(request.pieces(), stages, deployment, client, priority);
+    this.estimator =
+        new StageEstimator(request.pieceCounts(), stages, deployment, client, priority);
   }
 
   /**
@@ -79,76 +80,76 @@
   void start(Consumer<List<String>> done, BiConsumer<Integer, StageGroupResult> failed) {
     onDone = done;
     onFailure = failed;
-    double expected = estimate.expectedMillis() + firstEventMillis;
-    timeline.expected(expected);
-    if (expected > clock.targetLeftMillis() * TOLERANCE) {
-      over = true;
-      long comeBack = estimate.longestBacklogMillis();
+    double expected = estimator.expectedMillis() + firstEventMillis;
+    timeline.setExpectedMillis(expected);
+    if (expected > clock.targetRemainingMillis() * LATENESS_TOLERANCE) {
+      finished = true;
+      long comeBack = estimator.longestBacklogMillis();
       failed.accept(0, new StageGroupResult(StageOutcome.LATE, List.of(), "", comeBack, 0));
       return;
     }
     announceAll();
-    startReady();
+    startReadyStages();
   }
 
   private void announceAll() {
     for (int stage = 0; stage < stages.size(); stage++) {
-      if (results.wanted(stage)) {
+      if (results.hasPieces(stage)) {
         announced.add(stage);
-        client.announce(stages.get(stage).service(), priority, results.pieces(stage));
+        client.announce(stages.get(stage).service(), priority, results.pieceCount(stage));
       }
     }
   }
 
   private void withdraw(int stage) {
     if (announced.remove(stage)) {
-      client.withdraw(stages.get(stage).service(), priority, results.pieces(stage));
+      client.withdraw(stages.get(stage).service(), priority, results.pieceCount(stage));
     }
   }
 
   /** Does all of the work again, as a result was gone before it was fetched. */
   void restart() {
-    freeAll();
-    over = false;
-    startReady();
+    releaseAll();
+    finished = false;
+    startReadyStages();
   }
 
   /** Drops what waits and gives up what was made. */
   void cancel() {
-    over = true;
+    finished = true;
     Set.copyOf(announced).forEach(this::withdraw);
     running.forEach(stage -> client.cancel(stages.get(stage).service(), request.id()));
-    freeAll();
+    releaseAll();
   }
 
   /** Gives up all results, once they have been fetched or are not needed any more. */
-  void freeAll() {
-    results.freeAll();
+  void releaseAll() {
+    results.releaseAll();
   }
 
   /** Returns whether there is any stage work. */
   boolean isEmpty() {
-    return stages.isEmpty() || request.pieces().stream().allMatch(count -> count == 0);
+    return stages.isEmpty() || request.pieceCounts().stream().allMatch(count -> count == 0);
   }
 
-  private void startReady() {
-    List<Integer> startable = startable();
-    startable.stream().filter(results::isTaken).forEach(this::startStage);
+  private void startReadyStages() {
+    List<Integer> startable = startableStages();
+    startable.stream().filter(results::hasConsumers).forEach(this::startStage);
     startable.stream()
-        .filter(stage -> !results.isTaken(stage) && !running.contains(stage))
-        .filter(stage -> !canWait(stage))
+        .filter(stage -> !results.hasConsumers(stage) && !running.contains(stage))
+        .filter(stage -> !canDefer(stage))
         .forEach(this::startStage);
-    if (!over && running.isEmpty()) {
-      over = true;
-      onDone.accept(results.handedOn());
+    if (!finished && running.isEmpty()) {
+      finished = true;
+      onDone.accept(results.finalHandles());
     }
   }
 
-  private List<Integer> startable() {
+  private List<Integer> startableStages() {
     return IntStream.range(0, stages.size())
-        .filter(results::wanted)
-        .filter(stage -> !results.has(stage) && !running.contains(stage))
-        .filter(results::ready)
+        .filter(results::hasPieces)
+        .filter(stage -> !results.hasResults(stage) && !running.contains(stage))
+        .filter(results::isReady)
         .boxed()
         .toList();
   }
@@ -157,43 +158,45 @@
    * Returns whether a stage is better started once what runs now is done: the stages after that
    * take longer than it does, and its results would only take room until then.
    */
-  private boolean canWait(int stage) {
-    double rest = running.stream().mapToDouble(estimate::tailMillis).max().orElse(0);
-    return estimate.ownMillis(stage) * SLACK < rest;
+  private boolean canDefer(int stage) {
+    double rest = running.stream().mapToDouble(estimator::downstreamMillis).max().orElse(0);
+    return estimator.stageMillis(stage) * DEFERRAL_MARGIN < rest;
   }
 
   private long inputBytes(int stage) {
-    return stages.get(stage).after().stream()
-        .mapToLong(before -> results.pieces(before) * stages.get(before).resultBytes())
+    return stages.get(stage).dependencies().stream()
+        .mapToLong(before -> results.pieceCount(before) * stages.get(before).resultBytes())
         .sum();
   }
 
   private void startStage(int stage) {
-    if (over) {
+    if (finished) {
       return;
     }
     StageWork work = stages.get(stage);
     running.add(stage);
-    timeline.started(stage);
+    timeline.stageStarted(stage);
     withdraw(stage);
     List<String> inputs = new ArrayList<>();
-    work.after().forEach(before -> inputs.addAll(results.of(before)));
-    long due = clock.targetLeftMillis() - (long) (estimate.tailMillis(stage) + firstEventMillis);
+    work.dependencies().forEach(before -> inputs.addAll(results.handlesOf(before)));
+    long due =
+        clock.targetRemainingMillis()
+            - (long) (estimator.downstreamMillis(stage) + firstEventMillis);
     StageGroup group =
         new StageGroup(
             work.service(),
             request.id(),
             stage,
-            results.pieces(stage),
-            work.after().isEmpty() ? request.pieceKey() : Optional.empty(),
+            results.pieceCount(stage),
+            work.dependencies().isEmpty() ? request.pieceKey() : Optional.empty(),
             inputs,
             inputBytes(stage),
             work.resultBytes(),
-            results.isTaken(stage) ? "" : zone,
+            results.hasConsumers(stage) ? "" : zone,
             priority,
             due,
-            clock.leftMillis(),
-            clock.leftOfPartMillis(MOST_OF_TIME_WAITED),
+            clock.remainingMillis(),
+            clock.remainingMillisOfShare(MAX_WAIT_SHARE),
             results.isEmpty());
     client.submit(group, new StageListener(stage));
   }
@@ -208,32 +211,32 @@
     }
 
     @Override
-    public void ended(StageGroupResult result) {
-      StagePlan.this.ended(stage, result);
+    public void onEnd(StageGroupResult result) {
+      StagePlan.this.stageEnded(stage, result);
     }
 
     @Override
-    public void inputsTaken() {
-      if (!over && running.contains(stage)) {
-        results.inputsTaken(stage);
+    public void onInputsFetched() {
+      if (!finished && running.contains(stage)) {
+        results.recordInputsFetched(stage);
       }
     }
   }
 
-  private void ended(int stage, StageGroupResult result) {
+  private void stageEnded(int stage, StageGroupResult result) {
     running.remove(stage);
-    timeline.ended(stage, result);
-    if (over) {
-      client.free(stages.get(stage).service(), result.handles());
+    timeline.stageEnded(stage, result);
+    if (finished) {
+      client.release(stages.get(stage).service(), result.handles());
       return;
     }
     if (result.outcome() == StageOutcome.MADE) {
       results.put(stage, result.handles());
-      startReady();
-    } else if (result.outcome() == StageOutcome.GONE && repeats < MOST_REPEATS) {
-      repeats++;
-      results.forgetInputs(stage);
-      startReady();
+      startReadyStages();
+    } else if (result.outcome() == StageOutcome.GONE && recomputations < MAX_RECOMPUTATIONS) {
+      recomputations++;
+      results.discardInputs(stage);
+      startReadyStages();
     } else {
       cancel();
       onFailure.accept(stage, result);
