--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
@@ -16,118 +16,123 @@
  */
 final class StageResults {
 
-  private final List<Integer> pieces;
+  private final List<Integer> pieceCounts;
   private final List<StageWork> stages;
   private final StageWorkClient client;
-  private final Map<Integer, List<String>> handles = new HashMap<>();
-  private final Set<Integer> fetched = new HashSet<>();
+  private final Map<Integer, List<String>> handlesByStage = new HashMap<>();
+  private final Set<Integer> stagesWithFetchedInputs = new HashSet<>();
 
   StageResults(List<Integer> pieces, List<StageWork> stages, StageWorkClient client) {
-    this.pieces = pieces;
+    this.pieceCounts = pieces;
     this.stages = stages;
     this.client = client;
   }
 
-  int pieces(int stage) {
-    return stage < pieces.size() ? pieces.get(stage) : 0;
+  int pieceCount(int stage) {
+    return stage < pieceCounts.size() ? pieceCounts.get(stage) : 0;
   }
 
-  boolean wanted(int stage) {
-    return pieces(stage) > 0;
+  boolean hasPieces(int stage) {
+    return pieceCount(stage) > 0;
   }
 
-  boolean has(int stage) {
-    return handles.containsKey(stage);
+  boolean hasResults(int stage) {
+    return handlesByStage.containsKey(stage);
   }
 
   boolean isEmpty() {
-    return handles.isEmpty();
+    return handlesByStage.isEmpty();
   }
 
   /** Returns whether all that a stage comes after is done. */
-  boolean ready(int stage) {
-    return stages.get(stage).after().stream().allMatch(before -> !wanted(before) || has(before));
+  boolean isReady(int stage) {
+    return stages.get(stage).dependencies().stream()
+        .allMatch(before -> !hasPieces(before) || hasResults(before));
   }
 
   /** Returns whether another stage takes a stage's results. */
-  boolean isTaken(int stage) {
-    return takers(stage).findAny().isPresent();
+  boolean hasConsumers(int stage) {
+    return consumers(stage).findAny().isPresent();
   }
 
-  List<String> of(int stage) {
-    return handles.getOrDefault(stage, List.of());
+  List<String> handlesOf(int stage) {
+    return handlesByStage.getOrDefault(stage, List.of());
   }
 
   void put(int stage, List<String> made) {
-    handles.put(stage, made);
-    inputsTaken(stage);
+    handlesByStage.put(stage, made);
+    recordInputsFetched(stage);
   }
 
   /**
    * Notes that the inputs of a stage have been fetched; results that all their takers have fetched
    * are given up, since the room that they take keeps the upstream from its next calls.
    */
-  void inputsTaken(int stage) {
-    fetched.add(stage);
+  void recordInputsFetched(int stage) {
+    stagesWithFetchedInputs.add(stage);
     IntStream.range(0, stages.size())
-        .filter(earlier -> isTaken(earlier) && takers(earlier).allMatch(fetched::contains))
-        .forEach(this::free);
+        .filter(
+            earlier ->
+                hasConsumers(earlier)
+                    && consumers(earlier).allMatch(stagesWithFetchedInputs::contains))
+        .forEach(this::release);
   }
 
   /** Forgets the results that a stage takes, so that they are made again. */
-  void forgetInputs(int stage) {
-    fetched.remove(stage);
-    for (int before : stages.get(stage).after()) {
-      client.free(stages.get(before).service(), of(before));
-      handles.remove(before);
-      fetched.remove(before);
-      if (stages.get(before).after().stream().anyMatch(this::isFreed)) {
-        forgetInputs(before);
+  void discardInputs(int stage) {
+    stagesWithFetchedInputs.remove(stage);
+    for (int before : stages.get(stage).dependencies()) {
+      client.release(stages.get(before).service(), handlesOf(before));
+      handlesByStage.remove(before);
+      stagesWithFetchedInputs.remove(before);
+      if (stages.get(before).dependencies().stream().anyMatch(this::isReleased)) {
+        discardInputs(before);
       }
     }
   }
 
   /** Gives up all results. */
-  void freeAll() {
-    handles.forEach((stage, made) -> client.free(stages.get(stage).service(), made));
-    handles.clear();
-    fetched.clear();
+  void releaseAll() {
+    handlesByStage.forEach((stage, made) -> client.release(stages.get(stage).service(), made));
+    handlesByStage.clear();
+    stagesWithFetchedInputs.clear();
   }
 
   /** Returns the results that no stage takes. */
-  List<String> handedOn() {
+  List<String> finalHandles() {
     List<String> all = new ArrayList<>();
-    lastStages().forEach(stage -> all.addAll(of(stage)));
+    finalStages().forEach(stage -> all.addAll(handlesOf(stage)));
     return all;
   }
 
   /** Returns where most of what is handed on lies, by bytes. */
   Map<String, Long> bytesByZone() {
     Map<String, Long> bytes = new HashMap<>();
-    lastStages()
+    finalStages()
         .forEach(
             stage ->
-                of(stage).stream()
+                handlesOf(stage).stream()
                     .flatMap(handle -> client.zoneOf(handle).stream())
                     .forEach(at -> bytes.merge(at, stages.get(stage).resultBytes(), Long::sum)));
     return bytes;
   }
 
-  private IntStream lastStages() {
-    return IntStream.range(0, stages.size()).filter(stage -> wanted(stage) && !isTaken(stage));
+  private IntStream finalStages() {
+    return IntStream.range(0, stages.size())
+        .filter(stage -> hasPieces(stage) && !hasConsumers(stage));
   }
 
-  private IntStream takers(int stage) {
+  private IntStream consumers(int stage) {
     return IntStream.range(0, stages.size())
-        .filter(later -> wanted(later) && stages.get(later).after().contains(stage));
+        .filter(later -> hasPieces(later) && stages.get(later).dependencies().contains(stage));
   }
 
-  private void free(int stage) {
-    client.free(stages.get(stage).service(), of(stage));
-    handles.replace(stage, List.of());
+  private void release(int stage) {
+    client.release(stages.get(stage).service(), handlesOf(stage));
+    handlesByStage.replace(stage, List.of());
   }
 
-  private boolean isFreed(int stage) {
-    return wanted(stage) && of(stage).isEmpty();
+  private boolean isReleased(int stage) {
+    return hasPieces(stage) && handlesOf(stage).isEmpty();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageTimeline.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageTimeline.java
@@ -13,8 +13,8 @@
 final class StageTimeline {
 
   private final RequestClock clock;
-  private final Map<Integer, Long> startedAtMillis = new TreeMap<>();
-  private final Map<Integer, String> ended = new TreeMap<>();
+  private final Map<Integer, Long> startMillis = new TreeMap<>();
+  private final Map<Integer, String> endedStages = new TreeMap<>();
   private long expectedMillis = -1;
 
   StageTimeline(RequestClock clock) {
@@ -22,19 +22,20 @@
   }
 
   /** Notes after how long the first event was expected. */
-  void expected(double millis) {
+  void setExpectedMillis(double millis) {
     expectedMillis = (long) millis;
   }
 
-  void started(int stage) {
-    startedAtMillis.put(stage, clock.elapsedMillis());
+  void stageStarted(int stage) {
+    startMillis.put(stage, clock.elapsedMillis());
   }
 
-  void ended(int stage, StageGroupResult result) {
-    long begun = startedAtMillis.getOrDefault(stage, 0L);
+  void stageEnded(int stage, StageGroupResult result) {
+    long begun = startMillis.getOrDefault(stage, 0L);
     String outcome = result.outcome() == StageOutcome.MADE ? "" : " " + result.outcome();
     long took = clock.elapsedMillis() - begun;
-    ended.put(stage, stage + "@" + begun + ":" + result.waitedMillis() + "/" + took + outcome);
+    endedStages.put(
+        stage, stage + "@" + begun + ":" + result.waitedMillis() + "/" + took + outcome);
   }
 
   /** Returns the expected time to the first event in milliseconds, -1 where none was worked out. */
@@ -45,6 +46,6 @@
   /** Returns for each stage that ended: number, start, wait for its last call and whole time. */
   @Override
   public String toString() {
-    return ended.values().stream().collect(Collectors.joining(" "));
+    return endedStages.values().stream().collect(Collectors.joining(" "));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StreamAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StreamAttempt.java
@@ -17,17 +17,17 @@
 
   private final AttemptListener listener;
   private final EventFramer framer = new EventFramer();
-  private final ByteArrayOutputStream failureBody = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
   private int status;
   private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
-  private long heardNanos;
-  private boolean started;
+  private long lastActivityNanos;
+  private boolean eventsStarted;
 
   StreamAttempt(
       RelayServices services, UpstreamRecord upstream, long tokens, AttemptListener listener) {
     super(services, upstream, tokens);
     this.listener = listener;
-    this.heardNanos = services.clock().nanos();
+    this.lastActivityNanos = services.clock().nanos();
   }
 
   int status() {
@@ -44,13 +44,13 @@
   }
 
   /** Returns whether events have arrived. */
-  boolean hasStarted() {
-    return started;
+  boolean hasStartedEvents() {
+    return eventsStarted;
   }
 
   /** Returns for how long nothing has come of this attempt. */
   long silentMillis() {
-    return (services().clock().nanos() - heardNanos) / 1_000_000;
+    return (services().clock().nanos() - lastActivityNanos) / 1_000_000;
   }
 
   @Override
@@ -59,52 +59,52 @@
   }
 
   @Override
-  void onNotRun(int answered, HttpHeaders answeredHeaders, AnswerFacts facts) {
+  void onNotRun(int answered, HttpHeaders answeredHeaders, AnswerSignals facts) {
     listener.notRun(this, answered, answeredHeaders, facts);
   }
 
   @Override
-  void onRunHead(int answered, HttpHeaders answeredHeaders) {
+  void onAnswerHead(int answered, HttpHeaders answeredHeaders) {
     status = answered;
     headers = answeredHeaders;
-    heardNanos = services().clock().nanos();
+    lastActivityNanos = services().clock().nanos();
   }
 
   @Override
   public void onContent(ByteBuf content) {
-    heardNanos = services().clock().nanos();
-    services().board().recordActivity(upstream());
+    lastActivityNanos = services().clock().nanos();
+    services().loads().recordActivity(upstream());
     if (!isStream()) {
       byte[] bytes = new byte[content.readableBytes()];
       content.readBytes(bytes);
-      failureBody.writeBytes(bytes);
+      errorBody.writeBytes(bytes);
       return;
     }
-    ByteBuf events = framer.take(content);
+    ByteBuf events = framer.append(content);
     if (events.isReadable()) {
-      if (!started) {
-        started = true;
-        noteStatus(status);
+      if (!eventsStarted) {
+        eventsStarted = true;
+        recordStatus(status);
       }
-      listener.events(this, events);
+      listener.eventsReceived(this, events);
     } else {
       events.release();
     }
   }
 
   @Override
-  void onBroken(CallFailure failure) {
+  void onAnswerIncomplete(CallFailure failure) {
     framer.dropPartial();
     listener.failed(this, failure);
   }
 
   @Override
-  void onWhole() {
+  void onAnswerComplete() {
     if (!isStream()) {
-      noteStatus(status);
-      byte[] body = failureBody.toByteArray();
+      recordStatus(status);
+      byte[] body = errorBody.toByteArray();
       listener.answered(this, status, headers, Unpooled.wrappedBuffer(body));
-    } else if (started && framer.atBoundary()) {
+    } else if (eventsStarted && framer.isAtEventBoundary()) {
       listener.streamEnded(this);
     } else {
       framer.dropPartial();
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
@@ -17,21 +17,21 @@
 final class UpstreamCandidates {
 
   /** Enough to see what is wrong with a service; a line stays short. */
-  private static final int MOST_TOLD = 8;
+  private static final int MAX_LOGGED_IDS = 8;
 
   private final RelayServices services;
   private final String service;
   private final RelayRequest request;
-  private String zone;
-  private long zoneBytes;
+  private String preferredZone;
+  private long preferredZoneBytes;
   private final Set<String> tried = new HashSet<>();
-  private final Set<String> passedOver = new LinkedHashSet<>();
+  private final Set<String> skipped = new LinkedHashSet<>();
 
   UpstreamCandidates(RelayServices services, String service, RelayRequest request) {
     this.services = services;
     this.service = service;
     this.request = request;
-    this.zone = services.zone();
+    this.preferredZone = services.zone();
   }
 
   /** Returns the zone of the upstream that would be tried now. */
@@ -40,45 +40,45 @@
         .chooser()
         .choose(services.upstreams().usable(service), demand())
         .map(UpstreamRecord::zone)
-        .orElse(zone);
+        .orElse(preferredZone);
   }
 
   /** Notes where what the request needs lies, in bytes by zone. */
-  void setInputs(Map<String, Long> bytesByZone) {
+  void setInputBytes(Map<String, Long> bytesByZone) {
     bytesByZone.entrySet().stream()
         .max(Map.Entry.comparingByValue())
         .ifPresent(
             most -> {
-              zone = most.getKey();
-              zoneBytes = most.getValue();
+              preferredZone = most.getKey();
+              preferredZoneBytes = most.getValue();
             });
   }
 
   /** Returns the upstream to be tried next, empty where all have been. */
-  Optional<UpstreamRecord> next() {
-    List<UpstreamRecord> left = notTried().filter(this::isAdmitted).toList();
+  Optional<UpstreamRecord> chooseNext() {
+    List<UpstreamRecord> left = untried().filter(this::admitsRequest).toList();
     Optional<UpstreamRecord> chosen = services.chooser().choose(left, demand());
     chosen.ifPresent(upstream -> tried.add(upstream.incarnationId()));
-    chosen.ifPresent(services.sending()::recordSent);
+    chosen.ifPresent(services.sendingRule()::recordSent);
     return chosen;
   }
 
-  private boolean isAdmitted(UpstreamRecord upstream) {
-    boolean admitted = services.sending().admits(upstream);
+  private boolean admitsRequest(UpstreamRecord upstream) {
+    boolean admitted = services.sendingRule().admits(upstream);
     if (!admitted) {
-      passedOver.add(upstream.id());
+      skipped.add(upstream.id());
     }
     return admitted;
   }
 
   /** Returns the ids of upstreams that were passed over so far, as they took no request then. */
-  String passedOver() {
-    return passedOver.isEmpty()
+  String skippedIds() {
+    return skipped.isEmpty()
         ? ""
-        : passedOver.stream().limit(MOST_TOLD).collect(Collectors.joining(","));
+        : skipped.stream().limit(MAX_LOGGED_IDS).collect(Collectors.joining(","));
   }
 
-  private Stream<UpstreamRecord> notTried() {
+  private Stream<UpstreamRecord> untried() {
     return services.upstreams().usable(service).stream()
         .filter(each -> !tried.contains(each.incarnationId()));
   }
@@ -89,44 +89,48 @@
    * none left.
    */
   OptionalDouble millisUntilNext(long ahead) {
-    SendLimiter sending = services.sending();
-    List<UpstreamRecord> left = notTried().toList();
+    SendLimiter sending = services.sendingRule();
+    List<UpstreamRecord> left = untried().toList();
     double rate = left.stream().mapToDouble(sending::requestsPerSecond).sum();
     if (Double.isInfinite(rate)) {
       return OptionalDouble.of(0);
     }
     return left.stream()
-        .mapToDouble(each -> sending.millisUntilAdmitted(each, ahead * part(each, rate, left)))
+        .mapToDouble(each -> sending.millisUntilAdmitted(each, ahead * shareOf(each, rate, left)))
         .min();
   }
 
   /** Returns after how many milliseconds one takes a request, those that were tried included. */
   OptionalDouble millisUntilAny() {
     return services.upstreams().usable(service).stream()
-        .mapToDouble(each -> services.sending().millisUntilAdmitted(each, 0))
+        .mapToDouble(each -> services.sendingRule().millisUntilAdmitted(each, 0))
         .min();
   }
 
   /** Where none takes any now, those that are before share the upstreams evenly later. */
-  private double part(UpstreamRecord upstream, double rate, List<UpstreamRecord> all) {
-    return rate > 0 ? services.sending().requestsPerSecond(upstream) / rate : 1.0 / all.size();
+  private double shareOf(UpstreamRecord upstream, double rate, List<UpstreamRecord> all) {
+    return rate > 0 ? services.sendingRule().requestsPerSecond(upstream) / rate : 1.0 / all.size();
   }
 
   /** Returns why there is no candidate. */
-  Refusal whyNone() {
+  Refusal refusal() {
     if (services.upstreams().usable(service).isEmpty()) {
       return Refusal.NO_UPSTREAM;
     }
-    return notTried().findAny().isPresent() ? Refusal.UPSTREAMS_LIMITED : Refusal.UPSTREAMS_FULL;
+    return untried().findAny().isPresent() ? Refusal.UPSTREAMS_LIMITED : Refusal.UPSTREAMS_FULL;
   }
 
   /** Allows all upstreams again. */
-  void reset() {
+  void clearTried() {
     tried.clear();
   }
 
   private Demand demand() {
     return new Demand(
-        request.sharedPart(), request.sharedTokens(), request.tokens(), zone, zoneBytes);
+        request.sharedPartId(),
+        request.sharedTokens(),
+        request.maxTokens(),
+        preferredZone,
+        preferredZoneBytes);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/WholeAnswerAttempt.java
@@ -11,10 +11,10 @@
 /** An attempt whose answer is passed on once it is whole. */
 final class WholeAnswerAttempt extends AbstractAttempt {
 
-  private static final int MOST_BYTES = 16 * 1024 * 1024;
+  private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
 
   private final AttemptListener listener;
-  private final ResponseBuffer body = new ResponseBuffer(MOST_BYTES);
+  private final ResponseBuffer body = new ResponseBuffer(MAX_BODY_BYTES);
   private int status;
   private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
 
@@ -24,12 +24,12 @@
   }
 
   @Override
-  void onNotRun(int answered, HttpHeaders answeredHeaders, AnswerFacts facts) {
+  void onNotRun(int answered, HttpHeaders answeredHeaders, AnswerSignals facts) {
     listener.notRun(this, answered, answeredHeaders, facts);
   }
 
   @Override
-  void onRunHead(int answered, HttpHeaders answeredHeaders) {
+  void onAnswerHead(int answered, HttpHeaders answeredHeaders) {
     status = answered;
     headers = answeredHeaders;
   }
@@ -42,13 +42,13 @@
   }
 
   @Override
-  void onBroken(CallFailure failure) {
+  void onAnswerIncomplete(CallFailure failure) {
     listener.failed(this, failure);
   }
 
   @Override
-  void onWhole() {
-    noteStatus(status);
+  void onAnswerComplete() {
+    recordStatus(status);
     listener.answered(this, status, headers, Unpooled.wrappedBuffer(body.toByteArray()));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/retry/RetryBudget.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/retry/RetryBudget.java
@@ -19,14 +19,14 @@
 public final class RetryBudget {
 
   private static final int BUCKETS = 10;
-  private static final double USED_RATIO = 0.8;
-  private static final double USED_ALLOWANCE = 0.5;
+  private static final double RATIO_SAFETY_FACTOR = 0.8;
+  private static final double ALLOWANCE_SAFETY_FACTOR = 0.5;
 
   private final MonotonicClock clock;
   private final double ratio;
   private final double allowance;
   private final long bucketNanos;
-  private final IntSupplier boxes;
+  private final IntSupplier boxCount;
   private final Map<String, Window> byService = new HashMap<>();
 
   /**
@@ -40,15 +40,15 @@
   public RetryBudget(
       MonotonicClock clock, double ratio, double allowance, Duration window, IntSupplier boxes) {
     this.clock = clock;
-    this.ratio = ratio * USED_RATIO;
-    this.allowance = allowance * USED_ALLOWANCE;
+    this.ratio = ratio * RATIO_SAFETY_FACTOR;
+    this.allowance = allowance * ALLOWANCE_SAFETY_FACTOR;
     this.bucketNanos = window.toNanos() / BUCKETS;
-    this.boxes = boxes;
+    this.boxCount = boxes;
   }
 
   /** Counts a request for a service that a caller sent. */
-  public void requested(String service) {
-    window(service).requested[window(service).current()]++;
+  public void recordRequest(String service) {
+    window(service).requests[window(service).currentBucket()]++;
   }
 
   /** Returns whether something may be sent to a service again, and counts it if so. */
@@ -59,12 +59,13 @@
   /** Returns whether so many things may be sent to a service again, and counts them if so. */
   public boolean trySpend(String service, int count) {
     Window window = window(service);
-    int bucket = window.current();
-    double limit = allowance / Math.max(1, boxes.getAsInt()) + ratio * window.sum(window.requested);
-    if (window.sum(window.spent) + count > limit) {
+    int bucket = window.currentBucket();
+    double limit =
+        allowance / Math.max(1, boxCount.getAsInt()) + ratio * window.sum(window.requests);
+    if (window.sum(window.retries) + count > limit) {
       return false;
     }
-    window.spent[bucket] += count;
+    window.retries[bucket] += count;
     return true;
   }
 
@@ -75,24 +76,24 @@
   /** Counts over the buckets of one window. */
   private final class Window {
 
-    private final int[] requested = new int[BUCKETS];
-    private final int[] spent = new int[BUCKETS];
-    private long newest = clock.nanos() / bucketNanos;
+    private final int[] requests = new int[BUCKETS];
+    private final int[] retries = new int[BUCKETS];
+    private long newestBucket = clock.nanos() / bucketNanos;
 
-    int current() {
+    int currentBucket() {
       long now = clock.nanos() / bucketNanos;
-      long passed = Math.min(BUCKETS, now - newest);
+      long passed = Math.min(BUCKETS, now - newestBucket);
       for (long i = 1; i <= passed; i++) {
-        int bucket = Math.floorMod(newest + i, BUCKETS);
-        requested[bucket] = 0;
-        spent[bucket] = 0;
+        int bucket = Math.floorMod(newestBucket + i, BUCKETS);
+        requests[bucket] = 0;
+        retries[bucket] = 0;
       }
-      newest = Math.max(newest, now);
-      return Math.floorMod(newest, BUCKETS);
+      newestBucket = Math.max(newestBucket, now);
+      return Math.floorMod(newestBucket, BUCKETS);
     }
 
     int sum(int[] counts) {
-      current();
+      currentBucket();
       int total = 0;
       for (int count : counts) {
         total += count;
--- a/gradeledge-core/src/test/java/org/gradeledge/admission/StageTimesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/admission/StageLatenciesTests.java
@@ -5,30 +5,30 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class StageTimesTests {
+class StageLatenciesTests {
 
   private long nanos;
-  private final StageTimes times = new StageTimes(() -> nanos);
+  private final StageLatencies times = new StageLatencies(() -> nanos);
 
   @Test
   void knowsNothingOfTooFewCalls() {
     times.record(Duration.ofMillis(10).toNanos());
-    assertThat(times.typical()).isZero();
+    assertThat(times.median()).isZero();
   }
 
   @Test
   void forgetsOldCalls() {
     record(100, 500);
     record(100, 10);
-    assertThat(times.likely()).isLessThan(Duration.ofMillis(11));
+    assertThat(times.percentile90()).isLessThan(Duration.ofMillis(11));
   }
 
   @Test
   void anEstimateFadesWhileNothingCompletesSoThatItCannotRefuseForEver() {
     record(10, 900);
-    assertThat(times.likely()).isGreaterThan(Duration.ofMillis(890));
+    assertThat(times.percentile90()).isGreaterThan(Duration.ofMillis(890));
     nanos += Duration.ofSeconds(2).toNanos();
-    assertThat(times.likely()).isLessThan(Duration.ofMillis(5));
+    assertThat(times.percentile90()).isLessThan(Duration.ofMillis(5));
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/admission/StageLimiterTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/admission/StageLimiterTests.java
@@ -21,7 +21,7 @@
   private static final Duration LONG = Duration.ofMinutes(5);
   private static final int LONG_QUEUE = 5_000;
 
-  private final StageTimes times = new StageTimes(MonotonicClock.system());
+  private final StageLatencies times = new StageLatencies(MonotonicClock.system());
   private final StageLimiter limiter = new StageLimiter("rank", 1, times);
   private final List<String> started = new ArrayList<>();
   private final List<Runnable> releases = new ArrayList<>();
@@ -96,7 +96,7 @@
     leaving.dispose();
     releases.get(0).run();
     assertThat(started).containsExactly("a", "c");
-    assertThat(limiter.queued()).isZero();
+    assertThat(limiter.queueLength()).isZero();
   }
 
   @Test
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/ArrivalRatesTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/ArrivalRatesTests.java
@@ -17,15 +17,15 @@
   void aSteadyStreamIsToldAsItsRate() {
     arrive(0, 400, 25);
 
-    assertThat(rates.perSecondBefore(1)).isCloseTo(40, within(1.0));
+    assertThat(rates.ratePerSecondAbove(1)).isCloseTo(40, within(1.0));
   }
 
   @Test
   void onlyWhatIsMoreUrgentCounts() {
     arrive(1, 400, 25);
 
-    assertThat(rates.perSecondBefore(1)).isZero();
-    assertThat(rates.perSecondBefore(2)).isPositive();
+    assertThat(rates.ratePerSecondAbove(1)).isZero();
+    assertThat(rates.ratePerSecondAbove(2)).isPositive();
   }
 
   @Test
@@ -33,19 +33,19 @@
     arrive(0, 400, 25);
     nanos.addAndGet(10_000 * NANOS_OF_MILLI);
 
-    assertThat(rates.perSecondBefore(1)).isLessThan(1);
+    assertThat(rates.ratePerSecondAbove(1)).isLessThan(1);
   }
 
   @Test
   void prioritiesBeyondTheLastCountAsTheLast() {
     arrive(99, 10, 25);
 
-    assertThat(rates.perSecondBefore(100)).isPositive();
+    assertThat(rates.ratePerSecondAbove(100)).isPositive();
   }
 
   private void arrive(int priority, int times, long gapMillis) {
     for (int i = 0; i < times; i++) {
-      rates.arrived(priority, 1);
+      rates.recordArrivals(priority, 1);
       nanos.addAndGet(gapMillis * NANOS_OF_MILLI);
     }
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/CallLoadTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchAssemblerTests.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class CallLoadTests {
+class BatchAssemblerTests {
 
   private static final long RESULT = 100;
 
@@ -19,7 +19,7 @@
   void aGroupThatDoesNotFitBehindAMoreUrgentOneWaitsForACallThatTakesItWhole() {
     WaitingPieces waiting = waiting(List.of(5, 3, 2));
 
-    List<StagePiece> taken = waiting.take(7, 100 * RESULT, group -> true);
+    List<StagePiece> taken = waiting.takeBatch(7, 100 * RESULT, group -> true);
 
     assertThat(requests(taken)).containsExactly("r0", "r0", "r0", "r0", "r0", "r2", "r2");
     assertThat(waiting.size()).isEqualTo(3);
@@ -29,18 +29,20 @@
   void theMostUrgentGroupGoesInPartsWhereItDoesNotFit() {
     WaitingPieces waiting = waiting(List.of(5, 1));
 
-    assertThat(requests(waiting.take(7, 3 * RESULT, group -> true)))
+    assertThat(requests(waiting.takeBatch(7, 3 * RESULT, group -> true)))
         .containsExactly("r0", "r0", "r0");
-    assertThat(requests(waiting.take(7, 2 * RESULT, group -> true))).containsExactly("r0", "r0");
-    assertThat(requests(waiting.take(7, 2 * RESULT, group -> true))).containsExactly("r1");
+    assertThat(requests(waiting.takeBatch(7, 2 * RESULT, group -> true)))
+        .containsExactly("r0", "r0");
+    assertThat(requests(waiting.takeBatch(7, 2 * RESULT, group -> true))).containsExactly("r1");
   }
 
   @Test
   void aGroupThatWasBegunGoesOnInParts() {
     WaitingPieces waiting = waiting(List.of(1, 4));
-    waiting.take(2, 100 * RESULT, group -> group.group().requestId().equals("r1"));
+    waiting.takeBatch(2, 100 * RESULT, group -> group.group().requestId().equals("r1"));
 
-    assertThat(requests(waiting.take(2, 100 * RESULT, group -> true))).containsExactly("r0", "r1");
+    assertThat(requests(waiting.takeBatch(2, 100 * RESULT, group -> true)))
+        .containsExactly("r0", "r1");
   }
 
   @Property
@@ -51,7 +53,7 @@
     WaitingPieces waiting = waiting(groups);
     List<StagePiece> all = new ArrayList<>();
     while (!waiting.isEmpty()) {
-      List<StagePiece> taken = waiting.take(most, room * RESULT, group -> true);
+      List<StagePiece> taken = waiting.takeBatch(most, room * RESULT, group -> true);
       assertThat(taken).isNotEmpty().hasSizeLessThanOrEqualTo(Math.min(most, room));
       all.addAll(taken);
     }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
@@ -117,7 +117,7 @@
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
     assertThat(caller.hasNoCalls()).isTrue();
 
-    loop.submit(() -> coordinator.free(List.of("10.0.0.1:1/a"))).sync();
+    loop.submit(() -> coordinator.release(List.of("10.0.0.1:1/a"))).sync();
     FakeUpstreamCaller.Call free = caller.nextCall();
     assertThat(caller.hasNoCalls()).isTrue();
     answer(free, "");
@@ -154,7 +154,7 @@
     answer(caller.nextCall(), "10.0.0.1:1/a");
     assertThat(loop.submit(board::ownLoads).get()).containsEntry("u1", new BoxLoad(0, 100));
 
-    loop.submit(() -> coordinator.free(List.of("10.0.0.1:1/a"))).sync();
+    loop.submit(() -> coordinator.release(List.of("10.0.0.1:1/a"))).sync();
     answer(caller.nextCall(), "");
 
     assertThat(loop.submit(board::ownLoads).get()).isEmpty();
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/CoordinatorFixture.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/CoordinatorFixture.java
@@ -35,7 +35,7 @@
         .box("box", loop, clock)
         .upstreams(upstreams, service -> limits.get())
         .calls(caller, new FakeStageProtocol())
-        .beliefs(
+        .loadAndRetries(
             board,
             new RetryBudget(clock, 0, allowance, Duration.ofSeconds(10), () -> 1),
             EventLogs.silent())
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/FakeStageProtocol.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/FakeStageProtocol.java
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public OutgoingRequest encodeFree(UpstreamRecord target, List<String> handles) {
+  public OutgoingRequest encodeRelease(UpstreamRecord target, List<String> handles) {
     return request("/free", String.join(" ", handles));
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/FillBenchmark.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/FillBenchmark.java
@@ -57,7 +57,7 @@
   @Benchmark
   public List<StagePiece> sortAndTake() {
     waiting.sort(CALL_MILLIS, 0);
-    List<StagePiece> taken = waiting.take(PLACES, Long.MAX_VALUE, group -> true);
+    List<StagePiece> taken = waiting.takeBatch(PLACES, Long.MAX_VALUE, group -> true);
     waiting.addAll(taken);
     return taken;
   }
@@ -65,6 +65,6 @@
   /** Counts what goes before a group. */
   @Benchmark
   public long aheadOfAGroup() {
-    return waiting.aheadOf(last, CALL_MILLIS, 0);
+    return waiting.countAhead(last, CALL_MILLIS, 0);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/InputsTakenTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/InputsFetchedTests.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class InputsTakenTests {
+class InputsFetchedTests {
 
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
@@ -67,12 +67,12 @@
   private final class Recorder implements StageWorkListener {
 
     @Override
-    public void ended(StageGroupResult result) {
+    public void onEnd(StageGroupResult result) {
       heard.add(result.outcome().name());
     }
 
     @Override
-    public void inputsTaken() {
+    public void onInputsFetched() {
       heard.add("inputs taken");
     }
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LeavingUpstreamTests.java
@@ -34,7 +34,7 @@
 class LeavingUpstreamTests {
 
   /** The ways in which a box learns that an upstream takes no new work. */
-  enum End {
+  enum Removal {
     SAYS_THAT_IT_LEAVES(list -> list.update(2, List.of(upstream(true)), List.of())),
     ENTRY_VANISHES(list -> list.update(2, List.of(), List.of("u1"))),
     MISSING_FROM_A_WHOLE_LIST(list -> list.replaceAll(2, List.of())),
@@ -48,7 +48,7 @@
 
     private final Consumer<UpstreamRegistry> news;
 
-    End(Consumer<UpstreamRegistry> news) {
+    Removal(Consumer<UpstreamRegistry> news) {
       this.news = news;
     }
   }
@@ -67,7 +67,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void whatWaitsIsNotGivenToAnUpstreamThatHasJustEnded(End end) throws Exception {
+  void whatWaitsIsNotGivenToAnUpstreamThatHasJustEnded(Removal end) throws Exception {
     onLoop(() -> upstreams.replaceAll(1, List.of(upstream(false))));
     submit("under-way");
     assertThat(caller.nextCall().body()).isEqualTo("under-way:0");
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
@@ -30,7 +30,7 @@
   private static final BatchLimits LIMITS = new BatchLimits(1, 4, 200, 10, 1_000, 60_000);
 
   /** Admits what a test says, and counts what is sent. */
-  private static final class HandMadeRule implements SendLimiter {
+  private static final class ManualSendingRule implements SendLimiter {
 
     private final Map<String, Integer> left = new HashMap<>();
     private double perSecond = Double.POSITIVE_INFINITY;
@@ -63,17 +63,17 @@
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final HandMadeRule rule = new HandMadeRule();
+  private final ManualSendingRule rule = new ManualSendingRule();
   private final BatchCoordinator coordinator =
       BatchCoordinator.builder()
           .box("box", channel.eventLoop(), clock)
           .upstreams(upstreams, service -> Optional.of(LIMITS))
           .calls(caller, new FakeStageProtocol())
-          .beliefs(
+          .loadAndRetries(
               new UpstreamLoads(clock, EventLogs.silent()),
               new RetryBudget(clock, 0, 10, Duration.ofSeconds(10), () -> 1),
               EventLogs.silent())
-          .sending(rule)
+          .sendingRule(rule)
           .build();
 
   LimitedBatchUpstreamTests() {
@@ -109,9 +109,9 @@
   void releasesWaitAndGoTogether() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST));
     rule.left.put(FIRST.id(), 0);
-    coordinator.free(List.of("10.0.0.1:1/x"));
+    coordinator.release(List.of("10.0.0.1:1/x"));
     pass(150);
-    coordinator.free(List.of("10.0.0.1:1/y"));
+    coordinator.release(List.of("10.0.0.1:1/y"));
     pass(150);
     assertThat(caller.hasNoCalls()).isTrue();
 
@@ -128,10 +128,10 @@
   void releasesToOthersDoNotWaitForOneThatTakesNoneNow() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
     rule.left.put(FIRST.id(), 0);
-    coordinator.free(List.of("10.0.0.1:1/x"));
+    coordinator.release(List.of("10.0.0.1:1/x"));
     pass(20);
 
-    coordinator.free(List.of("10.0.0.1:2/y"));
+    coordinator.release(List.of("10.0.0.1:2/y"));
     pass(10);
 
     assertThat(caller.nextCall().target()).isEqualTo(SECOND);
@@ -143,7 +143,7 @@
     upstreams.replaceAll(1, List.of(FIRST));
     rule.left.put(FIRST.id(), 0);
     rule.wait = 60_000;
-    coordinator.free(List.of("10.0.0.1:1/x"));
+    coordinator.release(List.of("10.0.0.1:1/x"));
     pass(150);
 
     rule.left.put(FIRST.id(), 1);
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/PiecesToComeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/PendingPiecesTests.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class PiecesToComeTests {
+class PendingPiecesTests {
 
-  private final PiecesToCome toCome = new PiecesToCome();
+  private final PendingPieces toCome = new PendingPieces();
 
   @Test
   void countsWhatIsAsUrgentOrMoreOfAllBoxes() {
     toCome.add("a", 0, 2);
     toCome.add("a", 2, 5);
-    toCome.told("peer", Map.of("a", List.of(1L, 10L)));
+    toCome.setPeerCounts("peer", Map.of("a", List.of(1L, 10L)));
 
     assertThat(toCome.total("a", 0)).isEqualTo(3);
     assertThat(toCome.total("a", 1)).isEqualTo(13);
@@ -29,18 +29,18 @@
     toCome.add("b", 1, 1);
     toCome.remove("b", 1, 1);
 
-    assertThat(toCome.own()).containsExactly(Map.entry("a", List.of(2L, 0L, 5L)));
+    assertThat(toCome.ownCounts()).containsExactly(Map.entry("a", List.of(2L, 0L, 5L)));
   }
 
   @Test
   void forgetsAPeerThatIsLostAndWhatIsNotToComeAnyMore() {
-    toCome.told("peer", Map.of("a", List.of(7L)));
+    toCome.setPeerCounts("peer", Map.of("a", List.of(7L)));
     toCome.add("a", 0, 4);
 
-    toCome.forget("peer");
+    toCome.removePeer("peer");
     toCome.remove("a", 0, 4);
 
     assertThat(toCome.total("a", 3)).isZero();
-    assertThat(toCome.own()).isEmpty();
+    assertThat(toCome.ownCounts()).isEmpty();
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/RestartedMakerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/RestartedBatchUpstreamTests.java
@@ -20,7 +20,7 @@
 
 /** An upstream that makes results starts again under its id, at its address, and holds nothing. */
 @Timeout(30)
-class RestartedMakerTests {
+class RestartedBatchUpstreamTests {
 
   private static final long ROOM = 1_000;
 
@@ -49,7 +49,7 @@
     onLoop(() -> upstreams.update(2, List.of(start(2)), List.of()));
 
     FakeUpstreamCaller.Call call = caller.nextCall();
-    assertThat(call.target().startedAtMillis()).isEqualTo(2);
+    assertThat(call.target().born()).isEqualTo(2);
     assertThat(call.body()).isEqualTo("waits-for-room:0");
   }
 
@@ -64,7 +64,7 @@
     answer(caller.nextCall(), "10.0.0.1:1/b");
     assertThat(results.poll(10, TimeUnit.SECONDS).outcome()).isEqualTo(StageOutcome.MADE);
 
-    onLoop(() -> coordinator.free(List.of("10.0.0.1:1/a", "10.0.0.1:1/b")));
+    onLoop(() -> coordinator.release(List.of("10.0.0.1:1/a", "10.0.0.1:1/b")));
 
     assertThat(caller.nextCall().body()).isEqualTo("10.0.0.1:1/b");
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/InProcessBoxes.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import org.gradeledge.batch.PiecesToCome;
+import org.gradeledge.batch.PendingPieces;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
@@ -145,7 +145,7 @@
             deployments,
             registry,
             new UpstreamLoads(clock, EventLogs.silent()),
-            new PiecesToCome(),
+            new PendingPieces(),
             quarantine,
             limits);
     return new BoxMesh(
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/BackingOffUpstreamTests.java
@@ -20,24 +20,24 @@
   private UpstreamBackoffs backoffs;
 
   @Test
-  void aRequestGoesToAnotherOfTheServiceWithoutWaiting() throws Exception {
-    RelayInVirtualTime box = box(RelayInVirtualTime.PLAIN, 1, 2);
-    request(1, 3_000);
+  void sendsToUpstreamThatIsNotBackingOff() throws Exception {
+    SimulatedRelay box = box(SimulatedRelay.PLAIN, 1, 2);
+    requestBackoff(1, 3_000);
 
     box.send("r1", NO_PIECES);
 
-    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
   }
 
   @Test
-  void whereAllBackOffForLongItIsRefusedAtOnceAndToldWhenTheFirstOfThemTakesRequestsAgain() {
-    RelayInVirtualTime box = box(RelayInVirtualTime.PLAIN, 1, 2);
-    request(1, 60_000);
-    request(2, 1_400);
+  void refusesAtOnceWithRetryAfterWhenAllUpstreamsBackOff() {
+    SimulatedRelay box = box(SimulatedRelay.PLAIN, 1, 2);
+    requestBackoff(1, 60_000);
+    requestBackoff(2, 1_400);
 
     box.send("r1", NO_PIECES);
 
-    assertThat(box.caller.hasNoCalls()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     assertThat(box.answers).hasSize(1);
     String[] answer = box.answers.get(0).split(" ");
     assertThat(answer[0]).isEqualTo("UPSTREAMS_LIMITED");
@@ -45,17 +45,16 @@
   }
 
   @Test
-  void whereAllThatWereAskedTurnItAwayItIsToldWhenTheFirstOfThemTakesRequestsAgain()
-      throws Exception {
-    RelayInVirtualTime box = box(RelayInVirtualTime.PLAIN, 1, 2);
+  void refusesWithRetryAfterWhenAllAttemptsAreRejected() throws Exception {
+    SimulatedRelay box = box(SimulatedRelay.PLAIN, 1, 2);
     box.send("r1", NO_PIECES);
-    request(1, 60_000);
-    box.caller.nextCall().fail(CallFailure.HELD_OFF);
-    box.run();
-    request(2, 1_400);
+    requestBackoff(1, 60_000);
+    box.upstreamCaller.nextCall().fail(CallFailure.HELD_OFF);
+    box.runPendingTasks();
+    requestBackoff(2, 1_400);
 
-    box.caller.nextCall().fail(CallFailure.HELD_OFF);
-    box.run();
+    box.upstreamCaller.nextCall().fail(CallFailure.HELD_OFF);
+    box.runPendingTasks();
 
     assertThat(box.answers).hasSize(1);
     String[] answer = box.answers.get(0).split(" ");
@@ -64,23 +63,23 @@
   }
 
   @Test
-  void whereTheEndIsNearItWaitsAndIsSentThen() throws Exception {
-    RelayInVirtualTime box = box(RelayInVirtualTime.PLAIN, 1);
-    request(1, 100);
+  void waitsForBackoffThatEndsSoon() throws Exception {
+    SimulatedRelay box = box(SimulatedRelay.PLAIN, 1);
+    requestBackoff(1, 100);
 
     box.send("r1", NO_PIECES);
-    box.pass(99);
-    assertThat(box.caller.hasNoCalls()).isTrue();
+    box.advance(99);
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     assertThat(box.answers).isEmpty();
-    box.pass(25);
+    box.advance(25);
 
-    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(1));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(1));
   }
 
   @Test
-  void whatWaitsIsNotSentAllAtOnceAndTheRestIsRefused() {
-    RelayInVirtualTime box = box(RelayInVirtualTime.PLAIN, 1);
-    request(1, 100);
+  void sendsWaitingRequestsGraduallyAndRefusesOthers() {
+    SimulatedRelay box = box(SimulatedRelay.PLAIN, 1);
+    requestBackoff(1, 100);
 
     for (int request = 0; request < 40; request++) {
       box.send("r" + request, NO_PIECES);
@@ -89,53 +88,53 @@
     int refused = box.answers.size();
     assertThat(refused).isPositive();
     for (int step = 0; step < 40; step++) {
-      box.pass(10);
+      box.advance(10);
     }
     assertThat(box.answers).as("those that wait are sent").hasSize(refused);
   }
 
   @Test
-  void noStageWorkIsBegunWhereNoUpstreamTakesTheRequestInTime() {
-    RelayInVirtualTime box = box(RelayInVirtualTime.STAGED, 1, 2);
-    request(1, 60_000);
-    request(2, 60_000);
+  void startsNoStageWorkWhenNoUpstreamAcceptsInTime() {
+    SimulatedRelay box = box(SimulatedRelay.STAGED, 1, 2);
+    requestBackoff(1, 60_000);
+    requestBackoff(2, 60_000);
 
     box.send("r1", List.of(2));
 
-    assertThat(box.stages.groups).isEmpty();
+    assertThat(box.stageWorkClient.groups).isEmpty();
     assertThat(box.answers).hasSize(1).first().asString().startsWith("UPSTREAMS_LIMITED ");
   }
 
   @Test
-  void whatStillDialledGoesToAnotherAtOnce() throws Exception {
-    RelayInVirtualTime box = box(RelayInVirtualTime.PLAIN, 1, 2);
+  void retriesUnsentAttemptAtAnotherUpstream() throws Exception {
+    SimulatedRelay box = box(SimulatedRelay.PLAIN, 1, 2);
     box.send("r1", NO_PIECES);
-    request(1, 3_000);
+    requestBackoff(1, 3_000);
 
-    box.caller.nextCall().fail(CallFailure.HELD_OFF);
-    box.run();
+    box.upstreamCaller.nextCall().fail(CallFailure.HELD_OFF);
+    box.runPendingTasks();
 
-    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
     assertThat(box.answers).isEmpty();
   }
 
   @Test
-  void aLimitedOneBesideThemIsWaitedForNoLongerThanItTakes() {
-    RelayInVirtualTime box = box(RelayInVirtualTime.PLAIN, 1, 2);
-    request(1, 100);
-    request(2, 60_000);
+  void waitsForUpstreamWithShortestBackoff() {
+    SimulatedRelay box = box(SimulatedRelay.PLAIN, 1, 2);
+    requestBackoff(1, 100);
+    requestBackoff(2, 60_000);
 
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).isEmpty();
   }
 
-  private RelayInVirtualTime box(RouteDefinition route, int... upstreams) {
+  private SimulatedRelay box(RouteDefinition route, int... upstreams) {
     UpstreamRecord[] known = new UpstreamRecord[upstreams.length];
     for (int i = 0; i < upstreams.length; i++) {
       known[i] = upstream(upstreams[i]);
     }
-    return new RelayInVirtualTime(
+    return new SimulatedRelay(
         clock -> {
           backoffs = new UpstreamBackoffs(clock, EventLogs.silent());
           return backoffs;
@@ -144,11 +143,11 @@
         known);
   }
 
-  private void request(int number, long millis) {
+  private void requestBackoff(int number, long millis) {
     backoffs.onAnswer(upstream(number), BackoffAnnouncement.requested(Duration.ofMillis(millis)));
   }
 
   private static UpstreamRecord upstream(int number) {
-    return RelayInVirtualTime.upstream(number);
+    return SimulatedRelay.upstream(number);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/EventFramerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/EventFramerTests.java
@@ -17,32 +17,32 @@
   private final EventFramer framer = new EventFramer();
 
   @Test
-  void passesOnWholeEventsOnly() {
-    assertThat(take("id: 1\ndata: a\n\nid: 2\nda")).isEqualTo("id: 1\ndata: a\n\n");
+  void returnsOnlyWholeEvents() {
+    assertThat(append("id: 1\ndata: a\n\nid: 2\nda")).isEqualTo("id: 1\ndata: a\n\n");
     assertThat(framer.lastId()).contains("1");
-    assertThat(framer.atBoundary()).isFalse();
+    assertThat(framer.isAtEventBoundary()).isFalse();
 
-    assertThat(take("ta: b\n\n")).isEqualTo("id: 2\ndata: b\n\n");
+    assertThat(append("ta: b\n\n")).isEqualTo("id: 2\ndata: b\n\n");
     assertThat(framer.lastId()).contains("2");
-    assertThat(framer.atBoundary()).isTrue();
+    assertThat(framer.isAtEventBoundary()).isTrue();
   }
 
   @Test
-  void takesLinesThatEndWithCarriageReturns() {
-    assertThat(take("id: 7\r\ndata: a\r\n\r\nid")).isEqualTo("id: 7\r\ndata: a\r\n\r\n");
+  void acceptsCarriageReturnLineEndings() {
+    assertThat(append("id: 7\r\ndata: a\r\n\r\nid")).isEqualTo("id: 7\r\ndata: a\r\n\r\n");
     assertThat(framer.lastId()).contains("7");
   }
 
   @Test
-  void anEventThatWasBrokenOffIsDropped() {
-    take("id: 1\ndata: a\n\nid: 2\nda");
+  void dropsPartialEvent() {
+    append("id: 1\ndata: a\n\nid: 2\nda");
     framer.dropPartial();
 
-    assertThat(take("id: 2\ndata: b\n\n")).isEqualTo("id: 2\ndata: b\n\n");
+    assertThat(append("id: 2\ndata: b\n\n")).isEqualTo("id: 2\ndata: b\n\n");
   }
 
   @Property(tries = 300)
-  void howTheBytesAreCutMakesNoDifference(
+  void returnsSameEventsForAnyFragmentation(
       @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 1, max = 9) Integer> cuts) {
     StringBuilder text = new StringBuilder();
     for (int i = 1; i <= 5; i++) {
@@ -53,22 +53,22 @@
     int at = 0;
     for (int i = 0; at < text.length(); i++) {
       int end = Math.min(text.length(), at + cuts.get(i % cuts.size()));
-      passedOn.append(take(fresh, text.substring(at, end)));
+      passedOn.append(append(fresh, text.substring(at, end)));
       at = end;
     }
 
     assertThat(passedOn.toString()).isEqualTo(text.toString());
     assertThat(fresh.lastId()).contains("5");
-    assertThat(fresh.atBoundary()).isTrue();
+    assertThat(fresh.isAtEventBoundary()).isTrue();
   }
 
-  private String take(String text) {
-    return take(framer, text);
+  private String append(String text) {
+    return append(framer, text);
   }
 
-  private static String take(EventFramer target, String text) {
+  private static String append(EventFramer target, String text) {
     ByteBuf bytes = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-    ByteBuf events = target.take(bytes);
+    ByteBuf events = target.append(bytes);
     String result = events.toString(StandardCharsets.UTF_8);
     events.release();
     bytes.release();
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/FakeStageWorkClient.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/FakeStageWorkClient.java
@@ -20,36 +20,36 @@
   final List<StageGroup> groups = new ArrayList<>();
   private final Map<Integer, StageWorkListener> listeners = new HashMap<>();
   final Map<String, Long> backlogs = new HashMap<>();
-  final List<String> freed = new ArrayList<>();
-  final List<String> cancelled = new ArrayList<>();
-  final Set<Integer> refusedAtOnce = new HashSet<>();
-  final Map<String, Integer> announced = new HashMap<>();
+  final List<String> releasedHandles = new ArrayList<>();
+  final List<String> cancelledServices = new ArrayList<>();
+  final Set<Integer> rejectedStages = new HashSet<>();
+  final Map<String, Integer> announcedPieces = new HashMap<>();
 
-  List<Integer> stages() {
+  List<Integer> submittedStages() {
     return groups.stream().map(StageGroup::stage).toList();
   }
 
-  void make(int stage) {
+  void complete(int stage) {
     int pieces = groups.stream().filter(g -> g.stage() == stage).findFirst().orElseThrow().pieces();
     List<String> handles =
         IntStream.range(0, pieces).mapToObj(piece -> stage + "-" + piece).toList();
-    listeners.get(stage).ended(new StageGroupResult(StageOutcome.MADE, handles, "box", 0, 0));
+    listeners.get(stage).onEnd(new StageGroupResult(StageOutcome.MADE, handles, "box", 0, 0));
   }
 
   void fetchInputs(int stage) {
-    listeners.get(stage).inputsTaken();
+    listeners.get(stage).onInputsFetched();
   }
 
-  void end(int stage, StageOutcome outcome) {
-    listeners.get(stage).ended(new StageGroupResult(outcome, List.of(), "box", 0, 0));
+  void fail(int stage, StageOutcome outcome) {
+    listeners.get(stage).onEnd(new StageGroupResult(outcome, List.of(), "box", 0, 0));
   }
 
   @Override
   public void submit(StageGroup group, StageWorkListener listener) {
     groups.add(group);
     listeners.put(group.stage(), listener);
-    if (refusedAtOnce.contains(group.stage())) {
-      end(group.stage(), StageOutcome.LATE);
+    if (rejectedStages.contains(group.stage())) {
+      fail(group.stage(), StageOutcome.LATE);
     }
   }
 
@@ -60,12 +60,12 @@
 
   @Override
   public void announce(String service, int priority, int pieces) {
-    count(service, pieces);
+    addAnnounced(service, pieces);
   }
 
   @Override
   public void withdraw(String service, int priority, int pieces) {
-    count(service, -pieces);
+    addAnnounced(service, -pieces);
   }
 
   @Override
@@ -75,20 +75,20 @@
 
   @Override
   public void cancel(String service, String requestId) {
-    cancelled.add(service);
+    cancelledServices.add(service);
   }
 
   @Override
-  public void free(String service, List<String> handles) {
-    freed.addAll(handles);
+  public void release(String service, List<String> handles) {
+    releasedHandles.addAll(handles);
   }
 
-  private void count(String service, int pieces) {
-    int sum = announced.getOrDefault(service, 0) + pieces;
+  private void addAnnounced(String service, int pieces) {
+    int sum = announcedPieces.getOrDefault(service, 0) + pieces;
     if (sum == 0) {
-      announced.remove(service);
+      announcedPieces.remove(service);
     } else {
-      announced.put(service, sum);
+      announcedPieces.put(service, sum);
     }
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/QuarantinedRequestTests.java
@@ -1,7 +1,7 @@
 package org.gradeledge.relay;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gradeledge.relay.RelayInVirtualTime.upstream;
+import static org.gradeledge.relay.SimulatedRelay.upstream;
 
 import java.time.Duration;
 import java.util.List;
@@ -16,80 +16,79 @@
 
   private static final List<Integer> NO_PIECES = List.of();
 
-  private final RelayInVirtualTime box =
-      new RelayInVirtualTime(RelayInVirtualTime.PLAIN, upstream(1), upstream(2), upstream(3));
+  private final SimulatedRelay box =
+      new SimulatedRelay(SimulatedRelay.PLAIN, upstream(1), upstream(2), upstream(3));
 
   @Test
-  void oneThatIsHeldBackIsRefusedAtOnceAndToldForHowLong() {
+  void refusesQuarantinedRequestWithRetryAfter() {
     box.trials.untilNext = Optional.of(Duration.ofMinutes(9));
-    endElsewhere(box, "a", "b", "c");
+    recordCrashes(box, "a", "b", "c");
 
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).containsExactly("QUARANTINED 540000");
-    assertThat(box.caller.hasNoCalls()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
   }
 
   @Test
-  void noStageWorkIsBegunForIt() {
-    RelayInVirtualTime staged = new RelayInVirtualTime(RelayInVirtualTime.STAGED, upstream(1));
-    endElsewhere(staged, "a", "b", "c");
+  void startsNoStageWorkForQuarantinedRequest() {
+    SimulatedRelay staged = new SimulatedRelay(SimulatedRelay.STAGED, upstream(1));
+    recordCrashes(staged, "a", "b", "c");
 
     staged.send("r1", List.of(2));
 
-    assertThat(staged.stages.groups).isEmpty();
+    assertThat(staged.stageWorkClient.groups).isEmpty();
     assertThat(staged.answers).containsExactly("QUARANTINED 3600000");
   }
 
   @Test
-  void stageWorkThatWaitsIsGivenUpAtTheMomentOfTheVerdict() {
-    RelayInVirtualTime staged = new RelayInVirtualTime(RelayInVirtualTime.STAGED, upstream(1));
+  void cancelsStageWorkWhenRequestIsQuarantined() {
+    SimulatedRelay staged = new SimulatedRelay(SimulatedRelay.STAGED, upstream(1));
     staged.send("r1", List.of(2));
-    assertThat(staged.stages.groups).hasSize(1);
+    assertThat(staged.stageWorkClient.groups).hasSize(1);
 
-    endElsewhere(staged, "a", "b", "c");
+    recordCrashes(staged, "a", "b", "c");
 
     assertThat(staged.answers).containsExactly("QUARANTINED 3600000");
-    assertThat(staged.stages.cancelled).contains("service");
-    assertThat(staged.caller.hasNoCalls()).isTrue();
+    assertThat(staged.stageWorkClient.cancelledServices).contains("service");
+    assertThat(staged.upstreamCaller.hasNoCalls()).isTrue();
   }
 
   @Test
-  void theFirstEndUnderARequestDoesNotHoldItUp() throws Exception {
+  void retriesAtOnceAfterFirstLostConnection() throws Exception {
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.nextCall());
+    loseConnection(box.upstreamCaller.nextCall());
 
-    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
     assertThat(box.answers).isEmpty();
   }
 
   @Test
-  void oneUnderWhichOthersHaveEndedIsSentOnOnlyOnceItIsKnownWhetherThisIsOneMore()
-      throws Exception {
-    endElsewhere(box, "a", "b");
+  void waitsForLivenessCheckWhenRequestIsSuspect() throws Exception {
+    recordCrashes(box, "a", "b");
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.nextCall());
-    assertThat(box.caller.hasNoCalls()).isTrue();
+    loseConnection(box.upstreamCaller.nextCall());
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
 
-    box.caller.completeProbes();
-    box.run();
+    box.upstreamCaller.completeProbes();
+    box.runPendingTasks();
 
-    assertThat(box.caller.hasNoCalls()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     assertThat(box.answers).containsExactly("BROKEN ");
     assertThat(box.quarantine.isQuarantined(box.fingerprint())).isTrue();
   }
 
   @Test
-  void whereOnlyTheConnectionWasLostItIsSentToAnother() throws Exception {
-    endElsewhere(box, "a", "b");
-    box.caller.setProbeResult(upstream(1), LivenessResult.THERE);
+  void retriesSuspectRequestWhenUpstreamIsAlive() throws Exception {
+    recordCrashes(box, "a", "b");
+    box.upstreamCaller.setProbeResult(upstream(1), LivenessResult.THERE);
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.nextCall());
+    loseConnection(box.upstreamCaller.nextCall());
 
-    box.caller.completeProbes();
-    box.run();
+    box.upstreamCaller.completeProbes();
+    box.runPendingTasks();
 
-    FakeUpstreamCaller.Call second = box.caller.nextCall();
+    FakeUpstreamCaller.Call second = box.upstreamCaller.nextCall();
     assertThat(second.target()).isEqualTo(upstream(2));
     second.respond(200, "ok");
     assertThat(box.answers).containsExactly("200");
@@ -98,75 +97,75 @@
 
   /** A box that is cut off takes nobody to have ended. */
   @Test
-  void anUpstreamThatIsSilentHasNotEnded() throws Exception {
-    box.caller.setProbeResult(upstream(1), LivenessResult.SILENT);
+  void doesNotCountSilentUpstreamAsCrashed() throws Exception {
+    box.upstreamCaller.setProbeResult(upstream(1), LivenessResult.SILENT);
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.nextCall());
-    box.caller.completeProbes();
+    loseConnection(box.upstreamCaller.nextCall());
+    box.upstreamCaller.completeProbes();
 
     assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
   }
 
   /** It cuts what still runs there when it ends, and that says nothing of the requests. */
   @Test
-  void anUpstreamThatEndsAsPlannedHasNotCrashed() throws Exception {
+  void doesNotCountPlannedStopAsCrash() throws Exception {
     box.send("r1", NO_PIECES);
     box.upstreams.update(2, List.of(), List.of("u1"));
-    breakOff(box.caller.nextCall());
-    box.caller.completeProbes();
+    loseConnection(box.upstreamCaller.nextCall());
+    box.upstreamCaller.completeProbes();
 
     assertThat(box.quarantine.crashCount(box.fingerprint())).isZero();
-    assertThat(box.caller.probed()).isEmpty();
-    assertThat(box.caller.nextCall().target()).isEqualTo(upstream(2));
+    assertThat(box.upstreamCaller.probed()).isEmpty();
+    assertThat(box.upstreamCaller.nextCall().target()).isEqualTo(upstream(2));
   }
 
   @Test
-  void aTrialIsOneSendAndAWholeAnswerLetsTheRequestGo() throws Exception {
-    endElsewhere(box, "a", "b", "c");
+  void releasesRequestAfterSuccessfulTrial() throws Exception {
+    recordCrashes(box, "a", "b", "c");
     box.trials.untilNext = Optional.of(Duration.ZERO);
     box.trials.granted = true;
 
     box.send("r1", NO_PIECES);
-    box.caller.nextCall().respond(200, "ok");
+    box.upstreamCaller.nextCall().respond(200, "ok");
 
     assertThat(box.answers).containsExactly("200");
     assertThat(box.quarantine.isQuarantined(box.fingerprint())).isFalse();
   }
 
   @Test
-  void aTrialThatEndsItsUpstreamIsNotFollowedByAnotherSend() throws Exception {
-    endElsewhere(box, "a", "b", "c");
+  void doesNotRetryTrialThatCrashesUpstream() throws Exception {
+    recordCrashes(box, "a", "b", "c");
     box.trials.untilNext = Optional.of(Duration.ZERO);
     box.trials.granted = true;
     box.send("r1", NO_PIECES);
-    breakOff(box.caller.nextCall());
-    box.caller.completeProbes();
-    box.run();
+    loseConnection(box.upstreamCaller.nextCall());
+    box.upstreamCaller.completeProbes();
+    box.runPendingTasks();
 
-    assertThat(box.caller.hasNoCalls()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
     assertThat(box.answers).containsExactly("BROKEN ");
   }
 
   @Test
-  void aTrialThatIsGivenToAnotherBoxIsARefusal() {
-    endElsewhere(box, "a", "b", "c");
+  void refusesWhenTrialIsGrantedToAnotherBox() {
+    recordCrashes(box, "a", "b", "c");
     box.trials.untilNext = Optional.of(Duration.ZERO);
 
     box.send("r1", NO_PIECES);
 
     assertThat(box.answers).containsExactly("QUARANTINED 0");
-    assertThat(box.caller.hasNoCalls()).isTrue();
+    assertThat(box.upstreamCaller.hasNoCalls()).isTrue();
   }
 
-  private void breakOff(FakeUpstreamCaller.Call call) {
+  private void loseConnection(FakeUpstreamCaller.Call call) {
     call.fail(CallFailure.BROKEN);
-    box.run();
+    box.runPendingTasks();
   }
 
-  private static void endElsewhere(RelayInVirtualTime relay, String... starts) {
+  private static void recordCrashes(SimulatedRelay relay, String... starts) {
     for (String start : starts) {
       relay.quarantine.recordCrash(relay.fingerprint(), start);
     }
-    relay.run();
+    relay.runPendingTasks();
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/ReactorCallerResponseTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/ReactorCallerResponseTests.java
@@ -10,8 +10,8 @@
 class ReactorCallerResponseTests {
 
   @Property(tries = 500)
-  void secondsAreTheMilliseconds(@ForAll @LongRange(max = 100_000) long millis) {
-    String seconds = ReactorCallerResponse.seconds(millis);
+  void formatsMillisecondsAsSeconds(@ForAll @LongRange(max = 100_000) long millis) {
+    String seconds = ReactorCallerResponse.formatSeconds(millis);
 
     assertThat(new BigDecimal(seconds)).isEqualByComparingTo(BigDecimal.valueOf(millis, 3));
     assertThat(seconds).matches("\\d+\\.\\d{3}");
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/RelayInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
@@ -18,10 +18,10 @@
 import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.OutgoingRequest;
 import org.gradeledge.deployment.DeploymentRegistry;
-import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
 import org.gradeledge.deployment.RouteDefinition;
 import org.gradeledge.deployment.StageWork;
+import org.gradeledge.deployment.TestDeployments;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
@@ -37,17 +37,18 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /** The relay of one box between a caller and upstreams that a test plays, in virtual time. */
-final class RelayInVirtualTime implements CallerResponse {
+final class SimulatedRelay implements CallerResponse {
 
   static final String HOST = "host";
   static final String PATH = "/path/x";
 
   /** A route of requests that may be repeated. */
-  static final RouteDefinition PLAIN = Deployments.route(HOST, "/path/", Repeatability.REPEATABLE);
+  static final RouteDefinition PLAIN =
+      TestDeployments.route(HOST, "/path/", Repeatability.REPEATABLE);
 
   /** The same with a stage before. */
   static final RouteDefinition STAGED =
-      Deployments.route(
+      TestDeployments.route(
           HOST,
           "/path/",
           Repeatability.REPEATABLE,
@@ -58,17 +59,17 @@
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowMillis = 1_000_000;
   private final MonotonicClock clock = () -> TimeUnit.MILLISECONDS.toNanos(nowMillis);
-  final FakeUpstreamCaller caller = new FakeUpstreamCaller();
-  final FakeStageWorkClient stages = new FakeStageWorkClient();
+  final FakeUpstreamCaller upstreamCaller = new FakeUpstreamCaller();
+  final FakeStageWorkClient stageWorkClient = new FakeStageWorkClient();
   final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
   final Quarantine quarantine = new Quarantine(clock);
-  final HandMadeTrials trials = new HandMadeTrials();
+  final ControlledTrials trials = new ControlledTrials();
   final List<String> answers = new ArrayList<>();
   private final RelayHandler handler;
-  private RelayHandler.Running running = () -> {};
+  private RelayHandler.ActiveRequest activeRequest = () -> {};
 
   /** Trials as a test grants them. */
-  static final class HandMadeTrials implements QuarantineTrials {
+  static final class ControlledTrials implements QuarantineTrials {
 
     Optional<Duration> untilNext = Optional.empty();
     boolean granted;
@@ -84,18 +85,18 @@
     }
   }
 
-  RelayInVirtualTime(RouteDefinition route, UpstreamRecord... known) {
+  SimulatedRelay(RouteDefinition route, UpstreamRecord... known) {
     this(clock -> SendLimiter.UNLIMITED, route, known);
   }
 
   /** Creates it with a rule on what may be sent, which goes by the virtual time. */
-  RelayInVirtualTime(
+  SimulatedRelay(
       Function<MonotonicClock, SendLimiter> rule, RouteDefinition route, UpstreamRecord... known) {
     SendLimiter sending = rule.apply(clock);
     channel.freezeTime();
     DeploymentRegistry deployments =
         new DeploymentRegistry(
-            document -> Either.right(Deployments.of(1, route)), EventLogs.silent());
+            document -> Either.right(TestDeployments.of(1, route)), EventLogs.silent());
     deployments.offer(new byte[1], "test");
     upstreams.replaceAll(1, List.of(known));
     UpstreamLoads board = new UpstreamLoads(clock, EventLogs.silent());
@@ -110,12 +111,12 @@
             (candidates, demand) -> candidates.stream().findFirst(),
             sending,
             new RetryBudget(clock, 1, 100, Duration.ofSeconds(10), () -> 1),
-            caller,
-            new LivenessChecker(caller, upstreams::hasLeft),
+            upstreamCaller,
+            new LivenessChecker(upstreamCaller, upstreams::hasLeft),
             quarantine,
             trials,
-            new PlainProtocol(),
-            stages,
+            new PassThroughProtocol(),
+            stageWorkClient,
             new RelayMetrics(),
             EventLogs.silent());
     this.handler = new RelayHandler(services);
@@ -132,7 +133,7 @@
 
   /** A caller sends the same request as always. */
   void send(String id, List<Integer> pieces) {
-    running =
+    activeRequest =
         handler.handle(
             new RelayRequest(
                 id,
@@ -150,13 +151,13 @@
                 pieces,
                 Optional.of("piece-key")),
             this);
-    run();
+    runPendingTasks();
   }
 
   /** The caller of the request that was sent last closes its connection. */
-  void callerGone() {
-    running.callerGone();
-    run();
+  void disconnectCaller() {
+    activeRequest.callerDisconnected();
+    runPendingTasks();
   }
 
   RelayHandler handler() {
@@ -164,18 +165,18 @@
   }
 
   /** Lets time pass and does what is due. */
-  void pass(long millis) {
+  void advance(long millis) {
     nowMillis += millis;
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
-    run();
+    runPendingTasks();
   }
 
   /** Time goes by that no timer counts. */
-  void suspend(long millis) {
+  void suspendMachine(long millis) {
     nowMillis += millis;
   }
 
-  void run() {
+  void runPendingTasks() {
     channel.runPendingTasks();
   }
 
@@ -196,7 +197,7 @@
   }
 
   @Override
-  public void part(ByteBuf events) {
+  public void sendEvents(ByteBuf events) {
     events.release();
   }
 
@@ -211,7 +212,7 @@
   }
 
   /** Requests go as they are; no answer says that the request was not run. */
-  private static final class PlainProtocol implements RelayProtocol {
+  private static final class PassThroughProtocol implements RelayProtocol {
 
     @Override
     public Either<String, RelayRequest> read(HttpServerRequest request, byte[] body) {
@@ -219,8 +220,11 @@
     }
 
     @Override
-    public OutgoingRequest encode(
-        RelayRequest request, UpstreamRecord target, AttemptFacts facts, ConnectionReuse reuse) {
+    public OutgoingRequest encodeRequest(
+        RelayRequest request,
+        UpstreamRecord target,
+        ForwardingContext facts,
+        ConnectionReuse reuse) {
       return new OutgoingRequest(
           request.method(),
           request.uri(),
@@ -231,8 +235,8 @@
     }
 
     @Override
-    public AnswerFacts readAnswer(int status, HttpHeaders headers) {
-      return new AnswerFacts(false, false);
+    public AnswerSignals readAnswer(int status, HttpHeaders headers) {
+      return new AnswerSignals(false, false);
     }
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/StagePlanTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/StagePlanTests.java
@@ -11,11 +11,11 @@
 import org.gradeledge.batch.StageOutcome;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.deployment.Deployment;
-import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
 import org.gradeledge.deployment.RouteDefinition;
 import org.gradeledge.deployment.ServiceDefinition;
 import org.gradeledge.deployment.StageWork;
+import org.gradeledge.deployment.TestDeployments;
 import org.junit.jupiter.api.Test;
 
 class StagePlanTests {
@@ -29,132 +29,132 @@
   private static final double CALL_MILLIS = 200;
 
   private final FakeStageWorkClient client = new FakeStageWorkClient();
-  private List<StageWork> stages = STAGES;
+  private List<StageWork> stageWork = STAGES;
   private final List<String> outcomes = new ArrayList<>();
 
   @Test
-  void aStageStartsOnceThoseThatItComesAfterAreDone() {
+  void startsStageAfterItsPredecessors() {
     StagePlan plan = start(2, 1, 3);
-    assertThat(client.stages()).containsExactly(1, 0);
+    assertThat(client.submittedStages()).containsExactly(1, 0);
 
-    client.make(1);
+    client.complete(1);
 
-    assertThat(client.stages()).containsExactly(1, 0, 2);
+    assertThat(client.submittedStages()).containsExactly(1, 0, 2);
     assertThat(client.groups.get(2).inputs()).containsExactly("1-0");
     assertThat(plan.isEmpty()).isFalse();
   }
 
   @Test
-  void aStageThatHasTimeIsStartedOnceWhatIsLeftOfTheOthersIsAboutAsLong() {
-    stages =
+  void defersStageUntilDownstreamWorkIsShortEnough() {
+    stageWork =
         List.of(
             new StageWork("a", List.of(), 1_000),
             new StageWork("a", List.of(), 1_000),
             new StageWork("b", List.of(1), 1_000),
             new StageWork("b", List.of(2), 1_000));
     start(1, 1, 8, 8);
-    assertThat(client.stages()).containsExactly(1);
+    assertThat(client.submittedStages()).containsExactly(1);
 
-    client.make(1);
-    assertThat(client.stages()).containsExactly(1, 2, 0);
+    client.complete(1);
+    assertThat(client.submittedStages()).containsExactly(1, 2, 0);
   }
 
   @Test
-  void aStageBehindAQueueIsNotHeldBack() {
+  void doesNotDeferStageWithBacklog() {
     client.backlogs.put("a", 400L);
 
     start(2, 1, 3);
 
-    assertThat(client.stages()).containsExactlyInAnyOrder(0, 1);
+    assertThat(client.submittedStages()).containsExactlyInAnyOrder(0, 1);
   }
 
   @Test
-  void resultsAreGivenUpOnceTheStageThatTakesThemHasFetchedThem() {
+  void releasesResultsAfterConsumerFetchedThem() {
     start(0, 2, 3);
-    client.make(1);
-    assertThat(client.freed).isEmpty();
+    client.complete(1);
+    assertThat(client.releasedHandles).isEmpty();
 
     client.fetchInputs(2);
 
-    assertThat(client.freed).containsExactly("1-0", "1-1");
+    assertThat(client.releasedHandles).containsExactly("1-0", "1-1");
   }
 
   @Test
-  void inputsThatWereGivenUpTooEarlyAreMadeAgain() {
+  void recomputesInputsReleasedTooEarly() {
     start(0, 1, 1);
-    client.make(1);
+    client.complete(1);
     client.fetchInputs(2);
 
-    client.end(2, StageOutcome.GONE);
+    client.fail(2, StageOutcome.GONE);
 
-    assertThat(client.stages()).containsExactly(1, 2, 1);
+    assertThat(client.submittedStages()).containsExactly(1, 2, 1);
   }
 
   @Test
-  void resultsThatNoStageTakesAreHandedOn() {
+  void returnsResultsWithoutConsumers() {
     start(2, 1, 2);
-    client.make(0);
-    client.make(1);
-    client.make(2);
+    client.complete(0);
+    client.complete(1);
+    client.complete(2);
 
     assertThat(outcomes).containsExactly("done [0-0, 0-1, 2-0, 2-1]");
   }
 
   @Test
-  void aStageWithoutPiecesIsLeftOut() {
+  void skipsStageWithoutPieces() {
     start(0, 1, 1);
-    client.make(1);
-    client.make(2);
+    client.complete(1);
+    client.complete(2);
 
     assertThat(outcomes).containsExactly("done [2-0]");
   }
 
   @Test
-  void resultsAreGivenUpOnceTheyAreTaken() {
+  void releasesResultsAfterConsumerCompletes() {
     start(0, 2, 1);
-    client.make(1);
-    assertThat(client.freed).isEmpty();
+    client.complete(1);
+    assertThat(client.releasedHandles).isEmpty();
 
-    client.make(2);
+    client.complete(2);
 
-    assertThat(client.freed).containsExactly("1-0", "1-1");
+    assertThat(client.releasedHandles).containsExactly("1-0", "1-1");
   }
 
   @Test
-  void anInputThatIsGoneIsMadeAgain() {
+  void recomputesMissingInput() {
     start(0, 1, 1);
-    client.make(1);
-    client.end(2, StageOutcome.GONE);
-    assertThat(client.stages()).containsExactly(1, 2, 1);
+    client.complete(1);
+    client.fail(2, StageOutcome.GONE);
+    assertThat(client.submittedStages()).containsExactly(1, 2, 1);
 
-    client.make(1);
-    client.make(2);
+    client.complete(1);
+    client.complete(2);
 
     assertThat(outcomes).containsExactly("done [2-0]");
   }
 
   @Test
-  void nothingMoreIsStartedOnceAStageWasRefusedAtOnce() {
-    client.refusedAtOnce.add(0);
+  void startsNoFurtherStageAfterRejection() {
+    client.rejectedStages.add(0);
     start(1, 1, 1);
 
-    assertThat(client.stages()).containsExactly(1, 0);
-    assertThat(client.cancelled).containsExactly("a");
+    assertThat(client.submittedStages()).containsExactly(1, 0);
+    assertThat(client.cancelledServices).containsExactly("a");
     assertThat(outcomes).containsExactly("failed 0 LATE");
   }
 
   @Test
-  void aStageThatFailsEndsThePlanAndGivesUpWhatWasMade() {
+  void failsPlanAndReleasesResultsWhenStageFails() {
     start(1, 1, 1);
-    client.make(0);
-    client.end(1, StageOutcome.FAILED);
+    client.complete(0);
+    client.fail(1, StageOutcome.FAILED);
 
     assertThat(outcomes).containsExactly("failed 1 FAILED");
-    assertThat(client.freed).containsExactly("0-0");
+    assertThat(client.releasedHandles).containsExactly("0-0");
   }
 
   @Test
-  void whatWouldComeLateBehindALaterServicesQueueIsRefusedBeforeAnythingIsDone() {
+  void rejectsBeforeStartWhenLaterBacklogIsTooLong() {
     client.backlogs.put("b", 5_000L);
 
     start(0, 1, 1);
@@ -164,49 +164,49 @@
   }
 
   @Test
-  void whatWaitsLessUrgentlyDoesNotCount() {
+  void ignoresBacklogOfLowerPriority() {
     client.backlogs.put("b", 5_000L);
 
     start(0, new Integer[] {0, 1, 1});
 
-    assertThat(client.stages()).containsExactly(1);
+    assertThat(client.submittedStages()).containsExactly(1);
   }
 
   @Test
-  void aLaterServicesQueueIsWorkedOffWhileEarlierStagesAreUnderWay() {
+  void overlapsLaterBacklogWithEarlierStages() {
     client.backlogs.put("b", 1_200L);
     client.backlogs.put("a", 1_000L);
 
     start(0, 1, 1);
 
-    assertThat(client.stages()).containsExactly(1);
+    assertThat(client.submittedStages()).containsExactly(1);
   }
 
   @Test
-  void piecesOfLaterStagesAreAnnouncedUntilTheyAreSubmitted() {
+  void announcesPiecesUntilSubmitted() {
     start(2, 1, 3);
-    assertThat(client.announced).containsExactly(Map.entry("b", 3));
+    assertThat(client.announcedPieces).containsExactly(Map.entry("b", 3));
 
-    client.make(1);
+    client.complete(1);
 
-    assertThat(client.announced).isEmpty();
+    assertThat(client.announcedPieces).isEmpty();
   }
 
   @Test
-  void aPlanThatEndsTakesItsAnnouncementsBack() {
+  void withdrawsAnnouncementsWhenCancelled() {
     StagePlan plan = start(2, 1, 3);
     plan.cancel();
 
-    assertThat(client.announced).isEmpty();
+    assertThat(client.announcedPieces).isEmpty();
   }
 
   @Test
-  void aCancelledPlanGivesUpWhatComesAfterwards() {
+  void releasesResultsThatArriveAfterCancellation() {
     StagePlan plan = start(1, 1, 1);
     plan.cancel();
-    client.make(0);
+    client.complete(0);
 
-    assertThat(client.freed).containsExactly("0-0");
+    assertThat(client.releasedHandles).containsExactly("0-0");
     assertThat(outcomes).isEmpty();
   }
 
@@ -215,7 +215,8 @@
   }
 
   private StagePlan start(int priority, Integer[] pieces) {
-    RouteDefinition route = Deployments.route("host", "/", Repeatability.RESUMABLE_STREAM, stages);
+    RouteDefinition route =
+        TestDeployments.route("host", "/", Repeatability.RESUMABLE_STREAM, stageWork);
     RelayRequest request =
         new RelayRequest(
             "request",
@@ -244,7 +245,7 @@
   }
 
   private static Deployment deployment(RouteDefinition route) {
-    Deployment plain = Deployments.of(1, route);
+    Deployment plain = TestDeployments.of(1, route);
     BatchLimits limits = new BatchLimits(1, 8, CALL_MILLIS, 0, 1_000_000, 4_000);
     return new Deployment(
         plain.revision(),
@@ -252,7 +253,7 @@
         Map.of("a", service("a", limits), "b", service("b", limits)),
         plain.accounts(),
         plain.keysRequired(),
-        plain.bounds(),
+        plain.callerLimits(),
         plain.document());
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
@@ -1,12 +1,12 @@
 package org.gradeledge.relay;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.gradeledge.relay.RelayInVirtualTime.upstream;
+import static org.gradeledge.relay.SimulatedRelay.upstream;
 
 import java.util.List;
 import org.gradeledge.connection.FakeUpstreamCaller;
-import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
+import org.gradeledge.deployment.TestDeployments;
 import org.junit.jupiter.api.Test;
 
 /** Requests that are under way while the machine is suspended; the timers count none of it. */
@@ -15,29 +15,29 @@
   private static final List<Integer> NO_PIECES = List.of();
   private static final long TIMEOUT_MILLIS = 2_000;
 
-  private final RelayInVirtualTime box =
-      new RelayInVirtualTime(
-          Deployments.route(RelayInVirtualTime.HOST, "/path/", Repeatability.ONCE), upstream(1));
+  private final SimulatedRelay box =
+      new SimulatedRelay(
+          TestDeployments.route(SimulatedRelay.HOST, "/path/", Repeatability.ONCE), upstream(1));
 
   @Test
-  void whatIsPastItsTimeIsGivenUpOnWaking() throws Exception {
+  void failsOverdueRequestsAfterResume() throws Exception {
     box.send("r1", NO_PIECES);
-    FakeUpstreamCaller.Call call = box.caller.nextCall();
-    box.suspend(TIMEOUT_MILLIS);
+    FakeUpstreamCaller.Call call = box.upstreamCaller.nextCall();
+    box.suspendMachine(TIMEOUT_MILLIS);
 
-    box.handler().wokeUp();
+    box.handler().expireOverdue();
 
     assertThat(box.answers).containsExactly("LATE ");
     assertThat(call.isCancelled()).isTrue();
   }
 
   @Test
-  void whatHasTimeLeftGoesOn() throws Exception {
+  void continuesRequestsWithTimeLeft() throws Exception {
     box.send("r1", NO_PIECES);
-    FakeUpstreamCaller.Call call = box.caller.nextCall();
-    box.suspend(TIMEOUT_MILLIS - 1);
+    FakeUpstreamCaller.Call call = box.upstreamCaller.nextCall();
+    box.suspendMachine(TIMEOUT_MILLIS - 1);
 
-    box.handler().wokeUp();
+    box.handler().expireOverdue();
     assertThat(box.answers).isEmpty();
     call.respond(200, "ok");
 
@@ -46,16 +46,16 @@
 
   /** Its time counts from when it came, by the true time: no timer has fired since waking. */
   @Test
-  void theFirstRequestAfterWakingHasItsWholeTime() throws Exception {
+  void startsTimeoutOfNewRequestAfterResume() throws Exception {
     box.send("r1", NO_PIECES);
-    box.caller.nextCall();
-    box.suspend(10 * TIMEOUT_MILLIS);
+    box.upstreamCaller.nextCall();
+    box.suspendMachine(10 * TIMEOUT_MILLIS);
 
     box.send("r2", NO_PIECES);
-    box.handler().wokeUp();
+    box.handler().expireOverdue();
 
     assertThat(box.answers).containsExactly("LATE ");
-    box.caller.nextCall().respond(200, "ok");
+    box.upstreamCaller.nextCall().respond(200, "ok");
     assertThat(box.answers).containsExactly("LATE ", "200");
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/retry/RetryBudgetTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/retry/RetryBudgetTests.java
@@ -25,7 +25,7 @@
   @Test
   void requestsTakenAllowMore() {
     long without = spendAll("a");
-    IntStream.range(0, 100).forEach(i -> budget.requested("b"));
+    IntStream.range(0, 100).forEach(i -> budget.recordRequest("b"));
 
     assertThat(spendAll("b")).isGreaterThan(without).isLessThanOrEqualTo(without + 20);
   }
