--- a/gradeledge-box/src/main/java/org/gradeledge/box/BoxCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/BoxCommand.java
@@ -34,7 +34,8 @@
         .fold(
             faults -> {
               faults.forEach(
-                  fault -> spec.commandLine().getErr().println(settingsFile + " " + fault.line()));
+                  fault ->
+                      spec.commandLine().getErr().println(settingsFile + " " + fault.toLine()));
               return ExitCode.INVALID.code();
             },
             settings -> checkOnly ? ExitCode.OK.code() : run(settings));
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/load/LoadRun.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/load/LoadRun.java
@@ -68,7 +68,7 @@
 
   private Mono<Outcome> send(int number, Target target, long dueNanos) {
     String text = SampleTexts.of(target.file().pipeline(), number);
-    Duration accountDeadline = target.account().deadline();
+    Duration accountDeadline = target.account().maxDeadline();
     Duration deadline = accountDeadline.compareTo(maxDeadline) < 0 ? accountDeadline : maxDeadline;
     return client
         .headers(
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import org.gradeledge.adapter.PlatformBox;
+import org.gradeledge.adapter.PlatformBoxFactory;
 import org.gradeledge.event.EventLog;
 import org.gradeledge.node.RelayBox;
 import reactor.netty.resources.LoopResources;
@@ -78,7 +78,7 @@
     byte[] settings =
         FleetConfiguration.settings(ports, store.address(), seeds())
             .getBytes(StandardCharsets.UTF_8);
-    RelayBox box = PlatformBox.create(settings, resources, events);
+    RelayBox box = PlatformBoxFactory.create(settings, resources, events);
     box.start().block(LIMIT);
     loops.add(resources);
     boxes.add(box);
