--- a/gradeledge-box/src/main/java/org/gradeledge/box/ApplyCommand.java
+++ b/gradeledge-box/src/main/java/org/gradeledge/box/ApplyCommand.java
@@ -13,18 +13,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Submits a whole pipeline file. */
+/** Submits a pipeline file as a new version of its pipeline. */
 @Command(
     name = "apply",
     mixinStandardHelpOptions = true,
-    description = "Submits a pipeline file; it takes effect everywhere or is refused.")
+    description = "Submits a pipeline file; it takes effect on all boxes or is refused.")
 final class ApplyCommand extends AbstractOperatorCommand {
 
   private static final int OK = 200;
-  private static final int UNKNOWN = 202;
-  private static final int LOST_RACE = 409;
-  private static final int STALE_BASE = 412;
-  private static final int INVALID = 422;
+  private static final int ACCEPTED = 202;
+  private static final int CONFLICT = 409;
+  private static final int PRECONDITION_FAILED = 412;
+  private static final int UNPROCESSABLE_CONTENT = 422;
 
   @Parameters(paramLabel = "FILE", description = "Pipeline file, JSON.")
   private Path file;
@@ -32,31 +32,31 @@
   @Option(
       names = "--base",
       paramLabel = "N",
-      description = "Version that it replaces; a new pipeline where not given.")
-  private long base;
+      description = "Version to replace; omit it to create a new pipeline.")
+  private long baseVersion;
 
   @Option(
       names = "--submission-id",
       paramLabel = "UUID",
-      description = "The same id again gives the same verdict; random where not given.")
+      description = "Id for idempotent retries; random by default.")
   private UUID submissionId = UUID.randomUUID();
 
   @Override
   OperatorClient.Reply call(OperatorClient client) {
     try {
       byte[] text = Files.readAllBytes(file);
-      JsonNode name = JsonMappers.json().readTree(text).path("pipeline");
+      JsonNode pipeline = JsonMappers.json().readTree(text).path("pipeline");
       return client.call(
           HttpMethod.PUT,
-          "/v1/pipelines/" + name.asText("unnamed"),
+          "/v1/pipelines/" + pipeline.asText("unnamed"),
           Map.of(
-              base == 0 ? "If-None-Match" : "If-Match",
-              base == 0 ? "*" : "\"" + base + "\"",
+              baseVersion == 0 ? "If-None-Match" : "If-Match",
+              baseVersion == 0 ? "*" : "\"" + baseVersion + "\"",
               "Gradeledge-Submission-Id",
               submissionId.toString()),
           text);
     } catch (IOException e) {
-      throw new UncheckedIOException(file + " must be a readable JSON file", e);
+      throw new UncheckedIOException(file + " is not a readable JSON file", e);
     }
   }
 
@@ -64,10 +64,10 @@
   ExitCode exitCode(OperatorClient.Reply reply) {
     return switch (reply.status()) {
       case OK -> ExitCode.OK;
-      case UNKNOWN -> ExitCode.UNKNOWN;
-      case LOST_RACE -> ExitCode.LOST_RACE;
-      case STALE_BASE -> ExitCode.STALE_BASE;
-      case INVALID -> ExitCode.INVALID;
+      case ACCEPTED -> ExitCode.UNKNOWN;
+      case CONFLICT -> ExitCode.LOST_RACE;
+      case PRECONDITION_FAILED -> ExitCode.STALE_BASE;
+      case UNPROCESSABLE_CONTENT -> ExitCode.INVALID;
       default -> ExitCode.REFUSED;
     };
   }
--- a/gradeledge-box/src/test/java/org/gradeledge/box/MainTests.java
+++ b/gradeledge-box/src/test/java/org/gradeledge/box/MainTests.java
@@ -19,32 +19,33 @@
 class MainTests {
 
   private static final Path EXAMPLES = Path.of("..", "examples");
-  private static final String NOBODY = "127.0.0.1:1";
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
 
   @TempDir private Path directory;
   private final StringWriter out = new StringWriter();
   private final StringWriter err = new StringWriter();
 
-  static Stream<Path> examples() throws IOException {
+  static Stream<Path> exampleFiles() throws IOException {
     try (Stream<Path> files = Files.walk(EXAMPLES)) {
       return files.filter(file -> file.toString().endsWith(".json")).toList().stream();
     }
   }
 
   @ParameterizedTest
-  @MethodSource("examples")
-  void findsTheExamplesValid(Path file) {
+  @MethodSource("exampleFiles")
+  void acceptsExampleFiles(Path file) {
     assertThat(run("check", file.toString())).isZero();
   }
 
   @Test
-  void printsOneLineForEachFaultOfAFile() throws IOException {
-    Path faulty = directory.resolve("faulty.json");
-    String good = Files.readString(examples().findFirst().orElseThrow());
+  void printsOneLinePerFault() throws IOException {
+    Path invalidFile = directory.resolve("faulty.json");
+    String validText = Files.readString(exampleFiles().findFirst().orElseThrow());
     Files.writeString(
-        faulty, good.replace("\"port\": 1,", "\"port\": 0,").replace("\"slots\"", "\"slotz\""));
+        invalidFile,
+        validText.replace("\"port\": 1,", "\"port\": 0,").replace("\"slots\"", "\"slotz\""));
 
-    assertThat(run("check", faulty.toString())).isEqualTo(2);
+    assertThat(run("check", invalidFile.toString())).isEqualTo(2);
     List<String> lines = err.toString().lines().toList();
     assertThat(lines).allSatisfy(line -> assertThat(line).contains(" /upstreams/"));
     assertThat(lines).anySatisfy(line -> assertThat(line).contains("/upstreams/0/port"));
@@ -52,7 +53,7 @@
   }
 
   @Test
-  void startsNothingOnFaultySettings() throws IOException {
+  void rejectsInvalidSettings() throws IOException {
     Path settings = Files.writeString(directory.resolve("box.json"), "{\"boxId\":1}");
     assertThat(run("box", "--settings", settings.toString())).isEqualTo(2);
     assertThat(err.toString()).contains("/boxId");
@@ -60,25 +61,25 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"status", "audit", "drain", "show"})
-  void saysThatABoxCouldNotBeReached(String command) {
-    assertThat(run(command, "--box", NOBODY)).isEqualTo(7);
+  void returnsUnreachableExitCode(String command) {
+    assertThat(run(command, "--box", UNREACHABLE_ADDRESS)).isEqualTo(7);
   }
 
   @Test
-  void saysThatABoxCouldNotBeReachedForAFile() throws IOException {
-    String file = examples().findFirst().orElseThrow().toString();
-    assertThat(run("apply", file, "--box", NOBODY)).isEqualTo(7);
+  void applyReturnsUnreachableExitCode() throws IOException {
+    String file = exampleFiles().findFirst().orElseThrow().toString();
+    assertThat(run("apply", file, "--box", UNREACHABLE_ADDRESS)).isEqualTo(7);
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {"apply --box", "history not-a-uuid --box 127.0.0.1:1", "no-such", "check"})
-  void refusesBadArguments(String line) {
-    assertThat(run(line.split(" "))).isEqualTo(2);
+  void rejectsInvalidArguments(String arguments) {
+    assertThat(run(arguments.split(" "))).isEqualTo(2);
   }
 
   @Test
-  void helpsAndCompletes() {
+  void printsHelpAndCompletionScript() {
     assertThat(run("--help")).isZero();
     assertThat(out.toString()).contains("Exit codes:", "apply");
     assertThat(run("generate-completion")).isZero();
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EngineAnswers.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EngineResponses.java
@@ -9,8 +9,8 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Made-up answers that depend on nothing but the call, so that a wrong one shows. */
-abstract class EngineAnswers {
+/** Synthetic engine responses, determined by the request alone so that mix-ups are detected. */
+abstract class EngineResponses {
 
   private static final int DIMENSIONS = 8;
 
@@ -21,27 +21,27 @@
           "Chữ tiếng Việt có dấu: ắ ằ ẳ ẵ ặ ế ề ể ễ ệ",
           "Giấy phép phông chữ cho báo điện tử");
 
-  private EngineAnswers() {}
+  private EngineResponses() {}
 
   static ObjectNode embeddings(JsonNode body) {
     String text = body.path("input").path(0).asText();
-    ObjectNode answer = object();
-    ArrayNode vector = answer.putArray("data").addObject().putArray("embedding");
+    ObjectNode response = newObject();
+    ArrayNode vector = response.putArray("data").addObject().putArray("embedding");
     for (int i = 0; i < DIMENSIONS; i++) {
       vector.add(Math.floorMod(text.hashCode() * 31 + i * 17, 1_000) / 1_000.0);
     }
-    answer.putObject("usage").put("prompt_tokens", words(text).size());
-    return answer;
+    response.putObject("usage").put("prompt_tokens", words(text).size());
+    return response;
   }
 
   static ObjectNode retrieve(JsonNode body) {
-    ObjectNode answer = object();
-    ArrayNode documents = answer.putArray("documents");
+    ObjectNode response = newObject();
+    ArrayNode documents = response.putArray("documents");
     documents.addObject().put("id", "query").put("text", body.path("query").asText());
     for (int i = 0; i < DOCUMENTS.size(); i++) {
       documents.addObject().put("id", "document-" + i).put("text", DOCUMENTS.get(i));
     }
-    return answer;
+    return response;
   }
 
   static ObjectNode rerank(JsonNode body) {
@@ -55,41 +55,43 @@
                   words(document.path("text").asText()).stream().filter(query::contains).count();
               documents.add(scored.put("relevance_score", shared));
             });
-    documents.sort(Comparator.comparingLong((ObjectNode d) -> -d.path("relevance_score").asLong()));
-    ObjectNode answer = object();
-    answer.putArray("results").addAll(documents);
-    return answer;
+    documents.sort(
+        Comparator.comparingLong(
+            (ObjectNode document) -> -document.path("relevance_score").asLong()));
+    ObjectNode response = newObject();
+    response.putArray("results").addAll(documents);
+    return response;
   }
 
   static ObjectNode service(JsonNode body, String idempotencyKey) {
-    ObjectNode answer = object();
-    answer.put("confirmation", Integer.toHexString(body.hashCode()));
-    answer.put("key", idempotencyKey);
-    answer.set("for", body.path("text"));
-    return answer;
+    ObjectNode response = newObject();
+    response.put("confirmation", Integer.toHexString(body.hashCode()));
+    response.put("key", idempotencyKey);
+    response.set("for", body.path("text"));
+    return response;
   }
 
-  /** Returns the tokens of a completion: the last words of the prompt, again and again. */
-  static List<String> tokens(JsonNode body) {
+  /** Returns the tokens of a completion: the last words of the prompt, repeated up to the limit. */
+  static List<String> completionTokens(JsonNode body) {
     List<String> words = words(body.path("prompt").asText());
     int limit = body.path("max_tokens").asInt(1);
     List<String> tokens = new ArrayList<>();
-    int from = Math.max(0, words.size() - limit);
+    int firstIndex = Math.max(0, words.size() - limit);
     for (int i = 0; i < limit && !words.isEmpty(); i++) {
-      int index = from + i;
+      int index = firstIndex + i;
       tokens.add((i == 0 ? "" : " ") + words.get(index % words.size()));
     }
     return tokens;
   }
 
-  static ObjectNode chunk(String text) {
-    ObjectNode chunk = object();
+  static ObjectNode tokenChunk(String text) {
+    ObjectNode chunk = newObject();
     chunk.putArray("choices").addObject().put("index", 0).put("text", text);
     return chunk;
   }
 
-  static ObjectNode finish(int tokensIn, int tokensOut) {
-    ObjectNode chunk = object();
+  static ObjectNode finishChunk(int tokensIn, int tokensOut) {
+    ObjectNode chunk = newObject();
     chunk
         .putArray("choices")
         .addObject()
@@ -108,7 +110,7 @@
     return Arrays.stream(text.split("\\s+")).filter(word -> !word.isEmpty()).toList();
   }
 
-  private static ObjectNode object() {
+  private static ObjectNode newObject() {
     return JsonNodeFactory.instance.objectNode();
   }
 }
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EngineStandIn.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EngineStandIn.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Function;
-import org.gradeledge.standin.FaultSwitch;
+import org.gradeledge.standin.FaultInjector;
 import org.gradeledge.standin.StandInHttp;
 import org.gradeledge.standin.StandInServer;
 import org.gradeledge.upstream.LoadReport;
@@ -23,191 +23,205 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * One model engine or plain service on a port of its own. Calls wait for a slot, take the time that
- * the model gives, and are logged when they run.
+ * Stand-in for a model engine or service on its own port. Calls wait for a slot, take the
+ * configured processing time and are recorded in the run log.
  */
 public final class EngineStandIn {
 
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
   private static final int TOKENS_BEFORE_CUT = 3;
-  private static final int SLOWNESS = 5;
+  private static final int SLOWDOWN_FACTOR = 5;
 
-  private final EngineModel model;
+  private final EngineTiming timing;
   private final SlotQueue slots;
   private final RunLog log;
-  private final FaultSwitch<EngineFault> faults = new FaultSwitch<>(EngineFault.NONE);
-  private final AtomicLong reports = new AtomicLong();
-  private final AtomicLong dispatchedAfterLeave = new AtomicLong();
+  private final FaultInjector<EngineFault> faultInjector = new FaultInjector<>(EngineFault.NONE);
+  private final AtomicLong reportSequence = new AtomicLong();
+  private final AtomicLong callsAfterLeave = new AtomicLong();
   private final StandInServer server;
   private volatile boolean leaving;
   private volatile long incarnation = 1;
 
-  /** Starts an engine on a port of the loopback interface, 0 for any. */
-  public EngineStandIn(int port, EngineModel model, RunLog log) {
-    this.model = model;
-    this.slots = new SlotQueue(model.slots());
+  /** Starts an engine on a port of the loopback interface, 0 for any free port. */
+  public EngineStandIn(int port, EngineTiming timing, RunLog log) {
+    this.timing = timing;
+    this.slots = new SlotQueue(timing.slots());
     this.log = log;
     this.server =
-        StandInServer.listen(HttpServer.create().host("127.0.0.1").port(port).route(this::routes));
+        StandInServer.start(HttpServer.create().host("127.0.0.1").port(port).route(this::routes));
   }
 
-  /** Returns its port. */
+  /** Returns the local port. */
   public int port() {
     return server.port();
   }
 
-  /** Returns the switch of its faults. */
-  public FaultSwitch<EngineFault> faults() {
-    return faults;
+  /** Returns the fault injector of the calls. */
+  public FaultInjector<EngineFault> faultInjector() {
+    return faultInjector;
   }
 
-  /** Starts to leave: reports and answers say so; work in progress goes on. */
+  /** Announces in load reports and responses that the engine is leaving; calls still run. */
   public void leave() {
     leaving = true;
   }
 
-  /** Starts anew: no longer leaving, under a new incarnation. */
+  /** Continues as a new incarnation that is not leaving. */
   public void restart() {
     incarnation++;
     leaving = false;
   }
 
-  /** Returns how many calls arrived after it had started to leave. */
+  /** Returns the number of calls received after the engine announced that it is leaving. */
   public long callsAfterLeave() {
-    return dispatchedAfterLeave.get();
+    return callsAfterLeave.get();
   }
 
-  /** Stops. */
+  /** Closes the server. */
   public void close() {
     server.close();
   }
 
   private void routes(HttpServerRoutes routes) {
     routes
-        .get("/healthz", (request, response) -> StandInHttp.reply(response, OK, Map.of()))
-        .get("/v1/load", (request, response) -> StandInHttp.reply(response, OK, report()))
-        .post("/v1/completions", this::complete)
+        .get("/healthz", (request, response) -> StandInHttp.sendJson(response, OK, Map.of()))
+        .get("/v1/load", (request, response) -> StandInHttp.sendJson(response, OK, loadReport()))
+        .post("/v1/completions", this::handleCompletion)
         .post(
-            "/v1/embeddings", (q, r) -> answer(q, r, (body, key) -> EngineAnswers.embeddings(body)))
-        .post("/v1/retrieve", (q, r) -> answer(q, r, (body, key) -> EngineAnswers.retrieve(body)))
-        .post("/v1/rerank", (q, r) -> answer(q, r, (body, key) -> EngineAnswers.rerank(body)))
-        .post("/**", (q, r) -> answer(q, r, EngineAnswers::service));
+            "/v1/embeddings",
+            (request, response) ->
+                handleCall(request, response, (body, key) -> EngineResponses.embeddings(body)))
+        .post(
+            "/v1/retrieve",
+            (request, response) ->
+                handleCall(request, response, (body, key) -> EngineResponses.retrieve(body)))
+        .post(
+            "/v1/rerank",
+            (request, response) ->
+                handleCall(request, response, (body, key) -> EngineResponses.rerank(body)))
+        .post(
+            "/**", (request, response) -> handleCall(request, response, EngineResponses::service));
   }
 
-  private interface Work {
-    ObjectNode answer(JsonNode body, String idempotencyKey);
+  private interface ResponseFunction {
+    ObjectNode apply(JsonNode body, String idempotencyKey);
   }
 
-  private LoadReport report() {
+  private LoadReport loadReport() {
     return new LoadReport(
         incarnation,
-        reports.incrementAndGet(),
+        reportSequence.incrementAndGet(),
         slots.running(),
         slots.waiting(),
         leaving,
         List.of());
   }
 
-  private Publisher<Void> answer(
-      HttpServerRequest request, HttpServerResponse response, Work work) {
-    EngineFault fault = arrive();
-    return inSlot(request, body -> work(request, response, work, body, fault));
+  private Publisher<Void> handleCall(
+      HttpServerRequest request, HttpServerResponse response, ResponseFunction function) {
+    EngineFault fault = onCallReceived();
+    return runInSlot(request, body -> runCall(request, response, function, body, fault));
   }
 
-  private Mono<Void> inSlot(HttpServerRequest request, Function<JsonNode, Mono<Void>> work) {
-    return StandInHttp.json(request)
+  private Mono<Void> runInSlot(HttpServerRequest request, Function<JsonNode, Mono<Void>> call) {
+    return StandInHttp.readJson(request)
         .flatMap(
             body ->
                 slots
                     .acquire()
-                    .flatMap(release -> work.apply(body).doFinally(signal -> release.run())))
-        .doOnCancel(log::cancelled);
+                    .flatMap(release -> call.apply(body).doFinally(signal -> release.run())))
+        .doOnCancel(log::recordCancellation);
   }
 
-  private Mono<Void> work(
+  private Mono<Void> runCall(
       HttpServerRequest request,
       HttpServerResponse response,
-      Work work,
+      ResponseFunction function,
       JsonNode body,
       EngineFault fault) {
-    echo(request, response, fault);
+    addResponseHeaders(request, response, fault);
     if (fault == EngineFault.REFUSES) {
       response.header(UpstreamHeaders.VERDICT, "not-run");
-      return StandInHttp.reply(response, UNAVAILABLE, Map.of());
+      return StandInHttp.sendJson(response, UNAVAILABLE, Map.of());
     }
     if (fault == EngineFault.DOWN) {
-      return StandInHttp.cut(response);
+      return StandInHttp.closeConnection(response);
     }
     if (fault == EngineFault.FROZEN) {
       return Mono.never();
     }
-    return Mono.delay(model.base(slots.running(), slowness(fault)))
+    return Mono.delay(timing.callTime(slots.running(), slowdownFactor(fault)))
         .flatMap(
             tick -> {
-              ran(request);
-              ObjectNode answer = work.answer(body, header(request, "Idempotency-Key"));
+              recordRun(request);
+              ObjectNode result = function.apply(body, header(request, "Idempotency-Key"));
               if (fault == EngineFault.ANSWER_LOST) {
-                return StandInHttp.cut(response);
+                return StandInHttp.closeConnection(response);
               }
-              return StandInHttp.reply(response, OK, answer)
-                  .then(fault == EngineFault.DOUBLED ? again(response, answer) : Mono.empty());
+              return StandInHttp.sendJson(response, OK, result)
+                  .then(
+                      fault == EngineFault.DOUBLED
+                          ? sendDuplicate(response, result)
+                          : Mono.empty());
             });
   }
 
-  /** Writes the same answer once more on the raw connection. */
-  private static Mono<Void> again(HttpServerResponse response, ObjectNode answer) {
+  /** Writes the response again, bypassing the HTTP codec. */
+  private static Mono<Void> sendDuplicate(HttpServerResponse response, ObjectNode result) {
     return Mono.fromRunnable(
         () ->
             response.withConnection(
                 connection -> {
-                  byte[] body = StandInHttp.write(answer);
-                  String head = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n";
+                  byte[] body = StandInHttp.toJson(result);
+                  String headers = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n";
                   connection
                       .channel()
                       .pipeline()
                       .firstContext()
                       .writeAndFlush(
-                          Unpooled.wrappedBuffer(head.getBytes(StandardCharsets.US_ASCII), body));
+                          Unpooled.wrappedBuffer(
+                              headers.getBytes(StandardCharsets.US_ASCII), body));
                 }));
   }
 
-  private Publisher<Void> complete(HttpServerRequest request, HttpServerResponse response) {
-    EngineFault fault = arrive();
-    return inSlot(request, body -> stream(request, response, body, fault));
+  private Publisher<Void> handleCompletion(HttpServerRequest request, HttpServerResponse response) {
+    EngineFault fault = onCallReceived();
+    return runInSlot(request, body -> streamCompletion(request, response, body, fault));
   }
 
-  private Mono<Void> stream(
+  private Mono<Void> streamCompletion(
       HttpServerRequest request, HttpServerResponse response, JsonNode body, EngineFault fault) {
     if (fault == EngineFault.REFUSES || fault == EngineFault.DOWN || fault == EngineFault.FROZEN) {
-      return work(request, response, (b, k) -> EngineAnswers.chunk(""), body, fault);
+      return runCall(
+          request, response, (requestBody, key) -> EngineResponses.tokenChunk(""), body, fault);
     }
-    echo(request, response, fault);
-    ran(request);
-    List<String> tokens = EngineAnswers.tokens(body);
-    String resume = header(request, UpstreamHeaders.LAST_EVENT_ID);
-    int from = resume.isEmpty() ? 0 : Integer.parseInt(resume) + 1;
-    int tokensIn = EngineAnswers.countWords(body.path("prompt").asText());
-    Flux<ByteBuf> written =
-        Mono.delay(model.base(slots.running(), slowness(fault)))
-            .thenMany(Flux.range(from, Math.max(0, tokens.size() - from)))
+    addResponseHeaders(request, response, fault);
+    recordRun(request);
+    List<String> tokens = EngineResponses.completionTokens(body);
+    String lastEventId = header(request, UpstreamHeaders.LAST_EVENT_ID);
+    int firstToken = lastEventId.isEmpty() ? 0 : Integer.parseInt(lastEventId) + 1;
+    int tokensIn = EngineResponses.countWords(body.path("prompt").asText());
+    Flux<ByteBuf> events =
+        Mono.delay(timing.callTime(slots.running(), slowdownFactor(fault)))
+            .thenMany(Flux.range(firstToken, Math.max(0, tokens.size() - firstToken)))
             .concatMap(
                 i ->
-                    Mono.delay(model.token(slots.running(), slowness(fault)))
-                        .thenReturn(event(i, EngineAnswers.chunk(tokens.get(i)))),
+                    Mono.delay(timing.tokenTime(slots.running(), slowdownFactor(fault)))
+                        .thenReturn(event(i, EngineResponses.tokenChunk(tokens.get(i)))),
                 1)
             .concatWith(
                 Flux.just(
-                    event(-1, EngineAnswers.finish(tokensIn, tokens.size())),
+                    event(-1, EngineResponses.finishChunk(tokensIn, tokens.size())),
                     Unpooled.copiedBuffer("data: [DONE]\n\n", StandardCharsets.UTF_8)));
-    return response.sse().send(damage(written, response, fault), buffer -> true).then();
+    return response.sse().send(applyStreamFault(events, response, fault), buffer -> true).then();
   }
 
-  private static Flux<ByteBuf> damage(
-      Flux<ByteBuf> written, HttpServerResponse response, EngineFault fault) {
+  private static Flux<ByteBuf> applyStreamFault(
+      Flux<ByteBuf> events, HttpServerResponse response, EngineFault fault) {
     return switch (fault) {
       case CUT ->
-          written
+          events
               .take(TOKENS_BEFORE_CUT)
               .concatWith(
                   Flux.defer(
@@ -215,9 +229,9 @@
                         response.withConnection(connection -> connection.channel().close());
                         return Flux.never();
                       }));
-      case ENDS_EARLY -> written.take(TOKENS_BEFORE_CUT);
-      case GAP -> written.index().filter(each -> each.getT1() != 1).map(each -> each.getT2());
-      default -> written;
+      case ENDS_EARLY -> events.take(TOKENS_BEFORE_CUT);
+      case GAP -> events.index().filter(each -> each.getT1() != 1).map(each -> each.getT2());
+      default -> events;
     };
   }
 
@@ -225,25 +239,26 @@
     String id = offset < 0 ? "" : "id: " + offset + "\n";
     return Unpooled.wrappedBuffer(
         (id + "data: ").getBytes(StandardCharsets.US_ASCII),
-        StandInHttp.write(chunk),
+        StandInHttp.toJson(chunk),
         "\n\n".getBytes(StandardCharsets.US_ASCII));
   }
 
-  private EngineFault arrive() {
+  private EngineFault onCallReceived() {
     if (leaving) {
-      dispatchedAfterLeave.incrementAndGet();
+      callsAfterLeave.incrementAndGet();
     }
-    return faults.next();
+    return faultInjector.nextFault();
   }
 
-  private void ran(HttpServerRequest request) {
-    log.ran(
+  private void recordRun(HttpServerRequest request) {
+    log.recordRun(
         header(request, UpstreamHeaders.REQUEST_ID),
         header(request, UpstreamHeaders.STAGE),
         header(request, "Idempotency-Key"));
   }
 
-  private void echo(HttpServerRequest request, HttpServerResponse response, EngineFault fault) {
+  private void addResponseHeaders(
+      HttpServerRequest request, HttpServerResponse response, EngineFault fault) {
     String suffix = fault == EngineFault.SWAPPED ? "-other" : "";
     response.header(
         UpstreamHeaders.REQUEST_ID, header(request, UpstreamHeaders.REQUEST_ID) + suffix);
@@ -254,8 +269,8 @@
     }
   }
 
-  private static int slowness(EngineFault fault) {
-    return fault == EngineFault.SLOW ? SLOWNESS : 1;
+  private static int slowdownFactor(EngineFault fault) {
+    return fault == EngineFault.SLOW ? SLOWDOWN_FACTOR : 1;
   }
 
   private static String header(HttpServerRequest request, String name) {
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EnginesCommand.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/EnginesCommand.java
@@ -16,36 +16,42 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Runs several engines in one process until it is killed. */
-@Command(name = "engines", mixinStandardHelpOptions = true, description = "Runs engines.")
+/** Runs several engine stand-ins until the process is terminated. */
+@Command(name = "engines", mixinStandardHelpOptions = true, description = "Runs engine stand-ins.")
 public final class EnginesCommand implements Callable<Integer> {
 
   private static final int OK = 200;
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--ids", split = ",", required = true, description = "Names of the engines.")
+  @Option(names = "--ids", split = ",", required = true, description = "Ids of the engines.")
   private List<String> ids;
 
-  @Option(names = "--slots", defaultValue = "16", description = "Calls at a time.")
+  @Option(names = "--slots", defaultValue = "16", description = "Concurrent calls per engine.")
   private int slots;
 
-  @Option(names = "--base-ms", defaultValue = "5", description = "Time of a call.")
-  private int baseMillis;
+  @Option(
+      names = "--base-ms",
+      defaultValue = "5",
+      description = "Processing time of a call, in ms.")
+  private int callMillis;
 
-  @Option(names = "--token-us", defaultValue = "1500", description = "Time of a token.")
+  @Option(
+      names = "--token-us",
+      defaultValue = "1500",
+      description = "Time per token, in microseconds.")
   private int tokenMicros;
 
-  @Option(names = "--full-factor", defaultValue = "2", description = "Slowness of a full batch.")
-  private double fullFactor;
+  @Option(names = "--full-factor", defaultValue = "2", description = "Slowdown of a full batch.")
+  private double fullBatchSlowdown;
 
   private final Map<String, EngineStandIn> engines = new TreeMap<>();
   private final RunLog log = new RunLog(false);
 
   @Override
   public Integer call() {
-    EngineModel model = new EngineModel(slots, baseMillis, tokenMicros, fullFactor);
-    ids.forEach(id -> engines.put(id, new EngineStandIn(0, model, log)));
+    EngineTiming timing = new EngineTiming(slots, callMillis, tokenMicros, fullBatchSlowdown);
+    ids.forEach(id -> engines.put(id, new EngineStandIn(0, timing, log)));
     DisposableServer admin =
         HttpServer.create()
             .host("127.0.0.1")
@@ -57,42 +63,45 @@
                         .post("/leave/{id}", this::leave)
                         .get(
                             "/counts",
-                            (q, r) ->
-                                StandInHttp.reply(
-                                    r,
+                            (request, response) ->
+                                StandInHttp.sendJson(
+                                    response,
                                     OK,
                                     Map.of(
-                                        "runs", log.total(), "cancelled", log.totalCancelled()))))
+                                        "runs",
+                                        log.runCount(),
+                                        "cancelled",
+                                        log.cancellationCount()))))
             .bindNow();
-    Map<String, Object> line = new TreeMap<>();
-    line.put("admin", "127.0.0.1:" + admin.port());
+    Map<String, Object> addresses = new TreeMap<>();
+    addresses.put("admin", "127.0.0.1:" + admin.port());
     Map<String, Integer> ports = new TreeMap<>();
     engines.forEach((id, engine) -> ports.put(id, engine.port()));
-    line.put("engines", ports);
+    addresses.put("engines", ports);
     spec.commandLine()
         .getOut()
-        .println(new String(StandInHttp.write(line), StandardCharsets.UTF_8));
+        .println(new String(StandInHttp.toJson(addresses), StandardCharsets.UTF_8));
     spec.commandLine().getOut().flush();
     Mono.never().block();
     return 0;
   }
 
   private Mono<Void> setFault(HttpServerRequest request, HttpServerResponse response) {
-    EngineFault fault = EngineFault.ofWireName(StandInHttp.parameter(request, "fault"));
-    engine(request).faults().set(fault);
-    return StandInHttp.reply(response, OK, Map.of());
+    EngineFault fault = EngineFault.ofWireName(StandInHttp.pathParameter(request, "fault"));
+    engine(request).faultInjector().set(fault);
+    return StandInHttp.sendJson(response, OK, Map.of());
   }
 
   private Mono<Void> leave(HttpServerRequest request, HttpServerResponse response) {
     engine(request).leave();
-    return StandInHttp.reply(response, OK, Map.of());
+    return StandInHttp.sendJson(response, OK, Map.of());
   }
 
   private EngineStandIn engine(HttpServerRequest request) {
-    String id = StandInHttp.parameter(request, "id");
+    String id = StandInHttp.pathParameter(request, "id");
     EngineStandIn engine = engines.get(id);
     if (engine == null) {
-      throw new IllegalArgumentException("no such engine: " + id);
+      throw new IllegalArgumentException("unknown engine: " + id);
     }
     return engine;
   }
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/RunLog.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/engine/RunLog.java
@@ -6,52 +6,52 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What really ran, for holding against what callers were told. Thread-safe. */
+/** Record of the executed calls, to verify the results that callers received. Thread-safe. */
 public final class RunLog {
 
-  private final Map<String, List<String>> runsByRequest = new ConcurrentHashMap<>();
-  private final Map<String, AtomicLong> runsByKey = new ConcurrentHashMap<>();
-  private final AtomicLong runs = new AtomicLong();
-  private final AtomicLong cancelled = new AtomicLong();
+  private final Map<String, List<String>> stagesByRequest = new ConcurrentHashMap<>();
+  private final Map<String, AtomicLong> runCountByKey = new ConcurrentHashMap<>();
+  private final AtomicLong runCount = new AtomicLong();
+  private final AtomicLong cancellationCount = new AtomicLong();
   private final boolean detailed;
 
-  /** Creates a log; a detailed one keeps each run, others only count. */
+  /** Creates a log that records each run if detailed, and only counts otherwise. */
   public RunLog(boolean detailed) {
     this.detailed = detailed;
   }
 
-  void ran(String requestId, String stage, String idempotencyKey) {
-    runs.incrementAndGet();
+  void recordRun(String requestId, String stage, String idempotencyKey) {
+    runCount.incrementAndGet();
     if (detailed) {
-      runsByRequest.computeIfAbsent(requestId, id -> new CopyOnWriteArrayList<>()).add(stage);
+      stagesByRequest.computeIfAbsent(requestId, id -> new CopyOnWriteArrayList<>()).add(stage);
       if (!idempotencyKey.isEmpty()) {
-        runsByKey.computeIfAbsent(idempotencyKey, key -> new AtomicLong()).incrementAndGet();
+        runCountByKey.computeIfAbsent(idempotencyKey, key -> new AtomicLong()).incrementAndGet();
       }
     }
   }
 
-  void cancelled() {
-    cancelled.incrementAndGet();
+  void recordCancellation() {
+    cancellationCount.incrementAndGet();
   }
 
-  /** Returns the stages of a request that ran here, once for each run. */
-  public List<String> runsOf(String requestId) {
-    return List.copyOf(runsByRequest.getOrDefault(requestId, List.of()));
+  /** Returns the stages that ran for a request, with one entry per run. */
+  public List<String> stagesRunFor(String requestId) {
+    return List.copyOf(stagesByRequest.getOrDefault(requestId, List.of()));
   }
 
-  /** Returns how often a non-repeatable call of a key ran here. */
-  public long runsOfKey(String idempotencyKey) {
-    AtomicLong count = runsByKey.get(idempotencyKey);
+  /** Returns the number of runs with an idempotency key. */
+  public long runCountOfKey(String idempotencyKey) {
+    AtomicLong count = runCountByKey.get(idempotencyKey);
     return count == null ? 0 : count.get();
   }
 
-  /** Returns how many calls ran. */
-  public long total() {
-    return runs.get();
+  /** Returns the number of calls that ran. */
+  public long runCount() {
+    return runCount.get();
   }
 
-  /** Returns how many calls were cancelled before their end. */
-  public long totalCancelled() {
-    return cancelled.get();
+  /** Returns the number of calls that were cancelled before they completed. */
+  public long cancellationCount() {
+    return cancellationCount.get();
   }
 }
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/FleetCommand.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/FleetCommand.java
@@ -18,52 +18,58 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs a store and engines, writes the settings of boxes that are to stand before them, and once
- * those are ready sends each of them requests of every kind. It starts no box.
+ * Runs a store and engines, writes the settings of boxes for them, and sends requests of all kinds
+ * to each box once it is ready. The boxes are started separately.
  */
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
-    description = "Runs a store and engines of the users' platform, and callers of boxes.")
+    description = "Runs a store, engines and callers for boxes that are started separately.")
 public final class FleetCommand implements Callable<Integer> {
 
-  private static final int ENGINES_OF_KIND = 2;
-  private static final int PORTS_OF_BOX = 4;
-  private static final int CALLERS = 4;
-  private static final int SERVED = 200;
+  private static final int ENGINES_PER_KIND = 2;
+  private static final int PORTS_PER_BOX = 4;
+  private static final int CALLER_THREADS = 4;
+  private static final int OK = 200;
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--directory", required = true, description = "Where settings are written.")
+  @Option(
+      names = "--directory",
+      required = true,
+      description = "Output directory of the box settings.")
   private Path directory;
 
-  @Option(names = "--boxes", defaultValue = "3", description = "Boxes (${DEFAULT-VALUE}).")
+  @Option(
+      names = "--boxes",
+      defaultValue = "3",
+      description = "Number of boxes (${DEFAULT-VALUE}).")
   private int boxCount;
 
   @Option(
       names = "--requests",
       defaultValue = "40",
-      description = "Requests to each box (${DEFAULT-VALUE}).")
+      description = "Number of requests per box (${DEFAULT-VALUE}).")
   private int requestCount;
 
   @Option(
       names = "--hold",
       defaultValue = "0",
-      description = "Seconds to go on for once all requests have ended (${DEFAULT-VALUE}).")
+      description = "Seconds to keep running after the last request (${DEFAULT-VALUE}).")
   private int holdSeconds;
 
-  /** Returns 0 if every request was served. */
+  /** Returns 0 if all requests were served. */
   @Override
   public Integer call() throws IOException, InterruptedException, ExecutionException {
     PrintWriter out = spec.commandLine().getOut();
     try (StoreStandIn store = new StoreStandIn()) {
-      store.put("op", "config", FleetConfiguration.of(1, ""));
+      store.put("op", "config", FleetConfiguration.configuration(1, ""));
       List<FleetEngine> engines = startEngines(store);
       List<FleetCaller> callers = writeSettings(store);
       out.printf("{\"boxes\":%d,\"store\":\"%s\"}%n", boxCount, store.address());
       out.flush();
-      List<Integer> statuses = callAll(callers);
-      long served = statuses.stream().filter(status -> status == SERVED).count();
+      List<Integer> statuses = sendAllRequests(callers);
+      long served = statuses.stream().filter(status -> status == OK).count();
       out.printf("%d of %d requests served by %d boxes%n", served, statuses.size(), boxCount);
       out.flush();
       TimeUnit.SECONDS.sleep(holdSeconds);
@@ -77,7 +83,7 @@
   private static List<FleetEngine> startEngines(StoreStandIn store) {
     List<FleetEngine> engines = new ArrayList<>();
     for (EngineKind kind : EngineKind.values()) {
-      for (int number = 0; number < ENGINES_OF_KIND; number++) {
+      for (int number = 0; number < ENGINES_PER_KIND; number++) {
         FleetEngine engine = new FleetEngine("i-" + kind + "-" + number, kind);
         engines.add(engine);
         store.put("servers", engine.id(), engine.row(kind.service(), "zone-a", "ready"));
@@ -90,7 +96,7 @@
     Files.createDirectories(directory);
     List<List<Integer>> ports = new ArrayList<>();
     for (int box = 0; box < boxCount; box++) {
-      ports.add(FreePorts.findBelowOutgoing(PORTS_OF_BOX));
+      ports.add(FreePorts.findBelowEphemeralRange(PORTS_PER_BOX));
     }
     List<String> seeds = ports.stream().map(each -> "127.0.0.1:" + each.get(2)).toList();
     for (int box = 0; box < boxCount; box++) {
@@ -100,18 +106,18 @@
     return ports.stream().map(each -> new FleetCaller(each.get(0), each.get(1))).toList();
   }
 
-  private List<Integer> callAll(List<FleetCaller> callers)
+  private List<Integer> sendAllRequests(List<FleetCaller> callers)
       throws InterruptedException, ExecutionException {
-    ExecutorService threads = Executors.newFixedThreadPool(CALLERS);
-    List<Future<List<Integer>>> running = new ArrayList<>();
+    ExecutorService executor = Executors.newFixedThreadPool(CALLER_THREADS);
+    List<Future<List<Integer>>> results = new ArrayList<>();
     for (FleetCaller caller : callers) {
-      running.add(threads.submit(() -> caller.call(requestCount)));
+      results.add(executor.submit(() -> caller.sendRequests(requestCount)));
     }
     List<Integer> statuses = new ArrayList<>();
-    for (Future<List<Integer>> each : running) {
-      statuses.addAll(each.get());
+    for (Future<List<Integer>> result : results) {
+      statuses.addAll(result.get());
     }
-    threads.shutdown();
+    executor.shutdown();
     return statuses;
   }
 }
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/FleetEngine.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/FleetEngine.java
@@ -11,126 +11,126 @@
 import org.gradeledge.standin.StandInHttp;
 
 /**
- * Stand-in of an engine: one thread a connection, so that each byte of a faulty answer can be
- * chosen. It remembers what it ran. Thread-safe.
+ * Stand-in for an engine that sends raw HTTP responses, so that tests can inject malformed ones. It
+ * uses one thread per connection and records the executed requests. Thread-safe.
  */
 public final class FleetEngine implements AutoCloseable {
 
-  /** Events of a whole stream. */
+  /** Number of events in a complete stream. */
   public static final int EVENTS = 6;
 
   private final String id;
   private final EngineKind kind;
   private volatile ServerSocket listener;
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
-  private final List<SeenRequest> ran = new CopyOnWriteArrayList<>();
-  private final List<String> freed = new CopyOnWriteArrayList<>();
-  private final List<String> askedOfOthers = new CopyOnWriteArrayList<>();
-  private final List<Integer> ranBefore = new CopyOnWriteArrayList<>(List.of(0));
-  private final EngineTexts texts;
-  private final EngineLimit limit = new EngineLimit();
-  private final EngineSignals signals = new EngineSignals();
-  private volatile long born = System.currentTimeMillis();
+  private final List<Socket> connections = new CopyOnWriteArrayList<>();
+  private final List<ReceivedRequest> executedRequests = new CopyOnWriteArrayList<>();
+  private final List<String> releasedHandles = new CopyOnWriteArrayList<>();
+  private final List<String> staleHandles = new CopyOnWriteArrayList<>();
+  private final List<Integer> executedBeforeIncarnation = new CopyOnWriteArrayList<>(List.of(0));
+  private final FleetEngineResponses responses;
+  private final EngineRateLimit rateLimit = new EngineRateLimit();
+  private final EngineAnnouncements announcements = new EngineAnnouncements();
+  private volatile long startedAtMillis = System.currentTimeMillis();
   private volatile EngineFault fault = EngineFault.NONE;
-  private volatile Optional<String> fatalBody = Optional.empty();
+  private volatile Optional<String> crashBody = Optional.empty();
   private volatile boolean down;
 
   /** Starts an engine on a free port. */
   public FleetEngine(String id, EngineKind kind) {
     this.id = id;
     this.kind = kind;
-    this.texts = new EngineTexts(id, kind, () -> address() + "/" + start());
+    this.responses = new FleetEngineResponses(id, kind, () -> address() + "/" + incarnation());
     this.listener = listen();
   }
 
   private ServerSocket listen() {
     try {
-      ServerSocket opened = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-      DaemonThread.start("engine", () -> accept(opened));
-      return opened;
+      ServerSocket serverSocket = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
+      DaemonThread.start("engine", () -> accept(serverSocket));
+      return serverSocket;
     } catch (IOException e) {
-      throw new UncheckedIOException("no port is free", e);
+      throw new UncheckedIOException("could not open a listener", e);
     }
   }
 
-  /** Returns its id. */
+  /** Returns the id of the engine. */
   public String id() {
     return id;
   }
 
-  /** Returns what it does. */
+  /** Returns the kind of the engine. */
   public EngineKind kind() {
     return kind;
   }
 
-  /** Returns where it listens. */
+  /** Returns the address of the engine. */
   public String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Sets what is wrong from now on. */
-  public void setFault(EngineFault next) {
-    fault = next;
+  /** Sets the fault for all further requests. */
+  public void setFault(EngineFault newFault) {
+    fault = newFault;
   }
 
-  /** From now on it crashes when it begins to run a request with a body, and stays down. */
+  /** Makes the engine crash, without a restart, when it runs a request with the given body. */
   public void crashOn(String body) {
-    fatalBody = Optional.of(body);
+    crashBody = Optional.of(body);
   }
 
-  /** Returns whether it has crashed and not been started since. */
+  /** Returns whether the engine has crashed and has not been restarted. */
   public boolean isDown() {
     return down;
   }
 
-  /** Starts after a crash, under the same id at another port; nothing of before is held. */
-  public void startAfterCrash() {
+  /** Restarts a crashed engine as a new incarnation on another port. */
+  public void restartAfterCrash() {
     listener = listen();
     down = false;
-    beginNextStart();
+    beginIncarnation();
   }
 
-  /** Returns the requests that it ran, in order. */
-  public List<SeenRequest> ran() {
-    return ran;
+  /** Returns the executed requests in order. */
+  public List<ReceivedRequest> executedRequests() {
+    return executedRequests;
   }
 
-  /** Returns what it says that it takes, and when requests came. */
-  public EngineLimit limit() {
-    return limit;
+  /** Returns the announced rate limit and the request times. */
+  public EngineRateLimit rateLimit() {
+    return rateLimit;
   }
 
-  /** Returns what it says of itself, and which requests came. */
-  public EngineSignals signals() {
-    return signals;
+  /** Returns the announcements of the engine and the received requests. */
+  public EngineAnnouncements announcements() {
+    return announcements;
   }
 
-  /** Returns the number of the start that runs now, from 0. */
-  public int start() {
-    return ranBefore.size() - 1;
+  /** Returns the number of the current incarnation, from 0. */
+  public int incarnation() {
+    return executedBeforeIncarnation.size() - 1;
   }
 
-  /** Returns how many requests a start has run. */
-  public int ranDuring(int start) {
-    int end = start == start() ? ran.size() : ranBefore.get(start + 1);
-    return end - ranBefore.get(start);
+  /** Returns the number of requests that an incarnation executed. */
+  public int executedDuring(int incarnation) {
+    int end =
+        incarnation == incarnation()
+            ? executedRequests.size()
+            : executedBeforeIncarnation.get(incarnation + 1);
+    return end - executedBeforeIncarnation.get(incarnation);
   }
 
-  /**
-   * Crashes and starts again under the same id and address: all connections are reset, and nothing
-   * of before is held or known.
-   */
-  public void startAgain() throws IOException {
-    beginNextStart();
+  /** Crashes and restarts as a new incarnation on the same port; resets all connections. */
+  public void restart() throws IOException {
+    beginIncarnation();
     resetAll();
   }
 
-  private void beginNextStart() {
-    born = Math.max(born + 1, System.currentTimeMillis());
-    ranBefore.add(ran.size());
+  private void beginIncarnation() {
+    startedAtMillis = Math.max(startedAtMillis + 1, System.currentTimeMillis());
+    executedBeforeIncarnation.add(executedRequests.size());
   }
 
-  /** As a process that ends: nobody listens any more, and all connections are reset. */
+  /** Closes the listener and resets all connections, as the crash of a process does. */
   private boolean crash() throws IOException {
     down = true;
     listener.close();
@@ -139,78 +139,79 @@
   }
 
   private void resetAll() throws IOException {
-    for (Socket socket : open) {
+    for (Socket socket : connections) {
       EngineConnection.reset(socket);
     }
   }
 
-  /** Returns the results of earlier starts that the one of now was asked about. */
-  public List<String> askedOfOthers() {
-    return askedOfOthers;
+  /** Returns the released handles that do not belong to the current incarnation. */
+  public List<String> staleHandles() {
+    return staleHandles;
   }
 
-  /** Returns the results that were given up. */
-  public List<String> freed() {
-    return freed;
+  /** Returns the handles that callers released. */
+  public List<String> releasedHandles() {
+    return releasedHandles;
   }
 
-  /** Returns the row in which the start of now records itself. */
+  /** Returns the store row of the current incarnation. */
   public String row(String service, String zone, String state) {
     return String.format(
         "{\"service\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"version\":\"v1\",\"slots\":8,"
             + "\"state\":\"%s\",\"cold_remaining_ms\":0,\"sequence\":1,\"born\":%d}",
-        service, address(), zone, state, born);
+        service, address(), zone, state, startedAtMillis);
   }
 
-  private void accept(ServerSocket opened) {
+  private void accept(ServerSocket serverSocket) {
     try {
       while (true) {
-        Socket socket = opened.accept();
-        open.add(socket);
+        Socket socket = serverSocket.accept();
+        connections.add(socket);
         DaemonThread.start("engine", () -> serve(socket));
       }
     } catch (IOException e) {
-      // The engine was closed.
+      // The listener was closed.
     }
   }
 
   private void serve(Socket socket) {
     try (socket) {
       RequestReader reader = new RequestReader(socket.getInputStream());
-      EngineConnection caller = new EngineConnection(socket, this::withSignals);
-      Optional<SeenRequest> request = reader.next();
-      while (request.isPresent() && answer(request.get(), caller)) {
-        request = reader.next();
+      EngineConnection caller = new EngineConnection(socket, this::addAnnouncements);
+      Optional<ReceivedRequest> request = reader.readRequest();
+      while (request.isPresent() && handleRequest(request.get(), caller)) {
+        request = reader.readRequest();
       }
     } catch (IOException e) {
-      // The caller has gone.
+      // The connection was closed.
     } finally {
-      open.remove(socket);
+      connections.remove(socket);
     }
   }
 
-  /** Answers a request; returns whether the connection goes on. */
-  private boolean answer(SeenRequest request, EngineConnection caller) throws IOException {
-    limit.requestCame();
-    Optional<String> turnedAway = signals.requestCame(request, start());
-    if (turnedAway.isPresent()) {
-      String refusal = "X-Not-Run: 1\r\nRetry-After: " + turnedAway.get() + "\r\n";
-      return caller.send(AnswerText.whole(request, 503, refusal, ""));
+  /** Responds to a request; returns whether the connection stays open. */
+  private boolean handleRequest(ReceivedRequest request, EngineConnection caller)
+      throws IOException {
+    rateLimit.recordRequest();
+    Optional<String> backoffSeconds = announcements.recordRequest(request, incarnation());
+    if (backoffSeconds.isPresent()) {
+      String rejectionHeaders = "X-Not-Run: 1\r\nRetry-After: " + backoffSeconds.get() + "\r\n";
+      return caller.send(RawHttpResponse.withBody(request, 503, rejectionHeaders, ""));
     }
     if (fault == EngineFault.FULL) {
-      return caller.send(AnswerText.whole(request, 503, "X-Not-Run: 1\r\n", ""));
+      return caller.send(RawHttpResponse.withBody(request, 503, "X-Not-Run: 1\r\n", ""));
     }
     if (fault == EngineFault.OTHER_ENGINE || !request.header("X-Expect-Instance").equals(id)) {
-      return caller.send(AnswerText.whole(request, 421, "X-Instance-Id: i-other\r\n", ""));
+      return caller.send(RawHttpResponse.withBody(request, 421, "X-Instance-Id: i-other\r\n", ""));
     }
     if (request.path().equals("/stage-free")) {
-      StandInHttp.parse(AnswerText.bytes(request.body()))
+      StandInHttp.parseJson(RawHttpResponse.bytes(request.body()))
           .path("handles")
-          .forEach(h -> give(h.asText()));
-      return caller.send(AnswerText.whole(request, 200, "", "{}"));
+          .forEach(handle -> recordRelease(handle.asText()));
+      return caller.send(RawHttpResponse.withBody(request, 200, "", "{}"));
     }
-    ran.add(request);
-    if (fatalBody.filter(request.body()::equals).isPresent()) {
+    executedRequests.add(request);
+    if (crashBody.filter(request.body()::equals).isPresent()) {
       return crash();
     }
     return switch (fault) {
@@ -218,32 +219,37 @@
       case HANG -> caller.hang();
       case SLOW -> caller.sendSlowly(request);
       case ERROR ->
-          caller.send(AnswerText.whole(request, 500, "X-Response-Stamp: s\r\n", "failed"));
-      case CUT -> caller.cut(texts.half(request));
-      case CUT_WITHOUT_LENGTH -> caller.cutByReset(AnswerText.head(request, "") + "half of an ans");
+          caller.send(RawHttpResponse.withBody(request, 500, "X-Response-Stamp: s\r\n", "failed"));
+      case CUT -> caller.sendAndClose(responses.truncated(request));
+      case CUT_WITHOUT_LENGTH ->
+          caller.sendAndReset(RawHttpResponse.eventStreamHead(request, "") + "half of an ans");
       case OTHERS_ANSWER_FIRST ->
-          caller.send(AnswerText.whole("another-id", 200, "", "not yours") + texts.good(request));
+          caller.send(
+              RawHttpResponse.withBody("another-id", 200, "", "not yours")
+                  + responses.complete(request));
       case EXTRA_ANSWER ->
-          caller.send(texts.good(request) + AnswerText.whole(request, 200, "", "once more"));
-      default -> caller.send(texts.good(request));
+          caller.send(
+              responses.complete(request)
+                  + RawHttpResponse.withBody(request, 200, "", "once more"));
+      default -> caller.send(responses.complete(request));
     };
   }
 
-  private String withSignals(String text) {
-    return signals.addTo(limit.addTo(text));
+  private String addAnnouncements(String text) {
+    return announcements.addHeader(rateLimit.addHeader(text));
   }
 
-  private void give(String handle) {
-    freed.add(handle);
-    if (!handle.startsWith(address() + "/" + start() + "-")) {
-      askedOfOthers.add(handle);
+  private void recordRelease(String handle) {
+    releasedHandles.add(handle);
+    if (!handle.startsWith(address() + "/" + incarnation() + "-")) {
+      staleHandles.add(handle);
     }
   }
 
   @Override
   public void close() throws IOException {
     listener.close();
-    for (Socket socket : open) {
+    for (Socket socket : connections) {
       socket.close();
     }
   }
--- /dev/null
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/fleet/FleetEngineResponses.java
@@ -0,0 +1,80 @@
+package org.gradeledge.standin.fleet;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Supplier;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+import java.util.stream.StreamSupport;
+import org.gradeledge.standin.StandInHttp;
+
+/** Raw responses of a fleet engine by its kind. Thread-safe. */
+final class FleetEngineResponses {
+
+  static final String CHUNKED = "Transfer-Encoding: chunked\r\n";
+
+  private static final int EVENTS_BEFORE_CUT = FleetEngine.EVENTS / 2;
+
+  private final String id;
+  private final EngineKind kind;
+  private final Supplier<String> handlePrefix;
+  private final AtomicInteger handleCount = new AtomicInteger();
+
+  /**
+   * Creates the responses of an engine.
+   *
+   * @param handlePrefix supplies the prefix of the result handles of the current incarnation
+   */
+  FleetEngineResponses(String id, EngineKind kind, Supplier<String> handlePrefix) {
+    this.id = id;
+    this.kind = kind;
+    this.handlePrefix = handlePrefix;
+  }
+
+  /** Returns a complete and correct response. */
+  String complete(ReceivedRequest request) {
+    return switch (kind) {
+      case PLAIN ->
+          RawHttpResponse.withBody(request, 200, "X-Response-Stamp: s\r\n", plainBody(request));
+      case STREAM ->
+          RawHttpResponse.eventStreamHead(request, CHUNKED)
+              + events(request, FleetEngine.EVENTS)
+              + "0\r\n\r\n";
+      case STAGE -> RawHttpResponse.withBody(request, 200, "", stageBody(request));
+    };
+  }
+
+  /** Returns a response that ends prematurely. */
+  String truncated(ReceivedRequest request) {
+    return kind == EngineKind.STREAM
+        ? RawHttpResponse.eventStreamHead(request, CHUNKED)
+            + events(request, EVENTS_BEFORE_CUT)
+            + RawHttpResponse.chunk("id: 99\ndata: pie")
+        : RawHttpResponse.withBody(request, 200, "X-Response-Stamp: s\r\n", plainBody(request))
+            .replace("answer", "");
+  }
+
+  private String plainBody(ReceivedRequest request) {
+    return "answer of " + id + " to " + request.header("X-Request-Id");
+  }
+
+  private String stageBody(ReceivedRequest request) {
+    JsonNode items = StandInHttp.parseJson(RawHttpResponse.bytes(request.body())).path("items");
+    return StreamSupport.stream(items.spliterator(), false)
+        .map(item -> "{\"handle\":\"" + nextHandle() + "\"}")
+        .collect(Collectors.joining(",", "{\"items\":[", "]}"));
+  }
+
+  private String nextHandle() {
+    return handlePrefix.get() + "-" + handleCount.incrementAndGet();
+  }
+
+  private static String events(ReceivedRequest request, int lastEvent) {
+    String lastEventId = request.header("Last-Event-Id");
+    int firstEvent = lastEventId.isEmpty() ? 1 : Integer.parseInt(lastEventId) + 1;
+    return IntStream.rangeClosed(firstEvent, lastEvent)
+        .mapToObj(
+            number -> RawHttpResponse.chunk("id: " + number + "\ndata: piece " + number + "\n\n"))
+        .collect(Collectors.joining());
+  }
+}
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/load/LoadRun.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/load/LoadRun.java
@@ -14,66 +14,68 @@
 import reactor.netty.resources.ConnectionProvider;
 
 /**
- * Sends requests at a set rate whether or not earlier ones were answered, so that a slow system
- * cannot slow the load down; times count from when a request was due.
+ * Open-loop load generator: sends requests at their scheduled times whether or not earlier requests
+ * have completed. Latencies are measured from the scheduled time.
  */
 public final class LoadRun {
 
-  private static final int CONNECTIONS = 2_000;
-  private static final Duration GIVE_UP_BEYOND_DEADLINE = Duration.ofSeconds(2);
+  private static final int MAX_CONNECTIONS = 2_000;
+  private static final Duration TIMEOUT_AFTER_DEADLINE = Duration.ofSeconds(2);
 
   private final List<String> boxes;
   private final LoadPlan plan;
-  private final Duration longestDeadline;
+  private final Duration maxDeadline;
   private final HttpClient client =
       HttpClient.create(
               ConnectionProvider.builder("load")
-                  .maxConnections(CONNECTIONS)
+                  .maxConnections(MAX_CONNECTIONS)
                   .pendingAcquireMaxCount(-1)
                   .build())
           .disableRetry(true);
 
-  /** Creates a run of a plan over some boxes in turn. */
+  /** Creates a run that distributes the requests of a plan over the boxes in turn. */
   public LoadRun(List<String> boxes, LoadPlan plan) {
     this(boxes, plan, Duration.ofDays(1));
   }
 
-  /** As above; deadlines longer than {@code longestDeadline} are cut to it. */
-  public LoadRun(List<String> boxes, LoadPlan plan, Duration longestDeadline) {
-    this.longestDeadline = longestDeadline;
+  /** Creates a run that limits the deadlines of the requests to a maximum. */
+  public LoadRun(List<String> boxes, LoadPlan plan, Duration maxDeadline) {
+    this.maxDeadline = maxDeadline;
     this.boxes = List.copyOf(boxes);
     this.plan = plan;
   }
 
-  /** Returns the outcomes of all requests. */
+  /** Sends all requests and returns their outcomes. */
   public Mono<List<Outcome>> run() {
     return Mono.defer(
         () -> {
           long start = System.nanoTime();
           return Flux.fromIterable(plan.arrivals())
-              .concatMap(arrival -> Pace.until(start + arrival.dueNanos()).thenReturn(arrival), 1)
+              .concatMap(
+                  arrival -> ScheduledDelay.until(start + arrival.dueNanos()).thenReturn(arrival),
+                  1)
               .index()
               .flatMap(
-                  numbered ->
+                  indexed ->
                       send(
-                          numbered.getT1().intValue(),
-                          numbered.getT2().target(),
-                          start + numbered.getT2().dueNanos()),
+                          indexed.getT1().intValue(),
+                          indexed.getT2().target(),
+                          start + indexed.getT2().dueNanos()),
                   Integer.MAX_VALUE)
               .collectList();
         });
   }
 
   private Mono<Outcome> send(int number, Target target, long dueNanos) {
-    String text = SampleText.of(target.file().pipeline(), number);
-    Duration own = target.account().maxDeadline();
-    Duration limit = own.compareTo(longestDeadline) < 0 ? own : longestDeadline;
+    String text = SampleTexts.of(target.file().pipeline(), number);
+    Duration accountDeadline = target.account().maxDeadline();
+    Duration deadline = accountDeadline.compareTo(maxDeadline) < 0 ? accountDeadline : maxDeadline;
     return client
         .headers(
             headers -> {
               headers.set("Authorization", "Bearer " + target.token());
               headers.set("Content-Type", "application/json");
-              headers.set("Gradeledge-Deadline-Ms", limit.toMillis());
+              headers.set("Gradeledge-Deadline-Ms", deadline.toMillis());
               if (target.file().runsAtMostOnce()) {
                 headers.set("Idempotency-Key", UUID.randomUUID().toString());
               }
@@ -87,13 +89,14 @@
                 + "/requests")
         .send(
             Mono.fromSupplier(
-                () -> Unpooled.wrappedBuffer(StandInHttp.write(Map.of("text", text)))))
+                () -> Unpooled.wrappedBuffer(StandInHttp.toJson(Map.of("text", text)))))
         .responseSingle(
             (response, content) ->
                 content
                     .asByteArray()
-                    .map(body -> judge(response.status().code(), body, text, dueNanos, limit)))
-        .timeout(limit.plus(GIVE_UP_BEYOND_DEADLINE))
+                    .map(
+                        body -> classify(response.status().code(), body, text, dueNanos, deadline)))
+        .timeout(deadline.plus(TIMEOUT_AFTER_DEADLINE))
         .onErrorResume(
             e -> Mono.just(e instanceof TimeoutException ? "no-answer" : "connection-failed"))
         .map(
@@ -105,28 +108,29 @@
                     System.nanoTime() - dueNanos));
   }
 
-  private static String judge(int status, byte[] body, String text, long dueNanos, Duration limit) {
-    JsonNode answer = StandInHttp.parse(body);
+  private static String classify(
+      int status, byte[] body, String text, long dueNanos, Duration deadline) {
+    JsonNode answer = StandInHttp.parseJson(body);
     if (status != 200) {
       return answer.path("reason").asText("status-" + status);
     }
-    if (!belongsTo(answer, text)) {
+    if (!isAnswerTo(answer, text)) {
       return Outcome.WRONG;
     }
-    boolean late = System.nanoTime() - dueNanos > limit.toNanos();
+    boolean late = System.nanoTime() - dueNanos > deadline.toNanos();
     return late ? Outcome.LATE : Outcome.COMPLETED;
   }
 
-  /** Every stage's answer must carry this request's own text, each letter as it was sent. */
-  private static boolean belongsTo(JsonNode answer, String text) {
+  /** Returns whether the result of every stage contains the text of this request unchanged. */
+  private static boolean isAnswerTo(JsonNode answer, String text) {
     JsonNode results = answer.path("results");
     for (JsonNode result : results) {
-      String all = result.toString();
-      boolean own =
+      String json = result.toString();
+      boolean matches =
           result.has("generated")
               ? result.path("generated").asText().contains(lastWord(text))
-              : all.contains(text);
-      if (!own) {
+              : json.contains(text);
+      if (!matches) {
         return false;
       }
     }
--- a/gradeledge-standin/src/main/java/org/gradeledge/standin/measure/PoliciesCommand.java
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/measure/PoliciesCommand.java
@@ -14,7 +14,7 @@
 import org.gradeledge.standin.load.LoadReport;
 import org.gradeledge.standin.load.LoadRun;
 import org.gradeledge.standin.load.Outcome;
-import org.gradeledge.standin.load.PipelineTexts;
+import org.gradeledge.standin.load.PipelineFileLoader;
 import org.gradeledge.standin.load.Target;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -23,68 +23,72 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Compares policies over the same engines, one after another within each seed. */
+/** Compares routing and admission policies with the same engines and load. */
 @Command(
     name = "policies",
     mixinStandardHelpOptions = true,
-    description = "Attainment of each policy under load and faults; interleaved by seed.")
+    description =
+        "Measures the attainment of each policy under load and faults; interleaved by seed.")
 public final class PoliciesCommand implements Callable<Integer> {
 
-  private static final Duration SETTLE = Duration.ofMillis(500);
+  private static final Duration PAUSE_AFTER_RUN = Duration.ofMillis(500);
 
-  /** Shorter than the accounts', so that a run of a few seconds shows what queues do. */
+  /** Shorter than the deadlines of the accounts, so that short runs show queueing effects. */
   private static final Duration DEADLINE = Duration.ofMillis(800);
 
   @Spec private CommandSpec spec;
 
   @Option(names = "--set", required = true, description = "name=host:port+host:port.")
-  private List<String> sets;
+  private List<String> policySetTexts;
 
-  @Option(names = "--pipelines", required = true, description = "Pipeline files in force.")
+  @Option(names = "--pipelines", required = true, description = "Active pipeline files.")
   private List<Path> pipelines;
 
-  @Option(names = "--capacity", required = true, description = "Requests/s at capacity.")
+  @Option(names = "--capacity", required = true, description = "Capacity in requests/s.")
   private double capacity;
 
-  @Option(names = "--seconds", defaultValue = "4", description = "Time of one run.")
+  @Option(names = "--seconds", defaultValue = "4", description = "Duration of a run.")
   private double seconds;
 
-  @Option(names = "--seeds", defaultValue = "5", description = "Runs of each policy.")
+  @Option(names = "--seeds", defaultValue = "5", description = "Number of runs per policy.")
   private int seeds;
 
-  @Option(names = "--faulty", required = true, description = "admin/engine that has faults.")
-  private String faulty;
+  @Option(
+      names = "--faulty",
+      required = true,
+      description = "admin address/id of the engine that gets the faults.")
+  private String faultyEngine;
 
-  @Option(names = "--scenarios", split = ",", description = "All where not given.")
+  @Option(names = "--scenarios", split = ",", description = "Scenarios to run; all by default.")
   private List<Scenario> scenarios = List.of(Scenario.values());
 
   @Option(names = "--plot", description = "PNG file to write.")
-  private Path plot;
+  private Path plotFile;
 
   @Override
   public Integer call() throws IOException {
-    List<PolicySet> policySets = sets.stream().map(PolicySet::parse).toList();
-    List<Target> targets = Target.of(PipelineTexts.read(pipelines));
+    List<PolicySet> policySets = policySetTexts.stream().map(PolicySet::parse).toList();
+    List<Target> targets = Target.of(PipelineFileLoader.load(pipelines));
     PrintWriter out = spec.commandLine().getOut();
     Map<String, List<Double>> medians = new HashMap<>();
-    for (PolicySet warmed : policySets) {
-      run(Scenario.STEADY, warmed, targets, -1);
-      run(Scenario.OVER, warmed, targets, 0);
+    for (PolicySet warmUpSet : policySets) {
+      run(Scenario.STEADY, warmUpSet, targets, -1);
+      run(Scenario.OVER, warmUpSet, targets, 0);
     }
     for (Scenario scenario : scenarios) {
       Map<String, List<LoadReport>> reports = runAll(scenario, policySets, targets);
       for (PolicySet set : policySets) {
-        PolicyFigures figures =
-            new PolicyFigures(reports.get(set.name()), scenario.flooding(targets));
-        out.println(figures.line(scenario.label(), set.name()));
+        PolicyStatistics statistics =
+            new PolicyStatistics(reports.get(set.name()), scenario.floodingAccount(targets));
+        out.println(statistics.toJsonLine(scenario.label(), set.name()));
         out.flush();
         medians
             .computeIfAbsent(set.name(), name -> new ArrayList<>())
-            .add(figures.medianAttainment());
+            .add(statistics.medianAttainment());
       }
     }
-    if (plot != null) {
-      PolicyPlot.write(plot, scenarios.stream().map(Scenario::label).toList(), medians);
+    if (plotFile != null) {
+      PolicyPlot.write(plotFile, scenarios.stream().map(Scenario::label).toList(), medians);
     }
     return 0;
   }
@@ -108,12 +112,12 @@
     var plan = scenario.plan(targets, capacity, seconds, seed);
     List<Outcome> outcomes =
         Objects.requireNonNull(new LoadRun(set.boxes(), plan, DEADLINE).run().block());
-    Mono.delay(SETTLE).block();
+    Mono.delay(PAUSE_AFTER_RUN).block();
     return new LoadReport(outcomes);
   }
 
   private void setFault(EngineFault fault) {
-    String[] parts = faulty.split("/");
+    String[] parts = faultyEngine.split("/");
     HttpClient.newConnection()
         .post()
         .uri("http://" + parts[0] + "/faults/" + parts[1] + "/" + fault.name())
--- /dev/null
+++ b/gradeledge-standin/src/main/java/org/gradeledge/standin/measure/PolicyStatistics.java
@@ -0,0 +1,53 @@
+package org.gradeledge.standin.measure;
+
+import java.util.List;
+import java.util.Locale;
+import org.gradeledge.standin.load.LoadReport;
+import org.gradeledge.standin.load.Outcome;
+
+/** Statistics over the runs of one policy in one scenario. */
+final class PolicyStatistics {
+
+  private final List<LoadReport> reports;
+  private final String floodingAccount;
+
+  /** Creates the statistics; {@code floodingAccount} is excluded from the lowest attainment. */
+  PolicyStatistics(List<LoadReport> reports, String floodingAccount) {
+    this.reports = reports;
+    this.floodingAccount = floodingAccount;
+  }
+
+  double medianAttainment() {
+    return Statistics.median(attainments());
+  }
+
+  String toJsonLine(String scenario, String policy) {
+    List<Double> attainments = attainments();
+    List<Double> completed =
+        reports.stream().map(report -> (double) report.count(Outcome.COMPLETED)).toList();
+    List<Double> p99Millis = reports.stream().map(report -> report.percentile(99)).toList();
+    long wrong = reports.stream().mapToLong(report -> report.count(Outcome.WRONG)).sum();
+    return String.format(
+        Locale.ROOT,
+        "{\"figure\":\"policy\",\"scenario\":\"%s\",\"policy\":\"%s\",\"runs\":%d,"
+            + "\"attainment\":%.4f,\"least\":%.4f,\"most\":%.4f,\"completed\":%.0f,"
+            + "\"p99Ms\":%.0f,\"wrong\":%d,\"leastOfAnAccount\":%.4f}",
+        scenario,
+        policy,
+        attainments.size(),
+        Statistics.median(attainments),
+        Statistics.min(attainments),
+        Statistics.max(attainments),
+        Statistics.median(completed),
+        Statistics.median(p99Millis),
+        wrong,
+        Statistics.median(
+            reports.stream()
+                .map(report -> report.lowestAttainmentExcluding(floodingAccount))
+                .toList()));
+  }
+
+  private List<Double> attainments() {
+    return reports.stream().map(LoadReport::attainment).toList();
+  }
+}
