--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FaultyLink.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FaultyLink.java
@@ -22,11 +22,11 @@
     /** Bytes arrive late. */
     DELAY,
     /** What is sent towards the target is lost, though the connection stays. */
-    CUT_FORTH,
+    DROP_TO_TARGET,
     /** What the target sends is lost, though the connection stays. */
-    CUT_BACK,
+    DROP_FROM_TARGET,
     /** Connections that are open say nothing any more, for good; new ones work. */
-    OPEN_GO_SILENT,
+    SILENCE_OPEN_CONNECTIONS,
     /** Connections are reset, new ones too. */
     RESET
   }
@@ -36,8 +36,8 @@
 
   private final InetSocketAddress target;
   private final ServerSocket listener;
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
-  private final Set<Socket> silent = ConcurrentHashMap.newKeySet();
+  private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+  private final Set<Socket> silencedSockets = ConcurrentHashMap.newKeySet();
   private volatile Fault fault = Fault.NONE;
 
   FaultyLink(String targetAddress) throws IOException {
@@ -47,35 +47,35 @@
             targetAddress.substring(0, colon),
             Integer.parseInt(targetAddress.substring(colon + 1)));
     this.listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
-    DaemonThread.start("link", this::accept);
+    DaemonThread.start("link", this::acceptConnections);
   }
 
   String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  void set(Fault next) {
+  void setFault(Fault next) {
     fault = next;
     if (next == Fault.RESET) {
-      open.forEach(FaultyLink::reset);
+      openSockets.forEach(FaultyLink::reset);
     }
-    if (next == Fault.OPEN_GO_SILENT) {
-      silent.addAll(open);
+    if (next == Fault.SILENCE_OPEN_CONNECTIONS) {
+      silencedSockets.addAll(openSockets);
     }
   }
 
-  private void accept() {
+  private void acceptConnections() {
     try {
       while (true) {
         Socket near = listener.accept();
-        DaemonThread.start("link", () -> connect(near));
+        DaemonThread.start("link", () -> connectToTarget(near));
       }
     } catch (IOException e) {
       // The link was closed.
     }
   }
 
-  private void connect(Socket near) {
+  private void connectToTarget(Socket near) {
     if (fault == Fault.RESET) {
       reset(near);
       return;
@@ -83,18 +83,18 @@
     try {
       Socket far = new Socket();
       far.connect(target);
-      open.add(near);
-      open.add(far);
-      DaemonThread.start("link", () -> carry(near, far, Fault.CUT_FORTH));
-      carry(far, near, Fault.CUT_BACK);
+      openSockets.add(near);
+      openSockets.add(far);
+      DaemonThread.start("link", () -> forwardUntilClosed(near, far, Fault.DROP_TO_TARGET));
+      forwardUntilClosed(far, near, Fault.DROP_FROM_TARGET);
     } catch (IOException e) {
       reset(near);
     }
   }
 
-  private void carry(Socket from, Socket to, Fault loses) {
+  private void forwardUntilClosed(Socket from, Socket to, Fault loses) {
     try {
-      copy(from, to, loses);
+      forwardBytes(from, to, loses);
       from.close();
       to.close();
     } catch (IOException e) {
@@ -102,18 +102,18 @@
       reset(to);
       reset(from);
     } finally {
-      open.remove(from);
+      openSockets.remove(from);
     }
   }
 
-  private void copy(Socket from, Socket to, Fault loses) throws IOException {
+  private void forwardBytes(Socket from, Socket to, Fault loses) throws IOException {
     byte[] buffer = new byte[BUFFER_BYTES];
     InputStream in = from.getInputStream();
     for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
       if (fault == Fault.DELAY) {
         LockSupport.parkNanos(DELAY_NANOS);
       }
-      if (fault != loses && !silent.contains(from)) {
+      if (fault != loses && !silencedSockets.contains(from)) {
         to.getOutputStream().write(buffer, 0, count);
       }
     }
@@ -131,6 +131,6 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    open.forEach(FaultyLink::reset);
+    openSockets.forEach(FaultyLink::reset);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
@@ -22,13 +22,13 @@
 /** A store, engines and boxes in one process, for tests. */
 final class Fleet implements AutoCloseable {
 
-  static final String KEY = FleetConfiguration.KEY;
+  static final String API_KEY = FleetConfiguration.KEY;
 
-  private static final Duration LIMIT = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   private final StoreStandIn store = new StoreStandIn();
   private final List<FleetEngine> engines = new ArrayList<>();
-  private final List<LoopResources> loops = new ArrayList<>();
+  private final List<LoopResources> loopResources = new ArrayList<>();
   private final List<RelayBox> boxes = new ArrayList<>();
   private final List<ByteArrayOutputStream> logs = new ArrayList<>();
   private final List<Integer> callerPorts = new ArrayList<>();
@@ -49,15 +49,15 @@
     store.put("op", "config", FleetConfiguration.of(version, moreRoutes));
   }
 
-  FleetEngine engine(String service, EngineKind kind) {
+  FleetEngine addEngine(String service, EngineKind kind) {
     FleetEngine engine = new FleetEngine("i-" + service + "-" + engines.size(), kind);
     engines.add(engine);
-    list(engine, "ready");
+    putServerRow(engine, "ready");
     return engine;
   }
 
   /** Writes the entry of an engine, with a state. */
-  void list(FleetEngine engine, String state) {
+  void putServerRow(FleetEngine engine, String state) {
     store.put("servers", engine.id(), engine.row(engine.kind().service(), "zone-a", state));
   }
 
@@ -76,11 +76,11 @@
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     EventLog events = new EventLog(new PrintStream(log, true, StandardCharsets.UTF_8), "box");
     byte[] settings =
-        FleetConfiguration.settings(ports, store.address(), seeds())
+        FleetConfiguration.settings(ports, store.address(), seedAddresses())
             .getBytes(StandardCharsets.UTF_8);
     RelayBox box = PlatformBox.create(settings, resources, events);
-    box.start().block(LIMIT);
-    loops.add(resources);
+    box.start().block(TIMEOUT);
+    loopResources.add(resources);
     boxes.add(box);
     logs.add(log);
     callerPorts.add(ports.get(0));
@@ -88,7 +88,7 @@
     peerPorts.add(ports.get(2));
   }
 
-  private List<String> seeds() {
+  private List<String> seedAddresses() {
     return peerPorts.stream().map(port -> "127.0.0.1:" + port).toList();
   }
 
@@ -105,16 +105,16 @@
   }
 
   /** Waits until each box hears all others. */
-  void awaitMet() throws Exception {
-    await(() -> logs.stream().allMatch(log -> lines(log, "peer-heard") >= boxes.size() - 1));
+  void awaitPeersConnected() throws Exception {
+    await(() -> logs.stream().allMatch(log -> countEvents(log, "peer-heard") >= boxes.size() - 1));
   }
 
   /** Returns whether a box has written a line. */
   boolean hasLogged(int box, String event) {
-    return lines(logs.get(box), event) > 0;
+    return countEvents(logs.get(box), event) > 0;
   }
 
-  private static long lines(ByteArrayOutputStream log, String event) {
+  private static long countEvents(ByteArrayOutputStream log, String event) {
     return log.toString(StandardCharsets.UTF_8)
         .lines()
         .filter(line -> line.contains("\"event\":\"" + event + "\""))
@@ -122,9 +122,10 @@
   }
 
   /** Ends all boxes at once, without a word; whatever only they knew is lost. */
-  void loseAllBoxes() {
-    loops.forEach(resources -> resources.disposeLater(Duration.ZERO, LIMIT).block(LIMIT));
-    loops.clear();
+  void killAllBoxes() {
+    loopResources.forEach(
+        resources -> resources.disposeLater(Duration.ZERO, TIMEOUT).block(TIMEOUT));
+    loopResources.clear();
     boxes.clear();
     logs.clear();
     callerPorts.clear();
@@ -137,7 +138,7 @@
   }
 
   HttpResponse<String> get(int box, String path, String... headers) throws Exception {
-    return send(box, builder(box, path, headers).GET());
+    return send(box, requestBuilder(box, path, headers).GET());
   }
 
   HttpResponse<String> post(int box, String path, String... headers) throws Exception {
@@ -146,16 +147,17 @@
 
   HttpResponse<String> postBody(int box, String path, String body, String... headers)
       throws Exception {
-    return send(box, builder(box, path, headers).POST(HttpRequest.BodyPublishers.ofString(body)));
+    return send(
+        box, requestBuilder(box, path, headers).POST(HttpRequest.BodyPublishers.ofString(body)));
   }
 
   int callerPort(int box) {
     return callerPorts.get(box);
   }
 
-  private HttpRequest.Builder builder(int box, String path, String... headers) {
+  private HttpRequest.Builder requestBuilder(int box, String path, String... headers) {
     URI uri = URI.create("http://127.0.0.1:" + callerPorts.get(box) + path);
-    HttpRequest.Builder builder = HttpRequest.newBuilder(uri).timeout(LIMIT);
+    HttpRequest.Builder builder = HttpRequest.newBuilder(uri).timeout(TIMEOUT);
     builder.header("X-Request-Id", UUID.randomUUID().toString());
     builder.header("X-Deadline-Ms", "9000");
     for (int i = 0; i < headers.length; i += 2) {
@@ -169,7 +171,7 @@
   }
 
   /** Lets several callers do a step at the same time, and waits until all are done. */
-  void atOnce(int callers, CallerStep step) throws Exception {
+  void runConcurrently(int callers, CallerAction step) throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(callers);
     try {
       List<Future<?>> running = new ArrayList<>();
@@ -192,7 +194,7 @@
 
   /** What one of several callers does. */
   @FunctionalInterface
-  interface CallerStep {
+  interface CallerAction {
 
     void run(int caller) throws Exception;
   }
@@ -220,8 +222,8 @@
       engine.close();
     }
     store.close();
-    for (LoopResources resources : loops) {
-      resources.disposeLater(Duration.ZERO, LIMIT).block(LIMIT);
+    for (LoopResources resources : loopResources) {
+      resources.disposeLater(Duration.ZERO, TIMEOUT).block(TIMEOUT);
     }
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
@@ -12,9 +12,9 @@
 @Timeout(120)
 class FleetBackoffTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 3;
 
@@ -22,13 +22,13 @@
   private static final int REQUESTS = 1_500;
 
   private static final int CALLERS = 12;
-  private static final int WAVES = 20;
+  private static final int ROUNDS = 20;
 
   /** Longer than any test. */
-  private static final String SECONDS = "600";
+  private static final String BACKOFF_SECONDS = "600";
 
   /** What may come from one box all the same. */
-  private static final long MOST = 2;
+  private static final long MAX_LATE_REQUESTS = 2;
 
   private final Fleet fleet = new Fleet();
 
@@ -39,11 +39,11 @@
 
   // Guards against requests at an upstream within the time for which it wants none (BUDGET).
   @Test
-  void noBoxSendsMoreWithinTheTimeThatItWasTold() throws Exception {
-    FleetEngine busy = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void sendsNoRequestsDuringBackoff() throws Exception {
+    FleetEngine busy = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    busy.signals().turnAway(SECONDS);
+    busy.signals().turnAway(BACKOFF_SECONDS);
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
@@ -51,39 +51,40 @@
 
     for (int box = 0; box < BOXES; box++) {
       assertThat(busy.signals().hasAnswered(Answer.BACKOFF, path(box))).isTrue();
-      assertThat(busy.signals().cameAfter(Answer.BACKOFF, path(box))).isLessThanOrEqualTo(MOST);
+      assertThat(busy.signals().cameAfter(Answer.BACKOFF, path(box)))
+          .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
     }
   }
 
   // Guards against stage work at an upstream within the time for which it wants none (BUDGET).
   @Test
-  void noStageWorkIsGivenToOneWithinThatTime() throws Exception {
-    fleet.engine("model", EngineKind.STREAM);
-    FleetEngine busy = fleet.engine("stage", EngineKind.STAGE);
+  void sendsNoStageWorkDuringBackoff() throws Exception {
+    fleet.addEngine("model", EngineKind.STREAM);
+    FleetEngine busy = fleet.addEngine("stage", EngineKind.STAGE);
     startBoxes();
-    busy.signals().turnAway(SECONDS);
+    busy.signals().turnAway(BACKOFF_SECONDS);
 
     Fleet.await(
         () -> {
-          fleet.atOnce(CALLERS, this::refused);
+          fleet.runConcurrently(CALLERS, this::sendRefusedRequest);
           return busy.signals().hasAnswered(Answer.BACKOFF, "/stage-run");
         });
     long before = busy.signals().came("/stage-");
 
-    for (int wave = 0; wave < WAVES; wave++) {
-      fleet.atOnce(CALLERS, this::refused);
+    for (int wave = 0; wave < ROUNDS; wave++) {
+      fleet.runConcurrently(CALLERS, this::sendRefusedRequest);
     }
 
-    assertThat(busy.signals().came("/stage-") - before).isLessThanOrEqualTo(MOST);
+    assertThat(busy.signals().came("/stage-") - before).isLessThanOrEqualTo(MAX_LATE_REQUESTS);
   }
 
   // Guards against requests within that time once the upstream's entry has gone and come back.
   @Test
-  void theTimeHoldsThoughItsEntryGoesAndComesBack() throws Exception {
-    FleetEngine busy = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void keepsBackoffWhenEntryIsRemovedAndAddedAgain() throws Exception {
+    FleetEngine busy = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    busy.signals().turnAway(SECONDS);
+    busy.signals().turnAway(BACKOFF_SECONDS);
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
       Fleet.await(
@@ -92,22 +93,23 @@
                   && busy.signals().hasAnswered(Answer.BACKOFF, path(asked)));
     }
 
-    for (int time = 0; time <= MOST; time++) {
+    for (int time = 0; time <= MAX_LATE_REQUESTS; time++) {
       fleet.store().remove("servers", busy.id());
-      awaitSeenByAll(fleet.engine("plain", EngineKind.PLAIN));
-      fleet.list(busy, "ready");
-      awaitSeenByAll(fleet.engine("plain", EngineKind.PLAIN));
-      for (int number = 0; number < REQUESTS / MOST; number++) {
+      awaitUsedByAllBoxes(fleet.addEngine("plain", EngineKind.PLAIN));
+      fleet.putServerRow(busy, "ready");
+      awaitUsedByAllBoxes(fleet.addEngine("plain", EngineKind.PLAIN));
+      for (int number = 0; number < REQUESTS / MAX_LATE_REQUESTS; number++) {
         assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
       }
     }
     for (int box = 0; box < BOXES; box++) {
-      assertThat(busy.signals().cameAfter(Answer.BACKOFF, path(box))).isLessThanOrEqualTo(MOST);
+      assertThat(busy.signals().cameAfter(Answer.BACKOFF, path(box)))
+          .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
     }
   }
 
   /** Once an engine is used that was listed afterwards, what was written before is known. */
-  private void awaitSeenByAll(FleetEngine engine) throws Exception {
+  private void awaitUsedByAllBoxes(FleetEngine engine) throws Exception {
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
       Fleet.await(() -> get(asked).statusCode() == 200 && engine.signals().came(path(asked)) > 0);
@@ -116,11 +118,11 @@
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
-  private void refused(int caller) throws Exception {
-    assertThat(fleet.post(caller % BOXES, "/staged/x", STAGED).statusCode()).isEqualTo(503);
+  private void sendRefusedRequest(int caller) throws Exception {
+    assertThat(fleet.post(caller % BOXES, "/staged/x", STAGE_HEADERS).statusCode()).isEqualTo(503);
   }
 
   /** Requests of one box can be told from those of others by their path. */
@@ -129,6 +131,6 @@
   }
 
   private HttpResponse<String> get(int box) throws Exception {
-    return fleet.get(box, path(box), WITH_KEY);
+    return fleet.get(box, path(box), AUTHORIZATION);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
@@ -17,9 +17,9 @@
 @Timeout(60)
 class FleetBoxesTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 3;
 
@@ -30,9 +30,9 @@
 
   @BeforeEach
   void start() throws Exception {
-    plain = fleet.engine("plain", EngineKind.PLAIN);
-    model = fleet.engine("model", EngineKind.STREAM);
-    stage = fleet.engine("stage", EngineKind.STAGE);
+    plain = fleet.addEngine("plain", EngineKind.PLAIN);
+    model = fleet.addEngine("model", EngineKind.STREAM);
+    stage = fleet.addEngine("stage", EngineKind.STAGE);
     fleet.startBoxes(BOXES);
   }
 
@@ -42,9 +42,9 @@
   }
 
   @Test
-  void stageWorkIsDoneInOrderAndItsResultsAreHandedOnAndGivenUp() throws Exception {
+  void runsStagesInOrderAndReleasesResults() throws Exception {
     for (int box = 0; box < BOXES; box++) {
-      HttpResponse<String> answer = fleet.post(box, "/staged/x", STAGED);
+      HttpResponse<String> answer = fleet.post(box, "/staged/x", STAGE_HEADERS);
 
       assertThat(answer.statusCode()).isEqualTo(200);
       SeenRequest seen = model.ran().get(box);
@@ -54,12 +54,12 @@
   }
 
   @Test
-  void piecesOfSeveralBoxesMeetInOneCall() throws Exception {
-    fleet.post(0, "/staged/x", STAGED);
+  void batchesPiecesOfSeveralBoxes() throws Exception {
+    fleet.post(0, "/staged/x", STAGE_HEADERS);
     List<CompletableFuture<Integer>> answers = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       int box = i % BOXES;
-      answers.add(CompletableFuture.supplyAsync(() -> status(box)));
+      answers.add(CompletableFuture.supplyAsync(() -> postStaged(box)));
     }
     for (CompletableFuture<Integer> answer : answers) {
       assertThat(answer.get()).isEqualTo(200);
@@ -69,69 +69,69 @@
   }
 
   @Test
-  void aChangeIsInForceOnEveryBoxAndIsNeverTakenBack() throws Exception {
+  void appliesChangeOnAllBoxesAndIgnoresOlderVersion() throws Exception {
     String added = "," + FleetConfiguration.route("/new/", "idempotent", "plain", "");
     fleet.configure(5, added);
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> fleet.get(asked, "/new/x", WITH_KEY).statusCode() == 200);
+      Fleet.await(() -> fleet.get(asked, "/new/x", AUTHORIZATION).statusCode() == 200);
     }
     fleet.configure(4, "");
     fleet.configure(6, added + "," + FleetConfiguration.route("/n2/", "idempotent", "plain", ""));
-    Fleet.await(() -> fleet.get(0, "/n2/x", WITH_KEY).statusCode() == 200);
+    Fleet.await(() -> fleet.get(0, "/n2/x", AUTHORIZATION).statusCode() == 200);
 
-    assertThat(fleet.get(0, "/new/x", WITH_KEY).statusCode()).isEqualTo(200);
+    assertThat(fleet.get(0, "/new/x", AUTHORIZATION).statusCode()).isEqualTo(200);
   }
 
   @Test
-  void aBoxThatTheStoreTurnsAwayLearnsFromItsPeers() throws Exception {
+  void startsFromPeersWhenStoreIsUnavailable() throws Exception {
     fleet.store().setFault(StoreFault.SILENT);
     fleet.startBox();
 
     fleet.awaitReady(BOXES);
 
-    assertThat(fleet.get(BOXES, "/again/x", WITH_KEY).statusCode()).isEqualTo(200);
+    assertThat(fleet.get(BOXES, "/again/x", AUTHORIZATION).statusCode()).isEqualTo(200);
   }
 
   @Test
-  void aStoreThatForgetsItsHistoryIsReadAnew() throws Exception {
+  void rereadsStoreThatLostItsHistory() throws Exception {
     fleet.store().setFault(StoreFault.FORGETFUL);
     fleet.configure(5, "," + FleetConfiguration.route("/new/", "idempotent", "plain", ""));
 
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> fleet.get(asked, "/new/x", WITH_KEY).statusCode() == 200);
+      Fleet.await(() -> fleet.get(asked, "/new/x", AUTHORIZATION).statusCode() == 200);
     }
   }
 
   @Test
-  void anUpstreamThatLeavesGetsNoNewWork() throws Exception {
-    FleetEngine other = fleet.engine("plain", EngineKind.PLAIN);
-    Fleet.await(() -> fleet.get(0, "/again/x", WITH_KEY).body().contains(other.id()));
+  void sendsNoRequestsToDrainingUpstream() throws Exception {
+    FleetEngine other = fleet.addEngine("plain", EngineKind.PLAIN);
+    Fleet.await(() -> fleet.get(0, "/again/x", AUTHORIZATION).body().contains(other.id()));
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "draining"));
-    Fleet.await(() -> !other.ran().isEmpty() && ranLately(other));
+    Fleet.await(() -> !other.ran().isEmpty() && runsAllRequests(other));
 
     int before = plain.ran().size();
     for (int i = 0; i < 20; i++) {
-      assertThat(fleet.get(0, "/again/x", WITH_KEY).statusCode()).isEqualTo(200);
+      assertThat(fleet.get(0, "/again/x", AUTHORIZATION).statusCode()).isEqualTo(200);
     }
     assertThat(plain.ran()).hasSize(before);
   }
 
   /** Returns whether the next requests of box 0 all go to one engine. */
-  private boolean ranLately(FleetEngine engine) throws Exception {
+  private boolean runsAllRequests(FleetEngine engine) throws Exception {
     int before = engine.ran().size();
     for (int i = 0; i < 12; i++) {
-      fleet.get(0, "/again/x", WITH_KEY);
+      fleet.get(0, "/again/x", AUTHORIZATION);
     }
     return engine.ran().size() == before + 12;
   }
 
   @Test
-  void aPlannedStopCutsNoRequestAndRefusesReadinessAtOnce() throws Exception {
+  void completesRequestInFlightOnPlannedStop() throws Exception {
     model.setFault(EngineFault.SLOW);
     CompletableFuture<HttpResponse<String>> running =
-        CompletableFuture.supplyAsync(() -> unchecked(0, "/stream/x"));
+        CompletableFuture.supplyAsync(() -> postUnchecked(0, "/stream/x"));
     Fleet.await(() -> !model.ran().isEmpty());
 
     fleet.box(0).stop();
@@ -139,17 +139,17 @@
     assertThat(running.get().body()).contains("piece " + FleetEngine.EVENTS);
   }
 
-  private int status(int box) {
+  private int postStaged(int box) {
     try {
-      return fleet.post(box, "/staged/x", STAGED).statusCode();
+      return fleet.post(box, "/staged/x", STAGE_HEADERS).statusCode();
     } catch (Exception e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private HttpResponse<String> unchecked(int box, String path) {
+  private HttpResponse<String> postUnchecked(int box, String path) {
     try {
-      return fleet.post(box, path, WITH_KEY);
+      return fleet.post(box, path, AUTHORIZATION);
     } catch (Exception e) {
       throw new IllegalStateException(e);
     }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetCrashingRequestTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetCrashingRequestTests.java
@@ -24,14 +24,14 @@
 @Timeout(120)
 class FleetCrashingRequestTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String CRASHING = "ends whoever runs it";
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String CRASHING_BODY = "ends whoever runs it";
   private static final int BOXES = 3;
   private static final int UPSTREAMS = 12;
-  private static final int ARRIVALS = 12;
+  private static final int ATTEMPTS = 12;
 
   /** Three prove it; three more are what may be under way until all boxes know. */
-  private static final int MOST_ENDED = 6;
+  private static final int MAX_CRASHES = 6;
 
   private final Fleet fleet = new Fleet();
   private final List<FleetEngine> upstreams = new ArrayList<>();
@@ -39,8 +39,8 @@
   @BeforeEach
   void start() throws Exception {
     for (int number = 0; number < UPSTREAMS; number++) {
-      FleetEngine upstream = fleet.engine("model", EngineKind.STREAM);
-      upstream.crashOn(CRASHING);
+      FleetEngine upstream = fleet.addEngine("model", EngineKind.STREAM);
+      upstream.crashOn(CRASHING_BODY);
       upstreams.add(upstream);
     }
     startBoxes();
@@ -48,7 +48,7 @@
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
   @AfterEach
@@ -57,51 +57,51 @@
   }
 
   @Test
-  void aRequestThatEndsEachUpstreamIsSoonSentToNoneAtAnyBox() throws Exception {
-    for (int arrival = 0; arrival < ARRIVALS; arrival++) {
-      send(arrival % BOXES, CRASHING);
+  void quarantinesCrashingRequestOnAllBoxes() throws Exception {
+    for (int arrival = 0; arrival < ATTEMPTS; arrival++) {
+      send(arrival % BOXES, CRASHING_BODY);
     }
 
-    assertThat(ended()).isLessThanOrEqualTo(MOST_ENDED);
-    assertThat(send(0, CRASHING).statusCode()).isEqualTo(503);
+    assertThat(crashCount()).isLessThanOrEqualTo(MAX_CRASHES);
+    assertThat(send(0, CRASHING_BODY).statusCode()).isEqualTo(503);
     assertThat(send(1, "innocent").statusCode()).isEqualTo(200);
   }
 
   @Test
-  void itIsNotSentAgainAfterAllBoxesWereLostAtOnce() throws Exception {
-    for (int arrival = 0; arrival < ARRIVALS; arrival++) {
-      send(arrival % BOXES, CRASHING);
+  void keepsQuarantineAfterAllBoxesCrash() throws Exception {
+    for (int arrival = 0; arrival < ATTEMPTS; arrival++) {
+      send(arrival % BOXES, CRASHING_BODY);
     }
-    long before = ended();
-    fleet.loseAllBoxes();
+    long before = crashCount();
+    fleet.killAllBoxes();
     startBoxes();
 
-    for (int arrival = 0; arrival < ARRIVALS; arrival++) {
-      send(arrival % BOXES, CRASHING);
+    for (int arrival = 0; arrival < ATTEMPTS; arrival++) {
+      send(arrival % BOXES, CRASHING_BODY);
     }
 
-    assertThat(before).isLessThanOrEqualTo(MOST_ENDED);
-    assertThat(ended()).isEqualTo(before);
+    assertThat(before).isLessThanOrEqualTo(MAX_CRASHES);
+    assertThat(crashCount()).isEqualTo(before);
     assertThat(send(1, "innocent").statusCode()).isEqualTo(200);
   }
 
   @Test
-  void theSameBodyOnAnotherPathIsAnotherRequest() throws Exception {
-    for (int arrival = 0; arrival < ARRIVALS; arrival++) {
-      send(arrival % BOXES, CRASHING);
+  void doesNotQuarantineSameBodyOnAnotherPath() throws Exception {
+    for (int arrival = 0; arrival < ATTEMPTS; arrival++) {
+      send(arrival % BOXES, CRASHING_BODY);
     }
     upstreams.forEach(upstream -> upstream.crashOn("nothing"));
 
-    HttpResponse<String> answer = fleet.postBody(0, "/resume/y", CRASHING, WITH_KEY);
+    HttpResponse<String> answer = fleet.postBody(0, "/resume/y", CRASHING_BODY, AUTHORIZATION);
 
     assertThat(answer.statusCode()).isEqualTo(200);
   }
 
   private HttpResponse<String> send(int box, String body) throws Exception {
-    return fleet.postBody(box, "/resume/x", body, WITH_KEY);
+    return fleet.postBody(box, "/resume/x", body, AUTHORIZATION);
   }
 
-  private long ended() {
+  private long crashCount() {
     return upstreams.stream().filter(FleetEngine::isDown).count();
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBadInputTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetInvalidRequestTests.java
@@ -12,19 +12,19 @@
 
 /** What callers may send wrongly, byte by byte. */
 @Timeout(60)
-class FleetBadInputTests {
+class FleetInvalidRequestTests {
 
-  private static final String KEY =
-      "Host: 127.0.0.1\r\nAuthorization: Bearer " + Fleet.KEY + "\r\n";
+  private static final String HOST_AND_KEY_HEADERS =
+      "Host: 127.0.0.1\r\nAuthorization: Bearer " + Fleet.API_KEY + "\r\n";
 
-  private static final int READ_MILLIS = 30_000;
+  private static final int READ_TIMEOUT_MILLIS = 30_000;
 
   private final Fleet fleet = new Fleet();
   private FleetEngine plain;
 
   @BeforeEach
   void start() throws Exception {
-    plain = fleet.engine("plain", EngineKind.PLAIN);
+    plain = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.startBox();
     fleet.awaitReady(0);
   }
@@ -35,17 +35,17 @@
   }
 
   @Test
-  void twoRequestsOnOneConnectionGetTheirOwnAnswersInOrder() throws Exception {
+  void answersPipelinedRequestsInOrder() throws Exception {
     String answers;
     try (Socket socket = new Socket("127.0.0.1", fleet.callerPort(0))) {
-      socket.setSoTimeout(READ_MILLIS);
+      socket.setSoTimeout(READ_TIMEOUT_MILLIS);
       send(
           socket,
           "GET /again/1 HTTP/1.1\r\nX-Request-Id: first\r\n"
-              + KEY
+              + HOST_AND_KEY_HEADERS
               + "\r\n"
               + "GET /again/2 HTTP/1.1\r\nX-Request-Id: second\r\n"
-              + KEY
+              + HOST_AND_KEY_HEADERS
               + "\r\n");
       answers = readUntil(socket, "to second");
     }
@@ -55,11 +55,11 @@
   }
 
   @Test
-  void aChunkedBodyArrivesWhole() throws Exception {
+  void forwardsWholeChunkedBody() throws Exception {
     String answer =
         exchange(
             "POST /once/x HTTP/1.1\r\nX-Request-Id: a\r\nConnection: close\r\n"
-                + KEY
+                + HOST_AND_KEY_HEADERS
                 + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n5\r\nwhole\r\n0\r\n\r\n");
 
     assertThat(answer).startsWith("HTTP/1.1 200");
@@ -67,70 +67,81 @@
   }
 
   @Test
-  void aChunkedBodyThatIsCutShortReachesNobody() throws Exception {
+  void doesNotForwardTruncatedChunkedBody() throws Exception {
     try (Socket socket = new Socket("127.0.0.1", fleet.callerPort(0))) {
       send(
           socket,
           "POST /once/x HTTP/1.1\r\nX-Request-Id: a\r\n"
-              + KEY
+              + HOST_AND_KEY_HEADERS
               + "Transfer-Encoding: chunked\r\n\r\n9\r\nha");
     }
-    String after = exchange("GET /again/1 HTTP/1.1\r\nConnection: close\r\n" + KEY + "\r\n");
+    String after =
+        exchange("GET /again/1 HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n");
 
     assertThat(after).startsWith("HTTP/1.1 200");
     assertThat(plain.ran()).noneMatch(seen -> seen.path().equals("/once/x"));
   }
 
   @Test
-  void aHeadOverTheBoundIsRefused() throws Exception {
+  void rejectsOversizedHeader() throws Exception {
     String answer =
-        exchange("GET /again/x HTTP/1.1\r\n" + KEY + "X-Long: " + "x".repeat(100_000) + "\r\n\r\n");
+        exchange(
+            "GET /again/x HTTP/1.1\r\n"
+                + HOST_AND_KEY_HEADERS
+                + "X-Long: "
+                + "x".repeat(100_000)
+                + "\r\n\r\n");
 
     assertThat(answer).matches("(?s)HTTP/1.1 4(13|31|00).*");
     assertThat(plain.ran()).isEmpty();
   }
 
   @Test
-  void aRequestWithoutIdOrDeadlineIsServed() throws Exception {
-    String answer = exchange("GET /again/x HTTP/1.1\r\nConnection: close\r\n" + KEY + "\r\n");
+  void servesRequestWithoutIdOrDeadline() throws Exception {
+    String answer =
+        exchange("GET /again/x HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n");
 
     assertThat(answer).startsWith("HTTP/1.1 200");
     assertThat(plain.ran().get(0).header("X-Deadline-Ms")).isNotEmpty();
   }
 
   @Test
-  void aRequestWithoutTimeLeftGetsAFinalAnswerAtOnce() throws Exception {
+  void rejectsRequestWithoutTimeLeft() throws Exception {
     String answer =
         exchange(
-            "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: 0\r\nConnection: close\r\n" + KEY + "\r\n");
+            "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: 0\r\nConnection: close\r\n"
+                + HOST_AND_KEY_HEADERS
+                + "\r\n");
 
     assertThat(answer).matches("(?s)HTTP/1.1 50[34].*");
   }
 
   @Test
-  void aDeadlineThatIsNoNumberIsRefused() throws Exception {
+  void rejectsNonNumericDeadline() throws Exception {
     String answer =
         exchange(
-            "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: soon\r\nConnection: close\r\n" + KEY + "\r\n");
+            "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: soon\r\nConnection: close\r\n"
+                + HOST_AND_KEY_HEADERS
+                + "\r\n");
 
     assertThat(answer).startsWith("HTTP/1.1 400");
     assertThat(plain.ran()).isEmpty();
   }
 
   @Test
-  void aConfigurationThatCannotBeReadLeavesTheLastGoodOneInForce() throws Exception {
+  void skipsUnreadableConfiguration() throws Exception {
     fleet.store().put("op", "config", "{\"version\":9,\"routes\":");
     fleet.configure(10, "," + FleetConfiguration.route("/new/", "idempotent", "plain", ""));
 
     Fleet.await(
         () ->
-            exchange("GET /new/x HTTP/1.1\r\nConnection: close\r\n" + KEY + "\r\n")
+            exchange("GET /new/x HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n")
                 .startsWith("HTTP/1.1 200"));
   }
 
   private String exchange(String bytes) throws IOException {
     try (Socket socket = new Socket("127.0.0.1", fleet.callerPort(0))) {
-      socket.setSoTimeout(READ_MILLIS);
+      socket.setSoTimeout(READ_TIMEOUT_MILLIS);
       send(socket, bytes);
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
@@ -14,14 +14,14 @@
 @Timeout(120)
 class FleetLeavingUpstreamTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 3;
   private static final int REQUESTS = 120;
   private static final int CALLERS = 12;
-  private static final int WAVES = 10;
+  private static final int ROUNDS = 10;
 
   private final Fleet fleet = new Fleet();
 
@@ -32,40 +32,40 @@
 
   // Guards against requests at an upstream whose answers have said that it leaves (DRAIN).
   @Test
-  void noBoxSendsMoreOnceItHasPassedOnAnAnswerThatSaysSo() throws Exception {
-    FleetEngine leaving = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void sendsNoRequestsAfterAnnouncement() throws Exception {
+    FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
     fleet.store().setFault(StoreFault.SILENT);
     leaving.signals().announceLeaving("1");
-    awaitAllKnow(leaving);
-    List<Long> before = cameFromEach(leaving);
+    awaitAnnouncementOnAllBoxes(leaving);
+    List<Long> before = requestCountPerBox(leaving);
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES)).isTrue();
     }
 
-    assertThat(cameFromEach(leaving)).isEqualTo(before);
+    assertThat(requestCountPerBox(leaving)).isEqualTo(before);
   }
 
   // Guards against stage work at an upstream whose answers have said that it leaves (DRAIN).
   @Test
-  void noStageWorkIsGivenToOneThatHasSaidSo() throws Exception {
-    fleet.engine("model", EngineKind.STREAM);
-    FleetEngine leaving = fleet.engine("stage", EngineKind.STAGE);
-    fleet.engine("stage", EngineKind.STAGE);
+  void sendsNoStageWorkAfterAnnouncement() throws Exception {
+    fleet.addEngine("model", EngineKind.STREAM);
+    FleetEngine leaving = fleet.addEngine("stage", EngineKind.STAGE);
+    fleet.addEngine("stage", EngineKind.STAGE);
     startBoxes();
     fleet.store().setFault(StoreFault.SILENT);
     leaving.signals().announceLeaving("1");
     Fleet.await(
         () -> {
-          fleet.atOnce(CALLERS, this::staged);
+          fleet.runConcurrently(CALLERS, this::sendStagedRequest);
           return leaving.signals().hasAnswered(Answer.LEAVING, "/stage-");
         });
     long before = leaving.signals().came("/stage-run");
 
-    for (int wave = 0; wave < WAVES; wave++) {
-      fleet.atOnce(CALLERS, this::staged);
+    for (int wave = 0; wave < ROUNDS; wave++) {
+      fleet.runConcurrently(CALLERS, this::sendStagedRequest);
     }
 
     assertThat(leaving.signals().came("/stage-run")).isEqualTo(before);
@@ -73,15 +73,15 @@
 
   // Guards against an upstream that has said so being used again for what an older entry says.
   @Test
-  void anEntryThatStillSaysReadyDoesNotBringItBackButItsNextStartServes() throws Exception {
-    FleetEngine leaving = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void ignoresReadyEntryUntilNextIncarnation() throws Exception {
+    FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
     leaving.signals().announceLeaving("1");
-    awaitAllKnow(leaving);
-    List<Long> before = cameFromEach(leaving);
-    fleet.list(leaving, "ready");
-    FleetEngine witness = fleet.engine("plain", EngineKind.PLAIN);
+    awaitAnnouncementOnAllBoxes(leaving);
+    List<Long> before = requestCountPerBox(leaving);
+    fleet.putServerRow(leaving, "ready");
+    FleetEngine witness = fleet.addEngine("plain", EngineKind.PLAIN);
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
       Fleet.await(() -> get(asked) && witness.signals().came(path(asked)) > 0);
@@ -90,11 +90,11 @@
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES)).isTrue();
     }
-    assertThat(cameFromEach(leaving)).isEqualTo(before);
+    assertThat(requestCountPerBox(leaving)).isEqualTo(before);
 
     leaving.signals().withdraw();
     leaving.startAgain();
-    fleet.list(leaving, "ready");
+    fleet.putServerRow(leaving, "ready");
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
       long then = leaving.signals().came(path(asked));
@@ -104,11 +104,11 @@
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
   /** Waits until each box has passed on an answer that says so, or was told by one that has. */
-  private void awaitAllKnow(FleetEngine leaving) throws Exception {
+  private void awaitAnnouncementOnAllBoxes(FleetEngine leaving) throws Exception {
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
       Fleet.await(
@@ -119,7 +119,7 @@
     }
   }
 
-  private static List<Long> cameFromEach(FleetEngine engine) {
+  private static List<Long> requestCountPerBox(FleetEngine engine) {
     return IntStream.range(0, BOXES).mapToObj(box -> engine.signals().came(path(box))).toList();
   }
 
@@ -129,11 +129,11 @@
   }
 
   private boolean get(int box) throws Exception {
-    HttpResponse<String> answer = fleet.get(box, path(box), WITH_KEY);
+    HttpResponse<String> answer = fleet.get(box, path(box), AUTHORIZATION);
     return answer.statusCode() == 200;
   }
 
-  private void staged(int caller) throws Exception {
-    assertThat(fleet.post(caller % BOXES, "/staged/x", STAGED).statusCode()).isEqualTo(200);
+  private void sendStagedRequest(int caller) throws Exception {
+    assertThat(fleet.post(caller % BOXES, "/staged/x", STAGE_HEADERS).statusCode()).isEqualTo(200);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
@@ -23,9 +23,9 @@
 @Timeout(120)
 class FleetLimitedUpstreamTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 3;
   private static final int REQUESTS = 60;
@@ -34,10 +34,10 @@
   private static final int STAGED_REQUESTS = 30;
 
   /** One and a half times what a limit of one a second allows in 4 s, and 5. */
-  private static final long MOST_IN_WINDOW = 11;
+  private static final long MAX_IN_WINDOW = 11;
 
   /** The same of ten a second. */
-  private static final long MOST_OF_TEN_IN_WINDOW = 65;
+  private static final long MAX_IN_WINDOW_AT_TEN_PER_SECOND = 65;
 
   private final Fleet fleet = new Fleet();
 
@@ -47,9 +47,9 @@
   }
 
   @Test
-  void allBoxesTogetherKeepToTheLimitAndTheOthersOfTheServiceTakeTheRest() throws Exception {
-    FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void keepsLimitAcrossAllBoxes() throws Exception {
+    FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     limited.limit().name("1");
     startBoxes();
 
@@ -57,12 +57,12 @@
       assertThat(get(number).statusCode()).isEqualTo(200);
     }
 
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
   }
 
   @Test
-  void whereAllOfAServiceNameALimitTheRestIsRefusedAtOnceAndToldWhenToComeBack() throws Exception {
-    FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
+  void refusesExcessRequestsWithRetryAfter() throws Exception {
+    FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
     limited.limit().name("1.0");
     startBoxes();
 
@@ -73,34 +73,35 @@
 
     assertThat(last.statusCode()).isEqualTo(503);
     assertThat(last.headers().firstValue("Retry-After")).isPresent();
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
   }
 
   @Test
-  void callsForStageWorkAndReleasesOfResultsCountAsRequestsToo() throws Exception {
-    fleet.engine("model", EngineKind.STREAM);
-    FleetEngine limited = fleet.engine("stage", EngineKind.STAGE);
+  void countsStageCallsAndReleases() throws Exception {
+    fleet.addEngine("model", EngineKind.STREAM);
+    FleetEngine limited = fleet.addEngine("stage", EngineKind.STAGE);
     limited.limit().name("10");
     startBoxes();
 
     int served = 0;
     for (int number = 0; number < STAGED_REQUESTS; number++) {
-      served += fleet.post(number % BOXES, "/staged/x", STAGED).statusCode() == 200 ? 1 : 0;
+      served += fleet.post(number % BOXES, "/staged/x", STAGE_HEADERS).statusCode() == 200 ? 1 : 0;
     }
 
     assertThat(served).isPositive();
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MOST_OF_TEN_IN_WINDOW);
+    assertThat(limited.limit().mostInWindowAfter(0))
+        .isLessThanOrEqualTo(MAX_IN_WINDOW_AT_TEN_PER_SECOND);
   }
 
   @Test
-  void oneThatNamesNoLimitAnyMoreTakesAllAgain() throws Exception {
-    FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
+  void sendsAllRequestsOnceLimitIsWithdrawn() throws Exception {
+    FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
     limited.limit().name("0.5");
     startBoxes();
     for (int number = 0; number < REQUESTS; number++) {
       get(number);
     }
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
 
     limited.limit().withdraw();
 
@@ -112,10 +113,10 @@
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
   private HttpResponse<String> get(int number) throws Exception {
-    return fleet.get(number % BOXES, "/again/x", WITH_KEY);
+    return fleet.get(number % BOXES, "/again/x", AUTHORIZATION);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRelayTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRelayTests.java
@@ -20,7 +20,7 @@
 @Timeout(60)
 class FleetRelayTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
 
   private final Fleet fleet = new Fleet();
   private FleetEngine plain;
@@ -30,10 +30,10 @@
 
   @BeforeEach
   void start() throws Exception {
-    plain = fleet.engine("plain", EngineKind.PLAIN);
-    otherPlain = fleet.engine("plain", EngineKind.PLAIN);
-    model = fleet.engine("model", EngineKind.STREAM);
-    otherModel = fleet.engine("model", EngineKind.STREAM);
+    plain = fleet.addEngine("plain", EngineKind.PLAIN);
+    otherPlain = fleet.addEngine("plain", EngineKind.PLAIN);
+    model = fleet.addEngine("model", EngineKind.STREAM);
+    otherModel = fleet.addEngine("model", EngineKind.STREAM);
     fleet.startBox();
     fleet.awaitReady(0);
   }
@@ -44,9 +44,10 @@
   }
 
   @Test
-  void anAnswerIsPassedOnUnchangedAndTheUpstreamIsToldTheAccountButNotTheKey() throws Exception {
+  void forwardsResponseUnchangedAndReplacesKeyByAccount() throws Exception {
     HttpResponse<String> answer =
-        fleet.post(0, "/once/x?q=1", with("X-Tenant", "somebody-else", "X-Model", "m"));
+        fleet.post(
+            0, "/once/x?q=1", authorizedHeaders("X-Tenant", "somebody-else", "X-Model", "m"));
 
     assertThat(answer.statusCode()).isEqualTo(200);
     assertThat(answer.headers().firstValue("X-Response-Stamp")).contains("s");
@@ -61,79 +62,80 @@
   }
 
   @Test
-  void whatNoRouteTakesAndUnknownKeysAreRefused() throws Exception {
-    assertThat(fleet.get(0, "/nowhere/", WITH_KEY).statusCode()).isEqualTo(404);
+  void rejectsUnknownPathsAndKeys() throws Exception {
+    assertThat(fleet.get(0, "/nowhere/", AUTHORIZATION).statusCode()).isEqualTo(404);
     assertThat(fleet.get(0, "/again/x").statusCode()).isEqualTo(401);
     assertThat(fleet.get(0, "/again/x", "Authorization", "Bearer no").statusCode()).isEqualTo(401);
-    assertThat(ran()).isZero();
+    assertThat(runCount()).isZero();
   }
 
   @Test
-  void aBodyOverTheBoundIsRefused() throws Exception {
+  void rejectsOversizedBody() throws Exception {
     HttpRequest.BodyPublisher large = HttpRequest.BodyPublishers.ofString("x".repeat(3_000));
     HttpResponse<String> answer =
         HttpClient.newHttpClient()
             .send(
                 HttpRequest.newBuilder(
                         URI.create("http://127.0.0.1:" + fleet.callerPort(0) + "/once/x"))
-                    .headers(WITH_KEY)
+                    .headers(AUTHORIZATION)
                     .POST(large)
                     .build(),
                 HttpResponse.BodyHandlers.ofString());
 
     assertThat(answer.statusCode()).isEqualTo(413);
-    assertThat(ran()).isZero();
+    assertThat(runCount()).isZero();
   }
 
   @Test
-  void aRequestThatMustNotBeRepeatedRunsOnceWhereItsAnswerIsLost() throws Exception {
-    set(EngineFault.ANSWER_LOST, plain, otherPlain);
+  void doesNotRetryNonIdempotentRequest() throws Exception {
+    setFault(EngineFault.ANSWER_LOST, plain, otherPlain);
 
-    HttpResponse<String> answer = fleet.post(0, "/once/x", WITH_KEY);
+    HttpResponse<String> answer = fleet.post(0, "/once/x", AUTHORIZATION);
 
     assertThat(answer.statusCode()).isEqualTo(502);
-    assertThat(ran()).isEqualTo(1);
+    assertThat(runCount()).isEqualTo(1);
   }
 
   @Test
-  void aRequestThatMayBeRepeatedIsSentToAnotherUpstream() throws Exception {
-    set(EngineFault.ANSWER_LOST, plain);
+  void retriesIdempotentRequestOnAnotherUpstream() throws Exception {
+    setFault(EngineFault.ANSWER_LOST, plain);
 
     for (int i = 0; i < 3; i++) {
-      HttpResponse<String> answer = fleet.get(0, "/again/x", WITH_KEY);
+      HttpResponse<String> answer = fleet.get(0, "/again/x", AUTHORIZATION);
       assertThat(answer.statusCode()).isEqualTo(200);
       assertThat(answer.body()).startsWith("answer of " + otherPlain.id());
     }
   }
 
   @Test
-  void whereAllUpstreamsAreFullTheRefusalSaysNotRunAndWhenToComeBack() throws Exception {
-    set(EngineFault.FULL, plain, otherPlain);
+  void refusesWithRetryAfterWhenAllUpstreamsAreFull() throws Exception {
+    setFault(EngineFault.FULL, plain, otherPlain);
 
-    HttpResponse<String> answer = fleet.post(0, "/once/x", WITH_KEY);
+    HttpResponse<String> answer = fleet.post(0, "/once/x", AUTHORIZATION);
 
     assertThat(answer.statusCode()).isEqualTo(503);
     assertThat(answer.headers().firstValue("Retry-After")).isPresent();
-    assertThat(ran()).isZero();
+    assertThat(runCount()).isZero();
   }
 
   @Test
-  void anUpstreamWhoseAddressAnotherHasIsNotAskedAgain() throws Exception {
-    set(EngineFault.OTHER_ENGINE, plain);
+  void avoidsUpstreamWhoseAddressWasReused() throws Exception {
+    setFault(EngineFault.OTHER_ENGINE, plain);
 
     for (int i = 0; i < 10; i++) {
-      assertThat(fleet.post(0, "/once/x", WITH_KEY).statusCode()).isEqualTo(200);
+      assertThat(fleet.post(0, "/once/x", AUTHORIZATION).statusCode()).isEqualTo(200);
     }
     assertThat(otherPlain.ran()).hasSize(10);
   }
 
   @Test
-  void answersOfOtherRequestsAndExtraAnswersReachNobody() throws Exception {
+  void discardsMismatchedAndExtraResponses() throws Exception {
     for (EngineFault fault : List.of(EngineFault.OTHERS_ANSWER_FIRST, EngineFault.EXTRA_ANSWER)) {
-      set(fault, plain, otherPlain);
+      setFault(fault, plain, otherPlain);
       for (int i = 0; i < 10; i++) {
         String id = fault.name() + i;
-        HttpResponse<String> answer = fleet.post(0, "/once/x", with("X-Request-Id", id));
+        HttpResponse<String> answer =
+            fleet.post(0, "/once/x", authorizedHeaders("X-Request-Id", id));
         assertThat(answer.statusCode()).isEqualTo(200);
         assertThat(answer.body()).endsWith(id);
       }
@@ -141,53 +143,55 @@
   }
 
   @Test
-  void anAnswerThatIsCutIsNeverPassedOnAsWhole() throws Exception {
+  void reportsTruncatedResponseAsError() throws Exception {
     for (EngineFault fault : List.of(EngineFault.CUT, EngineFault.CUT_WITHOUT_LENGTH)) {
-      set(fault, plain, otherPlain);
-      assertThat(fleet.post(0, "/once/x", WITH_KEY).statusCode()).isEqualTo(502);
+      setFault(fault, plain, otherPlain);
+      assertThat(fleet.post(0, "/once/x", AUTHORIZATION).statusCode()).isEqualTo(502);
     }
   }
 
   @Test
-  void aStreamIsPassedOnWhole() throws Exception {
-    assertThat(fleet.post(0, "/stream/x", WITH_KEY).body()).isEqualTo(events(1));
-    assertThat(fleet.post(0, "/resume/x", with("Last-Event-Id", "3")).body()).isEqualTo(events(4));
+  void forwardsWholeStream() throws Exception {
+    assertThat(fleet.post(0, "/stream/x", AUTHORIZATION).body()).isEqualTo(eventStream(1));
+    assertThat(fleet.post(0, "/resume/x", authorizedHeaders("Last-Event-Id", "3")).body())
+        .isEqualTo(eventStream(4));
   }
 
   @Test
-  void aStreamThatBreaksOffIsContinuedElsewhereWithoutLossOrRepetition() throws Exception {
-    set(EngineFault.CUT, model);
+  void resumesInterruptedStreamOnAnotherUpstream() throws Exception {
+    setFault(EngineFault.CUT, model);
 
     for (int i = 0; i < 6; i++) {
-      assertThat(fleet.post(0, "/resume/x", WITH_KEY).body()).isEqualTo(events(1));
+      assertThat(fleet.post(0, "/resume/x", AUTHORIZATION).body()).isEqualTo(eventStream(1));
     }
     assertThat(otherModel.ran()).isNotEmpty();
   }
 
   @Test
-  void aStreamThatMayNotBeContinuedIsNeverEndedAsWhole() {
-    set(EngineFault.CUT, model, otherModel);
+  void abortsInterruptedStreamThatCannotBeResumed() {
+    setFault(EngineFault.CUT, model, otherModel);
 
-    assertThatThrownBy(() -> fleet.post(0, "/stream/x", WITH_KEY)).isInstanceOf(IOException.class);
+    assertThatThrownBy(() -> fleet.post(0, "/stream/x", AUTHORIZATION))
+        .isInstanceOf(IOException.class);
     assertThat(model.ran().size() + otherModel.ran().size()).isEqualTo(1);
   }
 
-  private static String events(int first) {
+  private static String eventStream(int first) {
     StringBuilder events = new StringBuilder();
     IntStream.rangeClosed(first, FleetEngine.EVENTS)
         .forEach(n -> events.append("id: " + n + "\ndata: piece " + n + "\n\n"));
     return events.toString();
   }
 
-  private static String[] with(String... more) {
-    return Stream.concat(Stream.of(WITH_KEY), Stream.of(more)).toArray(String[]::new);
+  private static String[] authorizedHeaders(String... more) {
+    return Stream.concat(Stream.of(AUTHORIZATION), Stream.of(more)).toArray(String[]::new);
   }
 
-  private static void set(EngineFault fault, FleetEngine... engines) {
+  private static void setFault(EngineFault fault, FleetEngine... engines) {
     Stream.of(engines).forEach(engine -> engine.setFault(fault));
   }
 
-  private int ran() {
+  private int runCount() {
     return plain.ran().size() + otherPlain.ran().size();
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRestartTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRestartTests.java
@@ -11,9 +11,9 @@
 @Timeout(60)
 class FleetRestartTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 2;
 
@@ -23,9 +23,9 @@
 
   @BeforeEach
   void start() throws Exception {
-    plain = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("model", EngineKind.STREAM);
-    stage = fleet.engine("stage", EngineKind.STAGE);
+    plain = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("model", EngineKind.STREAM);
+    stage = fleet.addEngine("stage", EngineKind.STAGE);
     fleet.startBoxes(BOXES);
   }
 
@@ -35,44 +35,44 @@
   }
 
   @Test
-  void anUpstreamThatLeftServesAgainAsItsNextStart() throws Exception {
-    assertThat(fleet.get(0, "/again/x", WITH_KEY).statusCode()).isEqualTo(200);
+  void usesRestartedUpstreamAfterItLeft() throws Exception {
+    assertThat(fleet.get(0, "/again/x", AUTHORIZATION).statusCode()).isEqualTo(200);
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "draining"));
-    Fleet.await(() -> fleet.get(0, "/again/x", WITH_KEY).statusCode() == 503);
+    Fleet.await(() -> fleet.get(0, "/again/x", AUTHORIZATION).statusCode() == 503);
 
     plain.startAgain();
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "ready"));
 
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> fleet.get(asked, "/again/x", WITH_KEY).statusCode() == 200);
+      Fleet.await(() -> fleet.get(asked, "/again/x", AUTHORIZATION).statusCode() == 200);
     }
     assertThat(plain.ranDuring(1)).isGreaterThanOrEqualTo(BOXES);
   }
 
   @Test
-  void stageWorkIsDoneByTheNextStartOfItsUpstream() throws Exception {
-    assertThat(fleet.post(0, "/staged/x", STAGED).statusCode()).isEqualTo(200);
+  void sendsStageWorkToRestartedUpstream() throws Exception {
+    assertThat(fleet.post(0, "/staged/x", STAGE_HEADERS).statusCode()).isEqualTo(200);
 
     stage.startAgain();
     fleet.store().put("servers", stage.id(), stage.row("stage", "zone-a", "ready"));
 
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> fleet.post(asked, "/staged/x", STAGED).statusCode() == 200);
+      Fleet.await(() -> fleet.post(asked, "/staged/x", STAGE_HEADERS).statusCode() == 200);
     }
     assertThat(stage.ranDuring(1)).isPositive();
   }
 
   @Test
-  void aRowThatIsOverwrittenNamesNoUpstreamUntilItIsWholeAgain() throws Exception {
+  void ignoresUpstreamWhileItsRowIsInvalid() throws Exception {
     fleet.store().put("servers", "other", "{\"service\":\"plain\",\"slots\":\"many\"}");
-    assertThat(fleet.get(0, "/again/x", WITH_KEY).statusCode()).isEqualTo(200);
+    assertThat(fleet.get(0, "/again/x", AUTHORIZATION).statusCode()).isEqualTo(200);
 
     fleet.store().put("servers", plain.id(), "{");
-    Fleet.await(() -> fleet.get(0, "/again/x", WITH_KEY).statusCode() == 503);
+    Fleet.await(() -> fleet.get(0, "/again/x", AUTHORIZATION).statusCode() == 503);
 
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "ready"));
-    Fleet.await(() -> fleet.get(0, "/again/x", WITH_KEY).statusCode() == 200);
+    Fleet.await(() -> fleet.get(0, "/again/x", AUTHORIZATION).statusCode() == 200);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetStoreDrillTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetStoreRestoreTests.java
@@ -20,10 +20,10 @@
  * taken for removed. Proof: what upstreams run and what the store holds afterwards.
  */
 @Timeout(40)
-class FleetStoreDrillTests {
+class FleetStoreRestoreTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String CRASHING = "ends whoever runs it";
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String CRASHING_BODY = "ends whoever runs it";
   private static final int BOXES = 3;
   private static final int REQUESTS = 40;
 
@@ -38,63 +38,63 @@
   }
 
   @Test
-  void anUpstreamThatLeavesAfterADrillGetsNothingMore() throws Exception {
-    FleetEngine leaving = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void sendsNoRequestsToUpstreamThatLeavesAfterRestore() throws Exception {
+    FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    drill(fleet.store().copy());
+    restore(fleet.store().copy());
 
     fleet.store().put("servers", leaving.id(), leaving.row("plain", "zone-a", "draining"));
 
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> ranFor(leaving, asked) == 0);
+      Fleet.await(() -> runCountFor(leaving, asked) == 0);
     }
   }
 
   @Test
-  void anUpstreamThatStartsAfterADrillIsUsed() throws Exception {
+  void usesUpstreamThatStartsAfterRestore() throws Exception {
     startBoxes();
-    drill(fleet.store().copy());
+    restore(fleet.store().copy());
 
-    FleetEngine started = fleet.engine("plain", EngineKind.PLAIN);
+    FleetEngine started = fleet.addEngine("plain", EngineKind.PLAIN);
 
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> ranFor(started, asked) > 0);
+      Fleet.await(() -> runCountFor(started, asked) > 0);
     }
   }
 
   @Test
-  void anUpstreamWhoseEntryIsYoungerThanTheCopyStaysInUse() throws Exception {
+  void keepsUpstreamThatIsMissingInSnapshot() throws Exception {
     StoreStandIn.Copy copy = fleet.store().copy();
-    FleetEngine living = fleet.engine("plain", EngineKind.PLAIN);
+    FleetEngine living = fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
 
-    drill(copy);
-    expectAllServed();
+    restore(copy);
+    assertAllServed();
     fleet.store().put("servers", living.id(), living.row("plain", "zone-a", "ready"));
 
-    expectAllServed();
+    assertAllServed();
   }
 
   @Test
-  void aVerdictThatTheCopyLacksHoldsAndIsWrittenAgain() throws Exception {
-    List<FleetEngine> upstreams = crashingUpstreams();
+  void rewritesVerdictThatIsMissingInSnapshot() throws Exception {
+    List<FleetEngine> upstreams = addCrashingUpstreams();
     startBoxes();
     StoreStandIn.Copy copy = fleet.store().copy();
-    reachVerdict();
+    awaitVerdict();
     long ended = upstreams.stream().filter(FleetEngine::isDown).count();
 
-    drill(copy);
+    restore(copy);
     Fleet.await(() -> !fleet.store().keys("quarantine").isEmpty());
     for (int box = 0; box < BOXES; box++) {
-      assertThat(crash(box).statusCode()).isEqualTo(503);
+      assertThat(sendCrashingRequest(box).statusCode()).isEqualTo(503);
     }
-    fleet.loseAllBoxes();
+    fleet.killAllBoxes();
     startBoxes();
     for (int box = 0; box < BOXES; box++) {
-      assertThat(crash(box).statusCode()).isEqualTo(503);
+      assertThat(sendCrashingRequest(box).statusCode()).isEqualTo(503);
     }
 
     assertThat(upstreams.stream().filter(FleetEngine::isDown).count()).isEqualTo(ended);
@@ -102,76 +102,76 @@
 
   // Guards against the row of a lifted verdict that comes back with the copy and stays.
   @Test
-  void aVerdictThatAnOperatorLiftedStaysLiftedThoughTheCopyHasIt() throws Exception {
-    List<FleetEngine> upstreams = crashingUpstreams();
+  void removesLiftedVerdictThatSnapshotContains() throws Exception {
+    List<FleetEngine> upstreams = addCrashingUpstreams();
     startBoxes();
-    reachVerdict();
+    awaitVerdict();
     StoreStandIn.Copy copy = fleet.store().copy();
     upstreams.forEach(upstream -> upstream.crashOn("nothing"));
     fleet.store().keys("quarantine").forEach(key -> fleet.store().remove("quarantine", key));
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> crash(asked).statusCode() == 200);
+      Fleet.await(() -> sendCrashingRequest(asked).statusCode() == 200);
     }
 
-    drill(copy);
+    restore(copy);
 
     Fleet.await(() -> fleet.store().keys("quarantine").isEmpty());
     for (int box = 0; box < BOXES; box++) {
-      assertThat(crash(box).statusCode()).isEqualTo(200);
+      assertThat(sendCrashingRequest(box).statusCode()).isEqualTo(200);
     }
   }
 
-  private List<FleetEngine> crashingUpstreams() {
+  private List<FleetEngine> addCrashingUpstreams() {
     List<FleetEngine> upstreams = new ArrayList<>();
     for (int number = 0; number < 12; number++) {
-      FleetEngine upstream = fleet.engine("model", EngineKind.STREAM);
-      upstream.crashOn(CRASHING);
+      FleetEngine upstream = fleet.addEngine("model", EngineKind.STREAM);
+      upstream.crashOn(CRASHING_BODY);
       upstreams.add(upstream);
     }
     return upstreams;
   }
 
-  private void reachVerdict() throws Exception {
+  private void awaitVerdict() throws Exception {
     Fleet.await(
         () -> {
           for (int box = 0; box < BOXES; box++) {
-            crash(box);
+            sendCrashingRequest(box);
           }
           return !fleet.store().keys("quarantine").isEmpty();
         });
   }
 
-  private HttpResponse<String> crash(int box) throws Exception {
-    return fleet.postBody(box, "/resume/x", CRASHING, WITH_KEY);
+  private HttpResponse<String> sendCrashingRequest(int box) throws Exception {
+    return fleet.postBody(box, "/resume/x", CRASHING_BODY, AUTHORIZATION);
   }
 
   /** The store comes back as a copy once all boxes have read what is lost with it. */
-  private void drill(StoreStandIn.Copy copy) throws Exception {
+  private void restore(StoreStandIn.Copy copy) throws Exception {
     for (int number = 0; number < LOST_VERSIONS; number++) {
       fleet.store().put("heartbeats", "key", "{}");
     }
-    FleetEngine witness = fleet.engine("plain", EngineKind.PLAIN);
+    FleetEngine witness = fleet.addEngine("plain", EngineKind.PLAIN);
     for (int box = 0; box < BOXES; box++) {
       int asked = box;
-      Fleet.await(() -> ranFor(witness, asked) > 0);
+      Fleet.await(() -> runCountFor(witness, asked) > 0);
     }
     fleet.store().comeBackAs(copy);
   }
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
-  private void expectAllServed() throws Exception {
+  private void assertAllServed() throws Exception {
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
     }
   }
 
   /** Returns how many of some requests to a box an upstream has run. */
-  private int ranFor(FleetEngine upstream, int box) throws Exception {
+  private int runCountFor(FleetEngine upstream, int box) throws Exception {
     int before = upstream.ran().size();
     for (int number = 0; number < REQUESTS / BOXES; number++) {
       get(box);
@@ -180,6 +180,6 @@
   }
 
   private HttpResponse<String> get(int box) throws Exception {
-    return fleet.get(box, "/again/x", WITH_KEY);
+    return fleet.get(box, "/again/x", AUTHORIZATION);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAction.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAction.java
@@ -10,8 +10,8 @@
   String name();
 
   /** Returns whether other steps have to be over before it and wait for it. */
-  boolean needsCalm();
+  boolean isExclusive();
 
   /** Does it, and undoes it where it lasts. */
-  void play(SoakRun run, Random random) throws IOException, InterruptedException;
+  void execute(SoakRun run, Random random) throws IOException, InterruptedException;
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
@@ -10,27 +10,27 @@
 /** A box of the soak: a real process, its link to the store, and where it is reached. */
 final class SoakBox implements AutoCloseable {
 
-  private static final int PORTS = 4;
+  private static final int PORT_COUNT = 4;
 
   private final Path folder;
   private final int number;
   private final List<Integer> ports;
   private final FaultyLink storeLink;
-  private final Object steps = new Object();
+  private final Object processLock = new Object();
   private volatile Process process;
-  private volatile int life;
+  private volatile int incarnation;
 
   SoakBox(Path folder, int number, String store) throws IOException {
     this.folder = folder;
     this.number = number;
     // A box that is started again must find its ports free, whatever others dial meanwhile.
-    this.ports = FreePorts.findBelowOutgoing(PORTS);
+    this.ports = FreePorts.findBelowOutgoing(PORT_COUNT);
     this.storeLink = new FaultyLink(store);
   }
 
   /** Returns what a step holds that stops, kills or freezes the process; callers never do. */
-  Object steps() {
-    return steps;
+  Object processLock() {
+    return processLock;
   }
 
   FaultyLink storeLink() {
@@ -41,8 +41,8 @@
     return number;
   }
 
-  int life() {
-    return life;
+  int incarnation() {
+    return incarnation;
   }
 
   int callerPort() {
@@ -53,12 +53,12 @@
     return ports.get(1);
   }
 
-  String seed() {
+  String peerAddress() {
     return "127.0.0.1:" + ports.get(2);
   }
 
   void start(List<String> seeds) throws IOException {
-    life++;
+    incarnation++;
     Path settings = folder.resolve("box-" + number + ".json");
     Files.writeString(settings, FleetConfiguration.settings(ports, storeLink.address(), seeds));
     File log = folder.resolve("box-" + number + ".log").toFile();
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCall.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCall.java
@@ -28,7 +28,7 @@
     return status.filter(answered -> answered == wanted).isPresent();
   }
 
-  boolean isOf(String prefix) {
+  boolean hasPathPrefix(String prefix) {
     return path.startsWith(prefix);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCallers.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCallers.java
@@ -19,18 +19,18 @@
  */
 final class SoakCallers {
 
-  private static final Duration LIMIT = Duration.ofSeconds(10);
-  private static final int PROBE_EACH = 6;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
+  private static final int ADDED_PATH_INTERVAL = 6;
 
   private final Collection<SoakCall> calls = new ConcurrentLinkedQueue<>();
-  private final List<String> added = new CopyOnWriteArrayList<>();
+  private final List<String> addedPaths = new CopyOnWriteArrayList<>();
   private final List<Thread> threads = new CopyOnWriteArrayList<>();
-  private final String run;
+  private final String idPrefix;
   private volatile boolean stopping;
-  private volatile long count;
+  private volatile long requestCount;
 
   SoakCallers(String run) {
-    this.run = run;
+    this.idPrefix = run;
   }
 
   Collection<SoakCall> calls() {
@@ -38,8 +38,8 @@
   }
 
   /** Callers ask from now on for a route too that was added. */
-  void added(String prefix) {
-    added.add(prefix);
+  void addPath(String prefix) {
+    addedPaths.add(prefix);
   }
 
   void start(SoakBox box, int callers) {
@@ -59,25 +59,25 @@
     HttpClient client = FleetCaller.newClient();
     for (int i = 0; !stopping; i++) {
       String path = FleetConfiguration.PATHS.get(i % FleetConfiguration.PATHS.size());
-      if (i % PROBE_EACH == 0 && !added.isEmpty()) {
-        path = added.get(ThreadLocalRandom.current().nextInt(added.size()));
+      if (i % ADDED_PATH_INTERVAL == 0 && !addedPaths.isEmpty()) {
+        path = addedPaths.get(ThreadLocalRandom.current().nextInt(addedPaths.size()));
       }
-      call(client, box, path);
+      sendRequest(client, box, path);
     }
   }
 
   /** Sends one request and notes how it ended. */
-  SoakCall call(HttpClient client, SoakBox box, String path) {
+  SoakCall sendRequest(HttpClient client, SoakBox box, String path) {
     String id = nextId();
-    int life = box.life();
-    long sent = millis();
+    int life = box.incarnation();
+    long sent = currentMillis();
     SoakCall call;
     try {
       HttpResponse<String> answer =
           client.send(request(box, path, id), HttpResponse.BodyHandlers.ofString());
-      call = ended(id, path, box, life, sent, Optional.of(answer.statusCode()), answer.body());
+      call = newCall(id, path, box, life, sent, Optional.of(answer.statusCode()), answer.body());
     } catch (IOException e) {
-      call = ended(id, path, box, life, sent, Optional.empty(), String.valueOf(e));
+      call = newCall(id, path, box, life, sent, Optional.empty(), String.valueOf(e));
     } catch (InterruptedException e) {
       throw new IllegalStateException("callers are not interrupted", e);
     }
@@ -85,7 +85,7 @@
     return call;
   }
 
-  private static SoakCall ended(
+  private static SoakCall newCall(
       String id,
       String path,
       SoakBox box,
@@ -93,15 +93,15 @@
       long sent,
       Optional<Integer> status,
       String body) {
-    return new SoakCall(id, path, box.number(), life, sent, millis(), status, body);
+    return new SoakCall(id, path, box.number(), life, sent, currentMillis(), status, body);
   }
 
   private static HttpRequest request(SoakBox box, String path, String id) {
     return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + box.callerPort() + path + "x"))
-        .timeout(LIMIT)
+        .timeout(REQUEST_TIMEOUT)
         .header("X-Request-Id", id)
         .header("X-Deadline-Ms", "4000")
-        .header("Authorization", "Bearer " + Fleet.KEY)
+        .header("Authorization", "Bearer " + Fleet.API_KEY)
         .header("X-Pieces", "2,3")
         .header("X-Piece-Key", "pk")
         .POST(HttpRequest.BodyPublishers.ofString("a body"))
@@ -109,11 +109,11 @@
   }
 
   private synchronized String nextId() {
-    count++;
-    return run + "-" + count;
+    requestCount++;
+    return idPrefix + "-" + requestCount;
   }
 
-  static long millis() {
+  static long currentMillis() {
     return System.nanoTime() / 1_000_000;
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
@@ -18,22 +18,22 @@
 final class SoakChecks {
 
   private static final Pattern EVENT_ID = Pattern.compile("(?m)^id: (\\d+)$");
-  private static final List<Integer> WHOLE_STREAM =
+  private static final List<Integer> ALL_EVENT_IDS =
       IntStream.rangeClosed(1, FleetEngine.EVENTS).boxed().toList();
 
   private SoakChecks() {}
 
   /** A success is the whole answer to the caller's own request. */
-  static List<String> ownAnswers(Collection<SoakCall> calls) {
-    return broken(
+  static List<String> checkResponses(Collection<SoakCall> calls) {
+    return findViolations(
         calls,
-        call -> call.hasStatus(200) && !isOwn(call),
+        call -> call.hasStatus(200) && !isCompleteResponse(call),
         call -> call.id() + " got: " + call.body());
   }
 
-  private static boolean isOwn(SoakCall call) {
-    if (call.isOf("/resume/") || call.isOf("/staged/")) {
-      return eventIds(call.body()).equals(WHOLE_STREAM);
+  private static boolean isCompleteResponse(SoakCall call) {
+    if (call.hasPathPrefix("/resume/") || call.hasPathPrefix("/staged/")) {
+      return eventIds(call.body()).equals(ALL_EVENT_IDS);
     }
     return call.body().endsWith(" to " + call.id());
   }
@@ -48,40 +48,40 @@
   }
 
   /** What must not be repeated runs once at most. */
-  static List<String> atMostOnce(Collection<SeenRequest> ran) {
-    return runs(ran).entrySet().stream()
+  static List<String> checkNoRepeatedRuns(Collection<SeenRequest> ran) {
+    return countRuns(ran).entrySet().stream()
         .filter(entry -> entry.getValue() > 1)
         .map(entry -> entry.getKey() + " ran " + entry.getValue() + " times")
         .toList();
   }
 
-  private static Map<String, Long> runs(Collection<SeenRequest> ran) {
+  private static Map<String, Long> countRuns(Collection<SeenRequest> ran) {
     return ran.stream()
         .filter(seen -> seen.path().startsWith("/once/"))
         .collect(Collectors.groupingBy(seen -> seen.header("X-Request-Id"), Collectors.counting()));
   }
 
   /** A refusal that promises that the request has not run is true. */
-  static List<String> notRunIsTrue(Collection<SoakCall> calls, Collection<SeenRequest> ran) {
-    Set<String> didRun = runs(ran).keySet();
-    return broken(
+  static List<String> checkRefusedNotRun(Collection<SoakCall> calls, Collection<SeenRequest> ran) {
+    Set<String> didRun = countRuns(ran).keySet();
+    return findViolations(
         calls,
         call -> (call.hasStatus(503) || call.hasStatus(429)) && didRun.contains(call.id()),
         call -> call.id() + " was told " + call.status().orElse(0) + " and ran");
   }
 
   /** Once a process has served a route that was added, it never says again that there is none. */
-  static List<String> neverBack(Collection<SoakCall> calls) {
+  static List<String> checkRoutesKept(Collection<SoakCall> calls) {
     Map<String, Long> served = new HashMap<>();
     List<String> broken = new ArrayList<>();
     calls.stream()
-        .filter(call -> call.isOf("/add-"))
+        .filter(call -> call.hasPathPrefix("/add-"))
         .sorted(Comparator.comparingLong(SoakCall::sentMillis))
-        .forEach(call -> check(call, served, broken));
+        .forEach(call -> checkRoute(call, served, broken));
     return broken;
   }
 
-  private static void check(SoakCall call, Map<String, Long> served, List<String> broken) {
+  private static void checkRoute(SoakCall call, Map<String, Long> served, List<String> broken) {
     String process = call.box() + "/" + call.life() + call.path();
     if (call.hasStatus(200)) {
       served.merge(process, call.endMillis(), Math::min);
@@ -92,16 +92,16 @@
   }
 
   /** A planned stop cuts no request that an engine has run. */
-  static List<String> stopCutsNothing(
+  static List<String> checkPlannedStops(
       Collection<SoakCall> calls, Collection<SeenRequest> ran, Collection<PlannedStop> stops) {
     Set<String> didRun =
         ran.stream().map(seen -> seen.header("X-Request-Id")).collect(Collectors.toSet());
-    return broken(
+    return findViolations(
         calls,
         call ->
             call.status().isEmpty()
                 && didRun.contains(call.id())
-                && stops.stream().anyMatch(stop -> stop.concerns(call)),
+                && stops.stream().anyMatch(stop -> stop.overlaps(call)),
         call -> call.id() + " was cut by the planned stop of box " + call.box());
   }
 
@@ -109,26 +109,26 @@
    * A planned stop with nothing else wrong.
    *
    * @param box number of the box
-   * @param life its process
+   * @param incarnation its process
    * @param fromMillis when it was told
    * @param untilMillis when it had ended
    */
-  record PlannedStop(int box, int life, long fromMillis, long untilMillis) {
+  record PlannedStop(int box, int incarnation, long fromMillis, long untilMillis) {
 
-    boolean concerns(SoakCall call) {
+    boolean overlaps(SoakCall call) {
       return call.box() == box
-          && call.life() == life
+          && call.life() == incarnation
           && call.sentMillis() <= untilMillis
           && call.endMillis() >= fromMillis;
     }
   }
 
   /** Returns the most requests in 4 s that a limit allows. */
-  static long mostOfLimit(double perSecond) {
+  static long maxRequestsInWindow(double perSecond) {
     return (long) (perSecond * 1.5 * 4 + 5);
   }
 
-  private static List<String> broken(
+  private static List<String> findViolations(
       Collection<SoakCall> calls, Predicate<SoakCall> breaks, Function<SoakCall, String> text) {
     return calls.stream().filter(breaks).map(text).toList();
   }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecksTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecksTests.java
@@ -11,77 +11,94 @@
 /** Each check finds a fault that was planted, and nothing where there is none. */
 class SoakChecksTests {
 
-  private static final String WHOLE =
+  private static final String COMPLETE_STREAM =
       "id: 1\ndata: a\n\nid: 2\ndata: a\n\nid: 3\ndata: a\n\nid: 4\n\nid: 5\n\nid: 6\n\n";
 
   @Test
-  void anotherRequestsAnswerIsFound() {
-    assertThat(SoakChecks.ownAnswers(List.of(call("a", "/again/1", 200, "answer of e to a"))))
+  void detectsResponseOfAnotherRequest() {
+    assertThat(
+            SoakChecks.checkResponses(List.of(newCall("a", "/again/1", 200, "answer of e to a"))))
         .isEmpty();
-    assertThat(SoakChecks.ownAnswers(List.of(call("a", "/again/1", 200, "answer of e to b"))))
+    assertThat(
+            SoakChecks.checkResponses(List.of(newCall("a", "/again/1", 200, "answer of e to b"))))
+        .hasSize(1);
+    assertThat(SoakChecks.checkResponses(List.of(newCall("a", "/again/1", 200, "answer of"))))
         .hasSize(1);
-    assertThat(SoakChecks.ownAnswers(List.of(call("a", "/again/1", 200, "answer of")))).hasSize(1);
   }
 
   @Test
-  void aStreamWithAGapOrARepeatOrWithoutItsEndIsFound() {
-    assertThat(SoakChecks.ownAnswers(List.of(call("a", "/resume/1", 200, WHOLE)))).isEmpty();
-    assertThat(SoakChecks.ownAnswers(List.of(call("a", "/resume/1", 200, WHOLE + "id: 6\n"))))
+  void detectsIncompleteOrRepeatedStream() {
+    assertThat(SoakChecks.checkResponses(List.of(newCall("a", "/resume/1", 200, COMPLETE_STREAM))))
+        .isEmpty();
+    assertThat(
+            SoakChecks.checkResponses(
+                List.of(newCall("a", "/resume/1", 200, COMPLETE_STREAM + "id: 6\n"))))
         .hasSize(1);
     assertThat(
-            SoakChecks.ownAnswers(
-                List.of(call("a", "/staged/1", 200, WHOLE.replace("id: 3\n", "")))))
+            SoakChecks.checkResponses(
+                List.of(newCall("a", "/staged/1", 200, COMPLETE_STREAM.replace("id: 3\n", "")))))
         .hasSize(1);
     assertThat(
-            SoakChecks.ownAnswers(
-                List.of(call("a", "/staged/1", 200, WHOLE.replace("id: 6\n", "")))))
+            SoakChecks.checkResponses(
+                List.of(newCall("a", "/staged/1", 200, COMPLETE_STREAM.replace("id: 6\n", "")))))
         .hasSize(1);
   }
 
   @Test
-  void aSecondRunIsFound() {
-    assertThat(SoakChecks.atMostOnce(List.of(ran("a", "/once/1"), ran("b", "/once/2")))).isEmpty();
-    assertThat(SoakChecks.atMostOnce(List.of(ran("a", "/once/1"), ran("a", "/once/1")))).hasSize(1);
-    assertThat(SoakChecks.atMostOnce(List.of(ran("a", "/again/1"), ran("a", "/again/1"))))
+  void detectsRepeatedRun() {
+    assertThat(
+            SoakChecks.checkNoRepeatedRuns(
+                List.of(newRequest("a", "/once/1"), newRequest("b", "/once/2"))))
+        .isEmpty();
+    assertThat(
+            SoakChecks.checkNoRepeatedRuns(
+                List.of(newRequest("a", "/once/1"), newRequest("a", "/once/1"))))
+        .hasSize(1);
+    assertThat(
+            SoakChecks.checkNoRepeatedRuns(
+                List.of(newRequest("a", "/again/1"), newRequest("a", "/again/1"))))
         .isEmpty();
   }
 
   @Test
-  void aFalseNotRunIsFound() {
-    List<SoakCall> refused = List.of(call("a", "/once/1", 503, ""));
+  void detectsRefusedRequestThatRan() {
+    List<SoakCall> refused = List.of(newCall("a", "/once/1", 503, ""));
 
-    assertThat(SoakChecks.notRunIsTrue(refused, List.of(ran("b", "/once/1")))).isEmpty();
-    assertThat(SoakChecks.notRunIsTrue(refused, List.of(ran("a", "/once/1")))).hasSize(1);
+    assertThat(SoakChecks.checkRefusedNotRun(refused, List.of(newRequest("b", "/once/1"))))
+        .isEmpty();
+    assertThat(SoakChecks.checkRefusedNotRun(refused, List.of(newRequest("a", "/once/1"))))
+        .hasSize(1);
   }
 
   @Test
-  void aConfigurationThatGoesBackIsFound() {
+  void detectsLostRoute() {
     SoakCall served = new SoakCall("a", "/add-1/x", 1, 1, 0, 10, Optional.of(200), "");
     SoakCall before = new SoakCall("b", "/add-1/x", 1, 1, 9, 10, Optional.of(404), "");
     SoakCall forgotten = new SoakCall("c", "/add-1/x", 1, 1, 11, 12, Optional.of(404), "");
 
-    assertThat(SoakChecks.neverBack(List.of(before, served))).isEmpty();
-    assertThat(SoakChecks.neverBack(List.of(served, forgotten))).hasSize(1);
+    assertThat(SoakChecks.checkRoutesKept(List.of(before, served))).isEmpty();
+    assertThat(SoakChecks.checkRoutesKept(List.of(served, forgotten))).hasSize(1);
   }
 
   @Test
-  void aRequestThatAPlannedStopCutIsFound() {
+  void detectsRequestAbortedByPlannedStop() {
     SoakCall cut = new SoakCall("a", "/once/1", 2, 1, 100, 300, Optional.empty(), "");
     PlannedStop stop = new PlannedStop(2, 1, 200, 400);
-    List<SeenRequest> ran = List.of(ran("a", "/once/1"));
+    List<SeenRequest> ran = List.of(newRequest("a", "/once/1"));
 
-    assertThat(SoakChecks.stopCutsNothing(List.of(cut), ran, List.of(stop))).hasSize(1);
-    assertThat(SoakChecks.stopCutsNothing(List.of(cut), List.of(), List.of(stop))).isEmpty();
+    assertThat(SoakChecks.checkPlannedStops(List.of(cut), ran, List.of(stop))).hasSize(1);
+    assertThat(SoakChecks.checkPlannedStops(List.of(cut), List.of(), List.of(stop))).isEmpty();
     assertThat(
-            SoakChecks.stopCutsNothing(List.of(cut), ran, List.of(new PlannedStop(2, 2, 200, 400))))
+            SoakChecks.checkPlannedStops(
+                List.of(cut), ran, List.of(new PlannedStop(2, 2, 200, 400))))
         .isEmpty();
   }
 
-  private static SoakCall call(String id, String path, int status, String body) {
+  private static SoakCall newCall(String id, String path, int status, String body) {
     return new SoakCall(id, path, 1, 1, 0, 10, Optional.of(status), body);
   }
 
-  private static SeenRequest ran(String id, String path) {
+  private static SeenRequest newRequest(String id, String path) {
     return new SeenRequest("POST", path, Map.of("x-request-id", id), "");
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
@@ -9,27 +9,27 @@
 final class SoakEngineSteps {
 
   private static final long LEAVING_BOUND_MILLIS = 2_000;
-  private static final long LEAVING_SLACK_MILLIS = 500;
+  private static final long LEAVING_MARGIN_MILLIS = 500;
 
   /** A limit must be kept so long after it was first named. */
-  private static final long LIMIT_KNOWN_MILLIS = 3_000;
+  private static final long LIMIT_PROPAGATION_MILLIS = 3_000;
 
-  private static final long LIMIT_WATCHED_MILLIS = 6_000;
-  private static final long TURNED_AWAY_MILLIS = 2_000;
+  private static final long LIMIT_OBSERVATION_MILLIS = 6_000;
+  private static final long BACKOFF_MILLIS = 2_000;
 
   /** A start that has left, and how many requests it had run when its bound was over. */
-  private record Left(FleetEngine engine, int start, int ranByThen) {
+  private record DepartedEngine(FleetEngine engine, int incarnation, int runsAtBound) {
 
-    boolean gotMore() {
-      return engine.ranDuring(start) > ranByThen;
+    boolean hasRunMore() {
+      return engine.ranDuring(incarnation) > runsAtBound;
     }
   }
 
   private final SoakEngines engines;
-  private final Consumer<String> allServing;
-  private final Consumer<String> broken;
-  private final int patience;
-  private final List<Left> left = new CopyOnWriteArrayList<>();
+  private final Consumer<String> servingCheck;
+  private final Consumer<String> violations;
+  private final int timeoutFactor;
+  private final List<DepartedEngine> departedEngines = new CopyOnWriteArrayList<>();
 
   /**
    * Creates them.
@@ -41,64 +41,66 @@
   SoakEngineSteps(
       SoakEngines engines, Consumer<String> allServing, Consumer<String> broken, int patience) {
     this.engines = engines;
-    this.allServing = allServing;
-    this.broken = broken;
-    this.patience = patience;
+    this.servingCheck = allServing;
+    this.violations = broken;
+    this.timeoutFactor = patience;
   }
 
   /** Lets an engine name a limit while nothing else is wrong: it must be kept. */
-  void limitInCalm(FleetEngine engine, double perSecond) throws InterruptedException {
-    allServing.accept("before an engine names a limit");
+  void checkLimit(FleetEngine engine, double perSecond) throws InterruptedException {
+    servingCheck.accept("before an engine names a limit");
     engine.limit().name(String.valueOf(perSecond));
-    SoakRun.last(LIMIT_KNOWN_MILLIS * patience);
+    SoakRun.pause(LIMIT_PROPAGATION_MILLIS * timeoutFactor);
     int first = engine.limit().arrived();
-    SoakRun.last(LIMIT_WATCHED_MILLIS);
+    SoakRun.pause(LIMIT_OBSERVATION_MILLIS);
     long most = engine.limit().mostInWindowAfter(first);
     engine.limit().withdraw();
-    if (most > SoakChecks.mostOfLimit(perSecond)) {
-      broken.accept(engine.id() + " takes " + perSecond + " a second and got " + most + " in 4 s");
+    if (most > SoakChecks.maxRequestsInWindow(perSecond)) {
+      violations.accept(
+          engine.id() + " takes " + perSecond + " a second and got " + most + " in 4 s");
     }
-    allServing.accept("after an engine names no limit any more");
+    servingCheck.accept("after an engine names no limit any more");
   }
 
   /** Takes an engine away: after the bound it must get no new work. */
-  void leave(FleetEngine leaving) throws IOException, InterruptedException {
-    allServing.accept("before an engine leaves");
+  void checkLeaving(FleetEngine leaving) throws IOException, InterruptedException {
+    servingCheck.accept("before an engine leaves");
     engines.add(leaving.kind());
     engines.remove(leaving);
-    engines.list(leaving, "draining");
-    awaitBound();
-    left.add(new Left(leaving, leaving.start(), leaving.ranDuring(leaving.start())));
+    engines.putRow(leaving, "draining");
+    awaitLeavingBound();
+    departedEngines.add(
+        new DepartedEngine(leaving, leaving.start(), leaving.ranDuring(leaving.start())));
   }
 
   /** Takes an engine away, and starts it again under its id once it must get no new work. */
-  void leaveAndComeBack(FleetEngine engine) throws IOException, InterruptedException {
-    allServing.accept("before an engine leaves to come back");
+  void checkLeavingAndRestart(FleetEngine engine) throws IOException, InterruptedException {
+    servingCheck.accept("before an engine leaves to come back");
     int start = engine.start();
-    engines.list(engine, "draining");
-    awaitBound();
+    engines.putRow(engine, "draining");
+    awaitLeavingBound();
     int ranByThen = engine.ranDuring(start);
     engine.startAgain();
-    left.add(new Left(engine, start, ranByThen));
-    engines.list(engine, "ready");
-    allServing.accept("after an engine came back under its id");
+    departedEngines.add(new DepartedEngine(engine, start, ranByThen));
+    engines.putRow(engine, "ready");
+    servingCheck.accept("after an engine came back under its id");
   }
 
   /** Lets an engine crash and start again under its id. */
-  void startAgain(FleetEngine engine) throws IOException {
+  void restart(FleetEngine engine) throws IOException {
     engine.startAgain();
-    engines.list(engine, "ready");
+    engines.putRow(engine, "ready");
   }
 
   /** The same while nothing else is wrong. */
-  void startAgainInCalm(FleetEngine engine) throws IOException, InterruptedException {
-    allServing.accept("before an engine starts again");
-    startAgain(engine);
-    awaitBound();
+  void checkRestart(FleetEngine engine) throws IOException, InterruptedException {
+    servingCheck.accept("before an engine starts again");
+    restart(engine);
+    awaitLeavingBound();
     int askedByThen = engine.askedOfOthers().size();
-    allServing.accept("after an engine started again");
+    servingCheck.accept("after an engine started again");
     if (engine.askedOfOthers().size() > askedByThen) {
-      broken.accept(engine.id() + " was asked about results of the start before");
+      violations.accept(engine.id() + " was asked about results of the start before");
     }
   }
 
@@ -108,29 +110,29 @@
    */
   void announceLeaving(FleetEngine engine, long millis) throws IOException, InterruptedException {
     engine.signals().announceLeaving("1");
-    SoakRun.last(millis);
+    SoakRun.pause(millis);
     engine.signals().withdraw();
     engine.startAgain();
-    engines.list(engine, "ready");
+    engines.putRow(engine, "ready");
   }
 
   /** Has an engine turn requests away for some seconds while nothing else is wrong. */
-  void turnAwayInCalm(FleetEngine engine, int seconds) throws InterruptedException {
-    allServing.accept("before an engine turns requests away");
+  void checkBackoff(FleetEngine engine, int seconds) throws InterruptedException {
+    servingCheck.accept("before an engine turns requests away");
     engine.signals().turnAway(String.valueOf(seconds));
-    SoakRun.last(TURNED_AWAY_MILLIS * patience);
+    SoakRun.pause(BACKOFF_MILLIS * timeoutFactor);
     engine.signals().withdraw();
-    allServing.accept("after an engine turned requests away");
+    servingCheck.accept("after an engine turned requests away");
   }
 
-  private void awaitBound() throws InterruptedException {
-    SoakRun.last((LEAVING_BOUND_MILLIS + LEAVING_SLACK_MILLIS) * patience);
+  private void awaitLeavingBound() throws InterruptedException {
+    SoakRun.pause((LEAVING_BOUND_MILLIS + LEAVING_MARGIN_MILLIS) * timeoutFactor);
   }
 
   /** Notes the starts that got work after they had left. */
-  void judge() {
-    left.stream()
-        .filter(Left::gotMore)
-        .forEach(each -> broken.accept(each.engine().id() + " got work after it had left"));
+  void checkDepartedEngines() {
+    departedEngines.stream()
+        .filter(DepartedEngine::hasRunMore)
+        .forEach(each -> violations.accept(each.engine().id() + " got work after it had left"));
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
@@ -13,72 +13,72 @@
 final class SoakEngines implements AutoCloseable {
 
   private final StoreStandIn store;
-  private final Random seeds;
-  private final List<FleetEngine> serving = new CopyOnWriteArrayList<>();
-  private final List<FleetEngine> gone = new CopyOnWriteArrayList<>();
+  private final Random idRandom;
+  private final List<FleetEngine> servingEngines = new CopyOnWriteArrayList<>();
+  private final List<FleetEngine> removedEngines = new CopyOnWriteArrayList<>();
   private final List<FaultyLink> allLinks = new CopyOnWriteArrayList<>();
   private final Map<FleetEngine, FaultyLink> links = new ConcurrentHashMap<>();
 
   SoakEngines(StoreStandIn store, Random seeds) {
     this.store = store;
-    this.seeds = seeds;
+    this.idRandom = seeds;
   }
 
   /** Starts one more and lists it. */
   void add(EngineKind kind) throws IOException {
-    FleetEngine engine = new FleetEngine("i-" + kind + "-" + seeds.nextInt(1_000_000), kind);
+    FleetEngine engine = new FleetEngine("i-" + kind + "-" + idRandom.nextInt(1_000_000), kind);
     FaultyLink link = new FaultyLink(engine.address());
     allLinks.add(link);
     links.put(engine, link);
-    serving.add(engine);
-    list(engine, "ready");
+    servingEngines.add(engine);
+    putRow(engine, "ready");
   }
 
   /** Takes one out of those that serve. */
   void remove(FleetEngine engine) {
-    serving.remove(engine);
-    gone.add(engine);
+    servingEngines.remove(engine);
+    removedEngines.add(engine);
   }
 
   /** Puts the row of an engine, with a state. */
-  void list(FleetEngine engine, String state) {
+  void putRow(FleetEngine engine, String state) {
     String row = engine.row(engine.kind().service(), "zone-a", state);
     String address = links.get(engine).address();
     store.put("servers", engine.id(), row.replace(engine.address(), address));
   }
 
   /** Puts the rows of all that serve. */
-  void listAll() {
-    serving.forEach(engine -> list(engine, "ready"));
+  void putAllRows() {
+    servingEngines.forEach(engine -> putRow(engine, "ready"));
   }
 
-  FleetEngine any(Random random) {
-    return serving.get(random.nextInt(serving.size()));
+  FleetEngine randomEngine(Random random) {
+    return servingEngines.get(random.nextInt(servingEngines.size()));
   }
 
-  FaultyLink anyLink(Random random) {
+  FaultyLink randomLink(Random random) {
     return allLinks.get(random.nextInt(allLinks.size()));
   }
 
   /** Returns all that ever served. */
-  List<FleetEngine> all() {
-    return Stream.concat(serving.stream(), gone.stream()).toList();
+  List<FleetEngine> allEngines() {
+    return Stream.concat(servingEngines.stream(), removedEngines.stream()).toList();
   }
 
   /** Returns what all that ever served have run. */
-  List<SeenRequest> ran() {
+  List<SeenRequest> executedRequests() {
     List<SeenRequest> ran = new ArrayList<>();
-    serving.forEach(engine -> ran.addAll(engine.ran()));
-    gone.forEach(engine -> ran.addAll(engine.ran()));
+    servingEngines.forEach(engine -> ran.addAll(engine.ran()));
+    removedEngines.forEach(engine -> ran.addAll(engine.ran()));
     return ran;
   }
 
   /** Ends all faults of engines and links. */
-  void lift() {
-    serving.forEach(engine -> engine.setFault(EngineFault.NONE));
-    serving.forEach(engine -> engine.limit().withdraw());
-    serving.forEach(engine -> engine.signals().withdraw());
-    allLinks.forEach(link -> link.set(FaultyLink.Fault.NONE));
+  void clearFaults() {
+    servingEngines.forEach(engine -> engine.setFault(EngineFault.NONE));
+    servingEngines.forEach(engine -> engine.limit().withdraw());
+    servingEngines.forEach(engine -> engine.signals().withdraw());
+    allLinks.forEach(link -> link.setFault(FaultyLink.Fault.NONE));
   }
 
   @Override
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakProcessTest.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakProcessTest.java
@@ -22,15 +22,15 @@
   private static final long DEFAULT_SEED = 20261202;
 
   /** Where the machine may do anything else besides, bounds of time say little. */
-  private static final int PATIENCE = 5;
+  private static final int DEFAULT_TIMEOUT_FACTOR = 5;
 
   @Test
-  void promisesHoldUnderRandomFaults() throws Exception {
+  void keepsGuaranteesUnderRandomFaults() throws Exception {
     long from = Long.getLong("soak.from", DEFAULT_SEED);
     long to = Long.getLong("soak.to", from);
     Map<Long, List<String>> broken = new LinkedHashMap<>();
     for (long seed : LongStream.rangeClosed(from, to).toArray()) {
-      List<String> found = play(seed);
+      List<String> found = runSeed(seed);
       if (!found.isEmpty()) {
         broken.put(seed, found);
       }
@@ -39,13 +39,13 @@
     assertThat(broken).isEmpty();
   }
 
-  private static List<String> play(long seed) throws Exception {
-    Path folder = folder(seed);
+  private static List<String> runSeed(long seed) throws Exception {
+    Path folder = createFolder(seed);
     Duration length = Duration.ofSeconds(Long.getLong("soak.seconds", 6));
-    int patience = Integer.getInteger("soak.patience", PATIENCE);
+    int patience = Integer.getInteger("soak.patience", DEFAULT_TIMEOUT_FACTOR);
     int boxes = Integer.getInteger("soak.boxes", 3);
     try (SoakRun run = new SoakRun(seed, length, boxes, patience, folder)) {
-      List<String> found = run.play();
+      List<String> found = run.execute();
       System.out.printf(
           "soak seed=%d boxes=%d seconds=%d calls=%d %s logs=%s%n",
           seed,
@@ -59,7 +59,7 @@
     }
   }
 
-  private static Path folder(long seed) throws IOException {
+  private static Path createFolder(long seed) throws IOException {
     String given = System.getProperty("soak.folder", "");
     return given.isEmpty()
         ? Files.createTempDirectory("soak-" + seed + "-")
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRun.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRun.java
@@ -24,28 +24,28 @@
  */
 final class SoakRun implements AutoCloseable {
 
-  private static final int CALLERS_OF_BOX = 3;
-  private static final int SERIES = 3;
-  private static final Duration RECOVERY = Duration.ofSeconds(12);
+  private static final int CALLERS_PER_BOX = 3;
+  private static final int FAULT_SERIES = 3;
+  private static final Duration RECOVERY_TIMEOUT = Duration.ofSeconds(12);
 
-  private static final long WORD_SEEDS = 0x5eed;
-  private static final long SIGNAL_SEEDS = 0x51617a1;
+  private static final long LIMIT_SEED_MASK = 0x5eed;
+  private static final long ANNOUNCEMENT_SEED_MASK = 0x51617a1;
 
-  private final Random seeds;
-  private final Random startSeeds;
-  private final Random wordSeeds;
-  private final Random signalSeeds;
+  private final Random faultRandom;
+  private final Random restartRandom;
+  private final Random limitRandom;
+  private final Random announcementRandom;
   private final Path folder;
-  private final int patience;
+  private final int timeoutFactor;
   private final long endMillis;
   private final StoreStandIn store = new StoreStandIn();
   private final SoakEngines engines;
   private final List<SoakBox> boxes = new ArrayList<>();
   private final SoakEngineSteps engineSteps;
-  private final List<SoakChecks.PlannedStop> stops = new CopyOnWriteArrayList<>();
-  private final List<String> broken = new CopyOnWriteArrayList<>();
-  private final List<String> steps = new CopyOnWriteArrayList<>();
-  private final ReadWriteLock calm = new ReentrantReadWriteLock(true);
+  private final List<SoakChecks.PlannedStop> plannedStops = new CopyOnWriteArrayList<>();
+  private final List<String> violations = new CopyOnWriteArrayList<>();
+  private final List<String> stepLog = new CopyOnWriteArrayList<>();
+  private final ReadWriteLock exclusionLock = new ReentrantReadWriteLock(true);
   private final SoakCallers callers;
   private final SoakConfiguration configuration = new SoakConfiguration(store);
 
@@ -55,16 +55,17 @@
    * @param patience by how much the bounds of time are stretched on a machine that does other work
    */
   SoakRun(long seed, Duration length, int boxCount, int patience, Path folder) throws IOException {
-    this.seeds = new Random(seed);
-    this.startSeeds = new Random(~seed);
-    this.wordSeeds = new Random(seed ^ WORD_SEEDS);
-    this.signalSeeds = new Random(seed ^ SIGNAL_SEEDS);
-    this.engines = new SoakEngines(store, seeds);
-    this.patience = patience;
-    this.engineSteps = new SoakEngineSteps(engines, this::expectAllServing, broken::add, patience);
+    this.faultRandom = new Random(seed);
+    this.restartRandom = new Random(~seed);
+    this.limitRandom = new Random(seed ^ LIMIT_SEED_MASK);
+    this.announcementRandom = new Random(seed ^ ANNOUNCEMENT_SEED_MASK);
+    this.engines = new SoakEngines(store, faultRandom);
+    this.timeoutFactor = patience;
+    this.engineSteps =
+        new SoakEngineSteps(engines, this::expectAllServing, violations::add, patience);
     this.folder = folder;
     this.callers = new SoakCallers("s" + seed);
-    this.endMillis = SoakCallers.millis() + length.toMillis();
+    this.endMillis = SoakCallers.currentMillis() + length.toMillis();
     for (EngineKind kind : EngineKind.values()) {
       engines.add(kind);
       engines.add(kind);
@@ -75,25 +76,25 @@
   }
 
   /** Plays the run; returns what was broken, with the steps that led to it. */
-  List<String> play() throws IOException, InterruptedException, ExecutionException {
+  List<String> execute() throws IOException, InterruptedException, ExecutionException {
     for (SoakBox box : boxes) {
-      box.start(allSeeds());
+      box.start(seedAddresses());
     }
     for (SoakBox box : boxes) {
       expectServing(box, "at the start");
-      callers.start(box, CALLERS_OF_BOX);
+      callers.start(box, CALLERS_PER_BOX);
     }
-    playSeries();
-    lift();
+    runAllSeries();
+    clearFaults();
     expectAllServing("after all faults");
     callers.stop();
-    judge();
-    return broken.isEmpty() ? List.of() : all();
+    checkResults();
+    return violations.isEmpty() ? List.of() : violationsAndSteps();
   }
 
-  private List<String> all() {
-    List<String> text = new ArrayList<>(broken);
-    text.addAll(steps);
+  private List<String> violationsAndSteps() {
+    List<String> text = new ArrayList<>(violations);
+    text.addAll(stepLog);
     return text;
   }
 
@@ -101,32 +102,31 @@
     return callers.calls().size();
   }
 
-  private void playSeries() throws InterruptedException, ExecutionException {
-    ExecutorService series = Executors.newFixedThreadPool(SERIES + 3);
+  private void runAllSeries() throws InterruptedException, ExecutionException {
+    ExecutorService series = Executors.newFixedThreadPool(FAULT_SERIES + 3);
     List<Future<?>> running = new ArrayList<>();
-    for (int i = 0; i < SERIES; i++) {
-      Random random = new Random(seeds.nextLong());
-      running.add(series.submit(() -> playOneSeries(SoakStep.values(), random)));
+    for (int i = 0; i < FAULT_SERIES; i++) {
+      Random random = new Random(faultRandom.nextLong());
+      running.add(series.submit(() -> runSeries(SoakFaultStep.values(), random)));
     }
-    running.add(series.submit(() -> playOneSeries(SoakStartStep.values(), startSeeds)));
-    running.add(series.submit(() -> playOneSeries(SoakWordStep.values(), wordSeeds)));
-    running.add(series.submit(() -> playOneSeries(SoakSignalStep.values(), signalSeeds)));
+    running.add(series.submit(() -> runSeries(SoakRestartStep.values(), restartRandom)));
+    running.add(series.submit(() -> runSeries(SoakLimitAndRestoreStep.values(), limitRandom)));
+    running.add(series.submit(() -> runSeries(SoakAnnouncementStep.values(), announcementRandom)));
     for (Future<?> each : running) {
       each.get();
     }
     series.shutdown();
   }
 
-  private Void playOneSeries(SoakAction[] all, Random random)
-      throws IOException, InterruptedException {
-    while (SoakCallers.millis() < endMillis) {
+  private Void runSeries(SoakAction[] all, Random random) throws IOException, InterruptedException {
+    while (SoakCallers.currentMillis() < endMillis) {
       SoakAction step = all[random.nextInt(all.length)];
-      Lock lock = step.needsCalm() ? calm.writeLock() : calm.readLock();
+      Lock lock = step.isExclusive() ? exclusionLock.writeLock() : exclusionLock.readLock();
       lock.lock();
       try {
-        note(step.name());
-        step.play(this, random);
-        note(step.name() + " over");
+        logStep(step.name());
+        step.execute(this, random);
+        logStep(step.name() + " over");
       } finally {
         lock.unlock();
       }
@@ -134,11 +134,11 @@
     return null;
   }
 
-  void note(String step) {
-    steps.add(SoakCallers.millis() + " " + step);
+  void logStep(String step) {
+    stepLog.add(SoakCallers.currentMillis() + " " + step);
   }
 
-  SoakBox anyBox(Random random) {
+  SoakBox randomBox(Random random) {
     return boxes.get(random.nextInt(boxes.size()));
   }
 
@@ -154,44 +154,45 @@
     return store;
   }
 
-  List<String> allSeeds() {
-    return boxes.stream().map(SoakBox::seed).toList();
+  List<String> seedAddresses() {
+    return boxes.stream().map(SoakBox::peerAddress).toList();
   }
 
   /** Waits as long as a fault is to last. */
-  static void last(long millis) throws InterruptedException {
+  static void pause(long millis) throws InterruptedException {
     TimeUnit.MILLISECONDS.sleep(millis);
   }
 
   /** Stops a box as planned while nothing else is wrong, and starts it again. */
   void stopAsPlanned(SoakBox box) throws IOException {
     expectServing(box, "before a planned stop");
-    long from = SoakCallers.millis();
-    int life = box.life();
+    long from = SoakCallers.currentMillis();
+    int life = box.incarnation();
     int exit = box.stop();
-    stops.add(new SoakChecks.PlannedStop(box.number(), life, from, SoakCallers.millis()));
+    plannedStops.add(
+        new SoakChecks.PlannedStop(box.number(), life, from, SoakCallers.currentMillis()));
     if (exit != 0) {
-      broken.add("box " + box.number() + " ended with " + exit + " after SIGTERM");
+      violations.add("box " + box.number() + " ended with " + exit + " after SIGTERM");
     }
-    box.start(allSeeds());
+    box.start(seedAddresses());
     expectServing(box, "after a planned stop");
   }
 
   /** Adds a route, which callers ask for from then on. */
   void addRoute() {
-    callers.added(configuration.addRoute());
+    callers.addPath(configuration.addRoute());
   }
 
   /** Operator and engines write again what the store may have lost. */
-  void writeAgain() {
+  void rewriteStore() {
     configuration.write();
-    engines.listAll();
+    engines.putAllRows();
   }
 
-  private void lift() throws IOException {
+  private void clearFaults() throws IOException {
     store.setFault(StoreFault.NONE);
-    engines.lift();
-    boxes.forEach(box -> box.storeLink().set(FaultyLink.Fault.NONE));
+    engines.clearFaults();
+    boxes.forEach(box -> box.storeLink().setFault(FaultyLink.Fault.NONE));
   }
 
   private void expectAllServing(String when) {
@@ -200,29 +201,31 @@
 
   /** Notes a box that does not serve every kind of request within the bound for recovery. */
   private void expectServing(SoakBox box, String when) {
-    long until = SoakCallers.millis() + RECOVERY.toMillis() * patience;
+    long until = SoakCallers.currentMillis() + RECOVERY_TIMEOUT.toMillis() * timeoutFactor;
     HttpClient client = FleetCaller.newClient();
     for (String path : FleetConfiguration.PATHS) {
-      SoakCall call = callers.call(client, box, path);
-      while (!call.hasStatus(200) && SoakCallers.millis() < until) {
-        call = callers.call(client, box, path);
+      SoakCall call = callers.sendRequest(client, box, path);
+      while (!call.hasStatus(200) && SoakCallers.currentMillis() < until) {
+        call = callers.sendRequest(client, box, path);
       }
       if (!call.hasStatus(200)) {
-        broken.add("box " + box.number() + " does not serve " + path + " " + when + ": " + call);
+        violations.add(
+            "box " + box.number() + " does not serve " + path + " " + when + ": " + call);
       }
     }
   }
 
-  private void judge() {
-    List<SeenRequest> ran = engines.ran();
-    broken.addAll(SoakChecks.ownAnswers(callers.calls()));
-    broken.addAll(SoakChecks.atMostOnce(ran));
-    broken.addAll(SoakChecks.notRunIsTrue(callers.calls(), ran));
-    broken.addAll(SoakChecks.neverBack(callers.calls()));
-    broken.addAll(SoakChecks.stopCutsNothing(callers.calls(), ran, stops));
-    broken.addAll(SoakSignalChecks.leavingIsHeeded(callers.calls(), engines.all()));
-    broken.addAll(SoakSignalChecks.backoffIsHeeded(callers.calls(), engines.all()));
-    engineSteps.judge();
+  private void checkResults() {
+    List<SeenRequest> ran = engines.executedRequests();
+    violations.addAll(SoakChecks.checkResponses(callers.calls()));
+    violations.addAll(SoakChecks.checkNoRepeatedRuns(ran));
+    violations.addAll(SoakChecks.checkRefusedNotRun(callers.calls(), ran));
+    violations.addAll(SoakChecks.checkRoutesKept(callers.calls()));
+    violations.addAll(SoakChecks.checkPlannedStops(callers.calls(), ran, plannedStops));
+    violations.addAll(
+        SoakAnnouncementChecks.checkLeavingAnnouncements(callers.calls(), engines.allEngines()));
+    violations.addAll(SoakAnnouncementChecks.checkBackoffs(callers.calls(), engines.allEngines()));
+    engineSteps.checkDepartedEngines();
   }
 
   @Override
