--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FaultyLink.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FaultyLink.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.locks.LockSupport;
 
-/** A loopback proxy before one address, whose connections can be harmed. Thread-safe. */
+/** A loopback TCP proxy in front of one address that injects network faults. Thread-safe. */
 final class FaultyLink implements AutoCloseable {
 
-  /** What is wrong with the link. */
+  /** A network fault. */
   enum Fault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** Bytes arrive late. */
+    /** Delays all bytes. */
     DELAY,
-    /** What is sent towards the target is lost, though the connection stays. */
+    /** Drops all bytes sent to the target and keeps the connection open. */
     DROP_TO_TARGET,
-    /** What the target sends is lost, though the connection stays. */
+    /** Drops all bytes sent by the target and keeps the connection open. */
     DROP_FROM_TARGET,
-    /** Connections that are open say nothing any more, for good; new ones work. */
+    /** Drops all bytes on open connections until they are closed; new connections work. */
     SILENCE_OPEN_CONNECTIONS,
-    /** Connections are reset, new ones too. */
+    /** Resets open and new connections. */
     RESET
   }
 
@@ -54,12 +54,12 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  void setFault(Fault next) {
-    fault = next;
-    if (next == Fault.RESET) {
+  void setFault(Fault newFault) {
+    fault = newFault;
+    if (newFault == Fault.RESET) {
       openSockets.forEach(FaultyLink::reset);
     }
-    if (next == Fault.SILENCE_OPEN_CONNECTIONS) {
+    if (newFault == Fault.SILENCE_OPEN_CONNECTIONS) {
       silencedSockets.addAll(openSockets);
     }
   }
@@ -67,38 +67,38 @@
   private void acceptConnections() {
     try {
       while (true) {
-        Socket near = listener.accept();
-        DaemonThread.start("link", () -> connectToTarget(near));
+        Socket client = listener.accept();
+        DaemonThread.start("link", () -> connectToTarget(client));
       }
     } catch (IOException e) {
-      // The link was closed.
+      // The listener was closed.
     }
   }
 
-  private void connectToTarget(Socket near) {
+  private void connectToTarget(Socket client) {
     if (fault == Fault.RESET) {
-      reset(near);
+      reset(client);
       return;
     }
     try {
-      Socket far = new Socket();
-      far.connect(target);
-      openSockets.add(near);
-      openSockets.add(far);
-      DaemonThread.start("link", () -> forwardUntilClosed(near, far, Fault.DROP_TO_TARGET));
-      forwardUntilClosed(far, near, Fault.DROP_FROM_TARGET);
+      Socket server = new Socket();
+      server.connect(target);
+      openSockets.add(client);
+      openSockets.add(server);
+      DaemonThread.start("link", () -> forwardUntilClosed(client, server, Fault.DROP_TO_TARGET));
+      forwardUntilClosed(server, client, Fault.DROP_FROM_TARGET);
     } catch (IOException e) {
-      reset(near);
+      reset(client);
     }
   }
 
-  private void forwardUntilClosed(Socket from, Socket to, Fault loses) {
+  private void forwardUntilClosed(Socket from, Socket to, Fault dropFault) {
     try {
-      forwardBytes(from, to, loses);
+      forwardBytes(from, to, dropFault);
       from.close();
       to.close();
     } catch (IOException e) {
-      // A reset is passed on as a reset: an answer without length that is reset is not whole.
+      // Forwards a reset as a reset: a response without a length would look complete after a close.
       reset(to);
       reset(from);
     } finally {
@@ -106,14 +106,14 @@
     }
   }
 
-  private void forwardBytes(Socket from, Socket to, Fault loses) throws IOException {
+  private void forwardBytes(Socket from, Socket to, Fault dropFault) throws IOException {
     byte[] buffer = new byte[BUFFER_BYTES];
     InputStream in = from.getInputStream();
     for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
       if (fault == Fault.DELAY) {
         LockSupport.parkNanos(DELAY_NANOS);
       }
-      if (fault != loses && !silencedSockets.contains(from)) {
+      if (fault != dropFault && !silencedSockets.contains(from)) {
         to.getOutputStream().write(buffer, 0, count);
       }
     }
@@ -124,7 +124,7 @@
       socket.setSoLinger(true, 0);
       socket.close();
     } catch (IOException e) {
-      // It is closed already.
+      // The socket is already closed.
     }
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
@@ -19,7 +19,7 @@
 import org.gradeledge.node.RelayBox;
 import reactor.netty.resources.LoopResources;
 
-/** A store, engines and boxes in one process, for tests. */
+/** Runs a store stand-in, engines and boxes in the process of a test. */
 final class Fleet implements AutoCloseable {
 
   static final String API_KEY = FleetConfiguration.KEY;
@@ -44,9 +44,9 @@
     return store;
   }
 
-  /** Writes a configuration; more routes may be given as JSON that starts with a comma. */
-  void configure(int version, String moreRoutes) {
-    store.put("op", "config", FleetConfiguration.of(version, moreRoutes));
+  /** Writes a configuration with additional routes, given as JSON that starts with a comma. */
+  void configure(int version, String additionalRoutes) {
+    store.put("op", "config", FleetConfiguration.of(version, additionalRoutes));
   }
 
   FleetEngine addEngine(String service, EngineKind kind) {
@@ -56,12 +56,12 @@
     return engine;
   }
 
-  /** Writes the entry of an engine, with a state. */
+  /** Writes the row of an engine with the given state. */
   void putServerRow(FleetEngine engine, String state) {
     store.put("servers", engine.id(), engine.row(engine.kind().service(), "zone-a", state));
   }
 
-  /** Starts boxes, one after the other, each once the one before is ready. */
+  /** Starts boxes one after another, waiting until each is ready. */
   void startBoxes(int count) throws Exception {
     for (int box = 0; box < count; box++) {
       startBox();
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Starts a box; it need not be ready yet. */
+  /** Starts a box without waiting until it is ready. */
   void startBox() throws Exception {
     List<Integer> ports = FreePorts.find(4);
     LoopResources resources = LoopResources.create("box-" + boxes.size(), 1, 1, true, false);
@@ -92,7 +92,7 @@
     return peerPorts.stream().map(port -> "127.0.0.1:" + port).toList();
   }
 
-  /** Waits until a box says that it is ready. */
+  /** Waits until a box reports that it is ready. */
   void awaitReady(int box) throws Exception {
     URI uri = URI.create("http://127.0.0.1:" + readyPorts.get(box) + "/ready");
     int status = 0;
@@ -104,12 +104,12 @@
     }
   }
 
-  /** Waits until each box hears all others. */
+  /** Waits until each box has received heartbeats of all others. */
   void awaitPeersConnected() throws Exception {
     await(() -> logs.stream().allMatch(log -> countEvents(log, "peer-heard") >= boxes.size() - 1));
   }
 
-  /** Returns whether a box has written a line. */
+  /** Returns whether a box has logged an event. */
   boolean hasLogged(int box, String event) {
     return countEvents(logs.get(box), event) > 0;
   }
@@ -121,7 +121,7 @@
         .count();
   }
 
-  /** Ends all boxes at once, without a word; whatever only they knew is lost. */
+  /** Stops all boxes at once without a shutdown; their state in memory is lost. */
   void killAllBoxes() {
     loopResources.forEach(
         resources -> resources.disposeLater(Duration.ZERO, TIMEOUT).block(TIMEOUT));
@@ -170,8 +170,8 @@
     return client.send(builder.build(), HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Lets several callers do a step at the same time, and waits until all are done. */
-  void runConcurrently(int callers, CallerAction step) throws Exception {
+  /** Runs an action of several callers concurrently and waits until all are done. */
+  void runConcurrently(int callers, CallerAction action) throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(callers);
     try {
       List<Future<?>> running = new ArrayList<>();
@@ -180,7 +180,7 @@
         running.add(
             threads.submit(
                 () -> {
-                  step.run(caller);
+                  action.run(caller);
                   return null;
                 }));
       }
@@ -192,18 +192,18 @@
     }
   }
 
-  /** What one of several callers does. */
+  /** An action of one of several callers. */
   @FunctionalInterface
   interface CallerAction {
 
     void run(int caller) throws Exception;
   }
 
-  /** Repeats a step until it holds; the test's own time limit ends what never does. */
+  /** Polls a condition until it holds or the time limit of the test interrupts the thread. */
   static void await(ThrowingCondition condition) throws Exception {
     while (!condition.holds()) {
       if (Thread.interrupted()) {
-        throw new InterruptedException("time is up");
+        throw new InterruptedException("condition did not hold within the time limit of the test");
       }
       Thread.onSpinWait();
     }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An upstream turns requests away and says for how long it wants no more of them. */
+/** Tests that boxes keep the backoff that an upstream requests. */
 @Timeout(120)
 class FleetBackoffTests {
 
@@ -18,16 +18,16 @@
   };
   private static final int BOXES = 3;
 
-  /** They take much longer than any pause that a box makes by itself. */
+  /** Enough to take longer than the backoff that a box applies by default. */
   private static final int REQUESTS = 1_500;
 
   private static final int CALLERS = 12;
   private static final int ROUNDS = 20;
 
-  /** Longer than any test. */
+  /** Longer than the time limit of a test. */
   private static final String BACKOFF_SECONDS = "600";
 
-  /** What may come from one box all the same. */
+  /** Requests that one box may send despite the backoff. */
   private static final long MAX_LATE_REQUESTS = 2;
 
   private final Fleet fleet = new Fleet();
@@ -37,82 +37,84 @@
     fleet.close();
   }
 
-  // Guards against requests at an upstream within the time for which it wants none (BUDGET).
+  // Guards against requests to an upstream during its backoff.
   @Test
   void sendsNoRequestsDuringBackoff() throws Exception {
-    FleetEngine busy = fleet.addEngine("plain", EngineKind.PLAIN);
+    FleetEngine backingOff = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    busy.signals().turnAway(BACKOFF_SECONDS);
+    backingOff.signals().turnAway(BACKOFF_SECONDS);
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
     }
 
     for (int box = 0; box < BOXES; box++) {
-      assertThat(busy.signals().hasAnswered(Answer.BACKOFF, path(box))).isTrue();
-      assertThat(busy.signals().cameAfter(Answer.BACKOFF, path(box)))
+      assertThat(backingOff.signals().hasAnswered(Answer.BACKOFF, path(box))).isTrue();
+      assertThat(backingOff.signals().cameAfter(Answer.BACKOFF, path(box)))
           .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
     }
   }
 
-  // Guards against stage work at an upstream within the time for which it wants none (BUDGET).
+  // Guards against stage work for an upstream during its backoff.
   @Test
   void sendsNoStageWorkDuringBackoff() throws Exception {
     fleet.addEngine("model", EngineKind.STREAM);
-    FleetEngine busy = fleet.addEngine("stage", EngineKind.STAGE);
+    FleetEngine backingOff = fleet.addEngine("stage", EngineKind.STAGE);
     startBoxes();
-    busy.signals().turnAway(BACKOFF_SECONDS);
+    backingOff.signals().turnAway(BACKOFF_SECONDS);
 
     Fleet.await(
         () -> {
           fleet.runConcurrently(CALLERS, this::sendRefusedRequest);
-          return busy.signals().hasAnswered(Answer.BACKOFF, "/stage-run");
+          return backingOff.signals().hasAnswered(Answer.BACKOFF, "/stage-run");
         });
-    long before = busy.signals().came("/stage-");
+    long before = backingOff.signals().came("/stage-");
 
-    for (int wave = 0; wave < ROUNDS; wave++) {
+    for (int round = 0; round < ROUNDS; round++) {
       fleet.runConcurrently(CALLERS, this::sendRefusedRequest);
     }
 
-    assertThat(busy.signals().came("/stage-") - before).isLessThanOrEqualTo(MAX_LATE_REQUESTS);
+    assertThat(backingOff.signals().came("/stage-") - before)
+        .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
   }
 
-  // Guards against requests within that time once the upstream's entry has gone and come back.
+  // Guards against losing the backoff when the entry of the upstream is removed and added again.
   @Test
   void keepsBackoffWhenEntryIsRemovedAndAddedAgain() throws Exception {
-    FleetEngine busy = fleet.addEngine("plain", EngineKind.PLAIN);
+    FleetEngine backingOff = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    busy.signals().turnAway(BACKOFF_SECONDS);
+    backingOff.signals().turnAway(BACKOFF_SECONDS);
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
+      int boxIndex = box;
       Fleet.await(
           () ->
-              get(asked).statusCode() == 200
-                  && busy.signals().hasAnswered(Answer.BACKOFF, path(asked)));
+              get(boxIndex).statusCode() == 200
+                  && backingOff.signals().hasAnswered(Answer.BACKOFF, path(boxIndex)));
     }
 
-    for (int time = 0; time <= MAX_LATE_REQUESTS; time++) {
-      fleet.store().remove("servers", busy.id());
+    for (int repetition = 0; repetition <= MAX_LATE_REQUESTS; repetition++) {
+      fleet.store().remove("servers", backingOff.id());
       awaitUsedByAllBoxes(fleet.addEngine("plain", EngineKind.PLAIN));
-      fleet.putServerRow(busy, "ready");
+      fleet.putServerRow(backingOff, "ready");
       awaitUsedByAllBoxes(fleet.addEngine("plain", EngineKind.PLAIN));
       for (int number = 0; number < REQUESTS / MAX_LATE_REQUESTS; number++) {
         assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
       }
     }
     for (int box = 0; box < BOXES; box++) {
-      assertThat(busy.signals().cameAfter(Answer.BACKOFF, path(box)))
+      assertThat(backingOff.signals().cameAfter(Answer.BACKOFF, path(box)))
           .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
     }
   }
 
-  /** Once an engine is used that was listed afterwards, what was written before is known. */
+  /** Waits until all boxes use the engine, and so have read all earlier writes to the store. */
   private void awaitUsedByAllBoxes(FleetEngine engine) throws Exception {
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> get(asked).statusCode() == 200 && engine.signals().came(path(asked)) > 0);
+      int boxIndex = box;
+      Fleet.await(
+          () -> get(boxIndex).statusCode() == 200 && engine.signals().came(path(boxIndex)) > 0);
     }
   }
 
@@ -125,7 +127,7 @@
     assertThat(fleet.post(caller % BOXES, "/staged/x", STAGE_HEADERS).statusCode()).isEqualTo(503);
   }
 
-  /** Requests of one box can be told from those of others by their path. */
+  /** Returns a path that identifies the box that forwarded a request. */
   private static String path(int box) {
     return "/again/box-" + box;
   }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
@@ -11,9 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Several boxes before stand-ins of the users' platform: stage work, changes, leaving, stopping.
- */
+/** Tests several boxes together: stage work, configuration changes, draining and planned stops. */
 @Timeout(60)
 class FleetBoxesTests {
 
@@ -44,11 +42,11 @@
   @Test
   void runsStagesInOrderAndReleasesResults() throws Exception {
     for (int box = 0; box < BOXES; box++) {
-      HttpResponse<String> answer = fleet.post(box, "/staged/x", STAGE_HEADERS);
+      HttpResponse<String> response = fleet.post(box, "/staged/x", STAGE_HEADERS);
 
-      assertThat(answer.statusCode()).isEqualTo(200);
-      SeenRequest seen = model.ran().get(box);
-      assertThat(seen.header("X-Inputs").split(",")).hasSize(3);
+      assertThat(response.statusCode()).isEqualTo(200);
+      SeenRequest request = model.ran().get(box);
+      assertThat(request.header("X-Inputs").split(",")).hasSize(3);
     }
     Fleet.await(() -> stage.freed().size() == BOXES * 5);
   }
@@ -56,13 +54,13 @@
   @Test
   void batchesPiecesOfSeveralBoxes() throws Exception {
     fleet.post(0, "/staged/x", STAGE_HEADERS);
-    List<CompletableFuture<Integer>> answers = new ArrayList<>();
+    List<CompletableFuture<Integer>> statuses = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       int box = i % BOXES;
-      answers.add(CompletableFuture.supplyAsync(() -> postStaged(box)));
+      statuses.add(CompletableFuture.supplyAsync(() -> postStaged(box)));
     }
-    for (CompletableFuture<Integer> answer : answers) {
-      assertThat(answer.get()).isEqualTo(200);
+    for (CompletableFuture<Integer> status : statuses) {
+      assertThat(status.get()).isEqualTo(200);
     }
 
     assertThat(stage.ran().size()).isLessThan(31 * 3);
@@ -70,14 +68,15 @@
 
   @Test
   void appliesChangeOnAllBoxesAndIgnoresOlderVersion() throws Exception {
-    String added = "," + FleetConfiguration.route("/new/", "idempotent", "plain", "");
-    fleet.configure(5, added);
+    String addedRoute = "," + FleetConfiguration.route("/new/", "idempotent", "plain", "");
+    fleet.configure(5, addedRoute);
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> fleet.get(asked, "/new/x", AUTHORIZATION).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> fleet.get(boxIndex, "/new/x", AUTHORIZATION).statusCode() == 200);
     }
     fleet.configure(4, "");
-    fleet.configure(6, added + "," + FleetConfiguration.route("/n2/", "idempotent", "plain", ""));
+    fleet.configure(
+        6, addedRoute + "," + FleetConfiguration.route("/n2/", "idempotent", "plain", ""));
     Fleet.await(() -> fleet.get(0, "/n2/x", AUTHORIZATION).statusCode() == 200);
 
     assertThat(fleet.get(0, "/new/x", AUTHORIZATION).statusCode()).isEqualTo(200);
@@ -99,8 +98,8 @@
     fleet.configure(5, "," + FleetConfiguration.route("/new/", "idempotent", "plain", ""));
 
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> fleet.get(asked, "/new/x", AUTHORIZATION).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> fleet.get(boxIndex, "/new/x", AUTHORIZATION).statusCode() == 200);
     }
   }
 
@@ -118,7 +117,7 @@
     assertThat(plain.ran()).hasSize(before);
   }
 
-  /** Returns whether the next requests of box 0 all go to one engine. */
+  /** Returns whether the engine runs all of the next requests to box 0. */
   private boolean runsAllRequests(FleetEngine engine) throws Exception {
     int before = engine.ran().size();
     for (int i = 0; i < 12; i++) {
@@ -130,13 +129,13 @@
   @Test
   void completesRequestInFlightOnPlannedStop() throws Exception {
     model.setFault(EngineFault.SLOW);
-    CompletableFuture<HttpResponse<String>> running =
+    CompletableFuture<HttpResponse<String>> response =
         CompletableFuture.supplyAsync(() -> postUnchecked(0, "/stream/x"));
     Fleet.await(() -> !model.ran().isEmpty());
 
     fleet.box(0).stop();
 
-    assertThat(running.get().body()).contains("piece " + FleetEngine.EVENTS);
+    assertThat(response.get().body()).contains("piece " + FleetEngine.EVENTS);
   }
 
   private int postStaged(int box) {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetCrashingRequestTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetCrashingRequestTests.java
@@ -10,17 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Seen: one request ended more than twenty upstreams, one after the other, and each that ended took
- * the other requests along that ran there.
- *
- * <p>How it came about: each upstream that began to run it crashed. The box sent it to the next
- * one, as it may be repeated; its caller sent it again, to any box, under another id, and every
- * time it was new to whoever took it.
- *
- * <p>Cause: what a request has done was known for as long as one try of its caller lasts, to one
- * box. Proof: the count of upstreams that ended under it, however often and wherever it comes.
- */
+/** Guards against a request that crashes one upstream after another, through any box. */
 @Timeout(120)
 class FleetCrashingRequestTests {
 
@@ -30,7 +20,7 @@
   private static final int UPSTREAMS = 12;
   private static final int ATTEMPTS = 12;
 
-  /** Three prove it; three more are what may be under way until all boxes know. */
+  /** Three crashes before the quarantine, and three requests in flight until all boxes apply it. */
   private static final int MAX_CRASHES = 6;
 
   private final Fleet fleet = new Fleet();
@@ -58,8 +48,8 @@
 
   @Test
   void quarantinesCrashingRequestOnAllBoxes() throws Exception {
-    for (int arrival = 0; arrival < ATTEMPTS; arrival++) {
-      send(arrival % BOXES, CRASHING_BODY);
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      send(attempt % BOXES, CRASHING_BODY);
     }
 
     assertThat(crashCount()).isLessThanOrEqualTo(MAX_CRASHES);
@@ -69,15 +59,15 @@
 
   @Test
   void keepsQuarantineAfterAllBoxesCrash() throws Exception {
-    for (int arrival = 0; arrival < ATTEMPTS; arrival++) {
-      send(arrival % BOXES, CRASHING_BODY);
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      send(attempt % BOXES, CRASHING_BODY);
     }
     long before = crashCount();
     fleet.killAllBoxes();
     startBoxes();
 
-    for (int arrival = 0; arrival < ATTEMPTS; arrival++) {
-      send(arrival % BOXES, CRASHING_BODY);
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      send(attempt % BOXES, CRASHING_BODY);
     }
 
     assertThat(before).isLessThanOrEqualTo(MAX_CRASHES);
@@ -87,14 +77,14 @@
 
   @Test
   void doesNotQuarantineSameBodyOnAnotherPath() throws Exception {
-    for (int arrival = 0; arrival < ATTEMPTS; arrival++) {
-      send(arrival % BOXES, CRASHING_BODY);
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      send(attempt % BOXES, CRASHING_BODY);
     }
     upstreams.forEach(upstream -> upstream.crashOn("nothing"));
 
-    HttpResponse<String> answer = fleet.postBody(0, "/resume/y", CRASHING_BODY, AUTHORIZATION);
+    HttpResponse<String> response = fleet.postBody(0, "/resume/y", CRASHING_BODY, AUTHORIZATION);
 
-    assertThat(answer.statusCode()).isEqualTo(200);
+    assertThat(response.statusCode()).isEqualTo(200);
   }
 
   private HttpResponse<String> send(int box, String body) throws Exception {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetInvalidRequestTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetInvalidRequestTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What callers may send wrongly, byte by byte. */
+/** Tests the handling of unusual and invalid requests, sent as raw bytes. */
 @Timeout(60)
 class FleetInvalidRequestTests {
 
@@ -36,7 +36,7 @@
 
   @Test
   void answersPipelinedRequestsInOrder() throws Exception {
-    String answers;
+    String responses;
     try (Socket socket = new Socket("127.0.0.1", fleet.callerPort(0))) {
       socket.setSoTimeout(READ_TIMEOUT_MILLIS);
       send(
@@ -47,22 +47,22 @@
               + "GET /again/2 HTTP/1.1\r\nX-Request-Id: second\r\n"
               + HOST_AND_KEY_HEADERS
               + "\r\n");
-      answers = readUntil(socket, "to second");
+      responses = readUntil(socket, "to second");
     }
 
-    assertThat(answers.indexOf("to first")).isPositive();
-    assertThat(answers.indexOf("to second")).isGreaterThan(answers.indexOf("to first"));
+    assertThat(responses.indexOf("to first")).isPositive();
+    assertThat(responses.indexOf("to second")).isGreaterThan(responses.indexOf("to first"));
   }
 
   @Test
   void forwardsWholeChunkedBody() throws Exception {
-    String answer =
+    String response =
         exchange(
             "POST /once/x HTTP/1.1\r\nX-Request-Id: a\r\nConnection: close\r\n"
                 + HOST_AND_KEY_HEADERS
                 + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n5\r\nwhole\r\n0\r\n\r\n");
 
-    assertThat(answer).startsWith("HTTP/1.1 200");
+    assertThat(response).startsWith("HTTP/1.1 200");
     assertThat(plain.ran().get(0).body()).isEqualTo("halfwhole");
   }
 
@@ -75,16 +75,16 @@
               + HOST_AND_KEY_HEADERS
               + "Transfer-Encoding: chunked\r\n\r\n9\r\nha");
     }
-    String after =
+    String response =
         exchange("GET /again/1 HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n");
 
-    assertThat(after).startsWith("HTTP/1.1 200");
-    assertThat(plain.ran()).noneMatch(seen -> seen.path().equals("/once/x"));
+    assertThat(response).startsWith("HTTP/1.1 200");
+    assertThat(plain.ran()).noneMatch(request -> request.path().equals("/once/x"));
   }
 
   @Test
   void rejectsOversizedHeader() throws Exception {
-    String answer =
+    String response =
         exchange(
             "GET /again/x HTTP/1.1\r\n"
                 + HOST_AND_KEY_HEADERS
@@ -92,39 +92,39 @@
                 + "x".repeat(100_000)
                 + "\r\n\r\n");
 
-    assertThat(answer).matches("(?s)HTTP/1.1 4(13|31|00).*");
+    assertThat(response).matches("(?s)HTTP/1.1 4(13|31|00).*");
     assertThat(plain.ran()).isEmpty();
   }
 
   @Test
   void servesRequestWithoutIdOrDeadline() throws Exception {
-    String answer =
+    String response =
         exchange("GET /again/x HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n");
 
-    assertThat(answer).startsWith("HTTP/1.1 200");
+    assertThat(response).startsWith("HTTP/1.1 200");
     assertThat(plain.ran().get(0).header("X-Deadline-Ms")).isNotEmpty();
   }
 
   @Test
   void rejectsRequestWithoutTimeLeft() throws Exception {
-    String answer =
+    String response =
         exchange(
             "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: 0\r\nConnection: close\r\n"
                 + HOST_AND_KEY_HEADERS
                 + "\r\n");
 
-    assertThat(answer).matches("(?s)HTTP/1.1 50[34].*");
+    assertThat(response).matches("(?s)HTTP/1.1 50[34].*");
   }
 
   @Test
   void rejectsNonNumericDeadline() throws Exception {
-    String answer =
+    String response =
         exchange(
             "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: soon\r\nConnection: close\r\n"
                 + HOST_AND_KEY_HEADERS
                 + "\r\n");
 
-    assertThat(answer).startsWith("HTTP/1.1 400");
+    assertThat(response).startsWith("HTTP/1.1 400");
     assertThat(plain.ran()).isEmpty();
   }
 
@@ -149,10 +149,10 @@
 
   private static String readUntil(Socket socket, String end) throws IOException {
     StringBuilder text = new StringBuilder();
-    for (int next = socket.getInputStream().read();
-        next >= 0;
-        next = socket.getInputStream().read()) {
-      text.append((char) next);
+    for (int character = socket.getInputStream().read();
+        character >= 0;
+        character = socket.getInputStream().read()) {
+      text.append((char) character);
       if (text.indexOf(end) >= 0) {
         break;
       }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An upstream says in its answers that it leaves, while its entry says nothing of it. */
+/** Tests upstreams that announce in responses that they leave while their entry says ready. */
 @Timeout(120)
 class FleetLeavingUpstreamTests {
 
@@ -30,7 +30,7 @@
     fleet.close();
   }
 
-  // Guards against requests at an upstream whose answers have said that it leaves (DRAIN).
+  // Guards against requests to an upstream that has announced that it leaves.
   @Test
   void sendsNoRequestsAfterAnnouncement() throws Exception {
     FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
@@ -48,7 +48,7 @@
     assertThat(requestCountPerBox(leaving)).isEqualTo(before);
   }
 
-  // Guards against stage work at an upstream whose answers have said that it leaves (DRAIN).
+  // Guards against stage work for an upstream that has announced that it leaves.
   @Test
   void sendsNoStageWorkAfterAnnouncement() throws Exception {
     fleet.addEngine("model", EngineKind.STREAM);
@@ -64,14 +64,14 @@
         });
     long before = leaving.signals().came("/stage-run");
 
-    for (int wave = 0; wave < ROUNDS; wave++) {
+    for (int round = 0; round < ROUNDS; round++) {
       fleet.runConcurrently(CALLERS, this::sendStagedRequest);
     }
 
     assertThat(leaving.signals().came("/stage-run")).isEqualTo(before);
   }
 
-  // Guards against an upstream that has said so being used again for what an older entry says.
+  // Guards against using a leaving upstream again because its entry still says ready.
   @Test
   void ignoresReadyEntryUntilNextIncarnation() throws Exception {
     FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
@@ -81,10 +81,10 @@
     awaitAnnouncementOnAllBoxes(leaving);
     List<Long> before = requestCountPerBox(leaving);
     fleet.putServerRow(leaving, "ready");
-    FleetEngine witness = fleet.addEngine("plain", EngineKind.PLAIN);
+    FleetEngine addedLater = fleet.addEngine("plain", EngineKind.PLAIN);
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> get(asked) && witness.signals().came(path(asked)) > 0);
+      int boxIndex = box;
+      Fleet.await(() -> get(boxIndex) && addedLater.signals().came(path(boxIndex)) > 0);
     }
 
     for (int number = 0; number < REQUESTS; number++) {
@@ -96,9 +96,9 @@
     leaving.startAgain();
     fleet.putServerRow(leaving, "ready");
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      long then = leaving.signals().came(path(asked));
-      Fleet.await(() -> get(asked) && leaving.signals().came(path(asked)) > then);
+      int boxIndex = box;
+      long previous = leaving.signals().came(path(boxIndex));
+      Fleet.await(() -> get(boxIndex) && leaving.signals().came(path(boxIndex)) > previous);
     }
   }
 
@@ -107,15 +107,15 @@
     fleet.awaitPeersConnected();
   }
 
-  /** Waits until each box has passed on an answer that says so, or was told by one that has. */
+  /** Waits until each box has received the announcement, from the upstream or from a peer. */
   private void awaitAnnouncementOnAllBoxes(FleetEngine leaving) throws Exception {
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
+      int boxIndex = box;
       Fleet.await(
           () ->
-              get(asked)
-                  && (leaving.signals().hasAnswered(Answer.LEAVING, path(asked))
-                      || fleet.hasLogged(asked, "upstream-announces-leaving")));
+              get(boxIndex)
+                  && (leaving.signals().hasAnswered(Answer.LEAVING, path(boxIndex))
+                      || fleet.hasLogged(boxIndex, "upstream-announces-leaving")));
     }
   }
 
@@ -123,14 +123,14 @@
     return IntStream.range(0, BOXES).mapToObj(box -> engine.signals().came(path(box))).toList();
   }
 
-  /** Requests of one box can be told from those of others by their path. */
+  /** Returns a path that identifies the box that forwarded a request. */
   private static String path(int box) {
     return "/again/box-" + box;
   }
 
   private boolean get(int box) throws Exception {
-    HttpResponse<String> answer = fleet.get(box, path(box), AUTHORIZATION);
-    return answer.statusCode() == 200;
+    HttpResponse<String> response = fleet.get(box, path(box), AUTHORIZATION);
+    return response.statusCode() == 200;
   }
 
   private void sendStagedRequest(int caller) throws Exception {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
@@ -7,19 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Seen: two upstreams that had said how few requests a second they take from all boxes together got
- * twice as many, from seven of eight boxes, none of which sent more than three.
- *
- * <p>How it came about: they named their limits in a quiet moment, in which what came by itself was
- * below them. Eight seconds later there was twice as much to do, and they got as much of it as any
- * other upstream of their service.
- *
- * <p>Cause: no box read what they said. Nothing that sends (first tries, retries, calls for stage
- * work, releases of results) asked how many requests an upstream takes, but for first tries to cold
- * ones. Proof: the most requests that an upstream gets in 4 s, whoever sends them and whatever for;
- * 24 to 181 where 11 are allowed.
- */
+/** Guards against exceeding the request rate limit that an upstream announces for all boxes. */
 @Timeout(120)
 class FleetLimitedUpstreamTests {
 
@@ -30,13 +18,13 @@
   private static final int BOXES = 3;
   private static final int REQUESTS = 60;
 
-  /** Three calls and releases or more for each. */
+  /** Each causes at least three stage calls and releases. */
   private static final int STAGED_REQUESTS = 30;
 
-  /** One and a half times what a limit of one a second allows in 4 s, and 5. */
+  /** Requests allowed in 4 s at a limit of one a second: one and a half times the limit plus 5. */
   private static final long MAX_IN_WINDOW = 11;
 
-  /** The same of ten a second. */
+  /** Requests allowed in 4 s at a limit of ten a second. */
   private static final long MAX_IN_WINDOW_AT_TEN_PER_SECOND = 65;
 
   private final Fleet fleet = new Fleet();
@@ -106,8 +94,8 @@
     limited.limit().withdraw();
 
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> get(asked).statusCode() == 200 && get(asked).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> get(boxIndex).statusCode() == 200 && get(boxIndex).statusCode() == 200);
     }
   }
 
@@ -116,7 +104,7 @@
     fleet.awaitPeersConnected();
   }
 
-  private HttpResponse<String> get(int number) throws Exception {
-    return fleet.get(number % BOXES, "/again/x", AUTHORIZATION);
+  private HttpResponse<String> get(int requestNumber) throws Exception {
+    return fleet.get(requestNumber % BOXES, "/again/x", AUTHORIZATION);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRelayTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRelayTests.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Whole boxes before stand-ins of the users' platform: what callers and engines see. */
+/** Tests how a box forwards requests and responses between callers and upstreams. */
 @Timeout(60)
 class FleetRelayTests {
 
@@ -45,20 +45,21 @@
 
   @Test
   void forwardsResponseUnchangedAndReplacesKeyByAccount() throws Exception {
-    HttpResponse<String> answer =
+    HttpResponse<String> response =
         fleet.post(
             0, "/once/x?q=1", authorizedHeaders("X-Tenant", "somebody-else", "X-Model", "m"));
 
-    assertThat(answer.statusCode()).isEqualTo(200);
-    assertThat(answer.headers().firstValue("X-Response-Stamp")).contains("s");
-    SeenRequest seen = Stream.of(plain, otherPlain).flatMap(e -> e.ran().stream()).toList().get(0);
-    assertThat(answer.body()).endsWith(seen.header("X-Request-Id"));
-    assertThat(seen.path()).isEqualTo("/once/x?q=1");
-    assertThat(seen.body()).isEqualTo("a body");
-    assertThat(seen.header("X-Tenant")).isEqualTo("a-tenant");
-    assertThat(seen.header("X-Model")).isEqualTo("m");
-    assertThat(seen.header("Authorization")).isEmpty();
-    assertThat(Long.parseLong(seen.header("X-Deadline-Ms"))).isLessThanOrEqualTo(8_000);
+    assertThat(response.statusCode()).isEqualTo(200);
+    assertThat(response.headers().firstValue("X-Response-Stamp")).contains("s");
+    SeenRequest request =
+        Stream.of(plain, otherPlain).flatMap(engine -> engine.ran().stream()).toList().get(0);
+    assertThat(response.body()).endsWith(request.header("X-Request-Id"));
+    assertThat(request.path()).isEqualTo("/once/x?q=1");
+    assertThat(request.body()).isEqualTo("a body");
+    assertThat(request.header("X-Tenant")).isEqualTo("a-tenant");
+    assertThat(request.header("X-Model")).isEqualTo("m");
+    assertThat(request.header("Authorization")).isEmpty();
+    assertThat(Long.parseLong(request.header("X-Deadline-Ms"))).isLessThanOrEqualTo(8_000);
   }
 
   @Test
@@ -72,7 +73,7 @@
   @Test
   void rejectsOversizedBody() throws Exception {
     HttpRequest.BodyPublisher large = HttpRequest.BodyPublishers.ofString("x".repeat(3_000));
-    HttpResponse<String> answer =
+    HttpResponse<String> response =
         HttpClient.newHttpClient()
             .send(
                 HttpRequest.newBuilder(
@@ -82,7 +83,7 @@
                     .build(),
                 HttpResponse.BodyHandlers.ofString());
 
-    assertThat(answer.statusCode()).isEqualTo(413);
+    assertThat(response.statusCode()).isEqualTo(413);
     assertThat(runCount()).isZero();
   }
 
@@ -90,9 +91,9 @@
   void doesNotRetryNonIdempotentRequest() throws Exception {
     setFault(EngineFault.ANSWER_LOST, plain, otherPlain);
 
-    HttpResponse<String> answer = fleet.post(0, "/once/x", AUTHORIZATION);
+    HttpResponse<String> response = fleet.post(0, "/once/x", AUTHORIZATION);
 
-    assertThat(answer.statusCode()).isEqualTo(502);
+    assertThat(response.statusCode()).isEqualTo(502);
     assertThat(runCount()).isEqualTo(1);
   }
 
@@ -101,9 +102,9 @@
     setFault(EngineFault.ANSWER_LOST, plain);
 
     for (int i = 0; i < 3; i++) {
-      HttpResponse<String> answer = fleet.get(0, "/again/x", AUTHORIZATION);
-      assertThat(answer.statusCode()).isEqualTo(200);
-      assertThat(answer.body()).startsWith("answer of " + otherPlain.id());
+      HttpResponse<String> response = fleet.get(0, "/again/x", AUTHORIZATION);
+      assertThat(response.statusCode()).isEqualTo(200);
+      assertThat(response.body()).startsWith("answer of " + otherPlain.id());
     }
   }
 
@@ -111,10 +112,10 @@
   void refusesWithRetryAfterWhenAllUpstreamsAreFull() throws Exception {
     setFault(EngineFault.FULL, plain, otherPlain);
 
-    HttpResponse<String> answer = fleet.post(0, "/once/x", AUTHORIZATION);
+    HttpResponse<String> response = fleet.post(0, "/once/x", AUTHORIZATION);
 
-    assertThat(answer.statusCode()).isEqualTo(503);
-    assertThat(answer.headers().firstValue("Retry-After")).isPresent();
+    assertThat(response.statusCode()).isEqualTo(503);
+    assertThat(response.headers().firstValue("Retry-After")).isPresent();
     assertThat(runCount()).isZero();
   }
 
@@ -134,10 +135,10 @@
       setFault(fault, plain, otherPlain);
       for (int i = 0; i < 10; i++) {
         String id = fault.name() + i;
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
             fleet.post(0, "/once/x", authorizedHeaders("X-Request-Id", id));
-        assertThat(answer.statusCode()).isEqualTo(200);
-        assertThat(answer.body()).endsWith(id);
+        assertThat(response.statusCode()).isEqualTo(200);
+        assertThat(response.body()).endsWith(id);
       }
     }
   }
@@ -176,15 +177,15 @@
     assertThat(model.ran().size() + otherModel.ran().size()).isEqualTo(1);
   }
 
-  private static String eventStream(int first) {
+  private static String eventStream(int firstId) {
     StringBuilder events = new StringBuilder();
-    IntStream.rangeClosed(first, FleetEngine.EVENTS)
-        .forEach(n -> events.append("id: " + n + "\ndata: piece " + n + "\n\n"));
+    IntStream.rangeClosed(firstId, FleetEngine.EVENTS)
+        .forEach(id -> events.append("id: " + id + "\ndata: piece " + id + "\n\n"));
     return events.toString();
   }
 
-  private static String[] authorizedHeaders(String... more) {
-    return Stream.concat(Stream.of(AUTHORIZATION), Stream.of(more)).toArray(String[]::new);
+  private static String[] authorizedHeaders(String... headers) {
+    return Stream.concat(Stream.of(AUTHORIZATION), Stream.of(headers)).toArray(String[]::new);
   }
 
   private static void setFault(EngineFault fault, FleetEngine... engines) {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRestartTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRestartTests.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Upstreams start again under their ids, and something else writes into their list. */
+/** Tests upstreams that restart under the same id, and invalid rows in the list of upstreams. */
 @Timeout(60)
 class FleetRestartTests {
 
@@ -44,8 +44,8 @@
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "ready"));
 
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> fleet.get(asked, "/again/x", AUTHORIZATION).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> fleet.get(boxIndex, "/again/x", AUTHORIZATION).statusCode() == 200);
     }
     assertThat(plain.ranDuring(1)).isGreaterThanOrEqualTo(BOXES);
   }
@@ -58,8 +58,8 @@
     fleet.store().put("servers", stage.id(), stage.row("stage", "zone-a", "ready"));
 
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> fleet.post(asked, "/staged/x", STAGE_HEADERS).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> fleet.post(boxIndex, "/staged/x", STAGE_HEADERS).statusCode() == 200);
     }
     assertThat(stage.ranDuring(1)).isPositive();
   }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetStoreRestoreTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetStoreRestoreTests.java
@@ -10,14 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The platform's store comes back as a copy of itself that is some seconds old. What was written
- * there since is gone, and versions are given out again.
- *
- * <p>Seen before it was mended: an upstream that left afterwards went on getting work and one that
- * started got none, until versions had caught up; a request that was held back was let in again.
- *
- * <p>Cause: versions were compared as if the store had one history, and what a reading lacks was
- * taken for removed. Proof: what upstreams run and what the store holds afterwards.
+ * Guards against the use of stale state after the store is restored from a backup, which loses
+ * recent writes and assigns their revisions again.
  */
 @Timeout(40)
 class FleetStoreRestoreTests {
@@ -27,8 +21,8 @@
   private static final int BOXES = 3;
   private static final int REQUESTS = 40;
 
-  /** Upstreams write their heartbeats: so many versions are lost. */
-  private static final int LOST_VERSIONS = 500;
+  /** Number of heartbeat writes that a restore loses. */
+  private static final int LOST_WRITES = 500;
 
   private final Fleet fleet = new Fleet();
 
@@ -47,8 +41,8 @@
     fleet.store().put("servers", leaving.id(), leaving.row("plain", "zone-a", "draining"));
 
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> runCountFor(leaving, asked) == 0);
+      int boxIndex = box;
+      Fleet.await(() -> runCountFor(leaving, boxIndex) == 0);
     }
   }
 
@@ -60,20 +54,20 @@
     FleetEngine started = fleet.addEngine("plain", EngineKind.PLAIN);
 
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> runCountFor(started, asked) > 0);
+      int boxIndex = box;
+      Fleet.await(() -> runCountFor(started, boxIndex) > 0);
     }
   }
 
   @Test
   void keepsUpstreamThatIsMissingInSnapshot() throws Exception {
-    StoreStandIn.Copy copy = fleet.store().copy();
-    FleetEngine living = fleet.addEngine("plain", EngineKind.PLAIN);
+    StoreStandIn.Copy snapshot = fleet.store().copy();
+    FleetEngine upstream = fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
 
-    restore(copy);
+    restore(snapshot);
     assertAllServed();
-    fleet.store().put("servers", living.id(), living.row("plain", "zone-a", "ready"));
+    fleet.store().put("servers", upstream.id(), upstream.row("plain", "zone-a", "ready"));
 
     assertAllServed();
   }
@@ -82,11 +76,11 @@
   void rewritesVerdictThatIsMissingInSnapshot() throws Exception {
     List<FleetEngine> upstreams = addCrashingUpstreams();
     startBoxes();
-    StoreStandIn.Copy copy = fleet.store().copy();
+    StoreStandIn.Copy snapshot = fleet.store().copy();
     awaitVerdict();
-    long ended = upstreams.stream().filter(FleetEngine::isDown).count();
+    long crashCount = upstreams.stream().filter(FleetEngine::isDown).count();
 
-    restore(copy);
+    restore(snapshot);
     Fleet.await(() -> !fleet.store().keys("quarantine").isEmpty());
     for (int box = 0; box < BOXES; box++) {
       assertThat(sendCrashingRequest(box).statusCode()).isEqualTo(503);
@@ -97,24 +91,24 @@
       assertThat(sendCrashingRequest(box).statusCode()).isEqualTo(503);
     }
 
-    assertThat(upstreams.stream().filter(FleetEngine::isDown).count()).isEqualTo(ended);
+    assertThat(upstreams.stream().filter(FleetEngine::isDown).count()).isEqualTo(crashCount);
   }
 
-  // Guards against the row of a lifted verdict that comes back with the copy and stays.
+  // Guards against a restored row that puts a lifted verdict into force again.
   @Test
   void removesLiftedVerdictThatSnapshotContains() throws Exception {
     List<FleetEngine> upstreams = addCrashingUpstreams();
     startBoxes();
     awaitVerdict();
-    StoreStandIn.Copy copy = fleet.store().copy();
+    StoreStandIn.Copy snapshot = fleet.store().copy();
     upstreams.forEach(upstream -> upstream.crashOn("nothing"));
     fleet.store().keys("quarantine").forEach(key -> fleet.store().remove("quarantine", key));
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> sendCrashingRequest(asked).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> sendCrashingRequest(boxIndex).statusCode() == 200);
     }
 
-    restore(copy);
+    restore(snapshot);
 
     Fleet.await(() -> fleet.store().keys("quarantine").isEmpty());
     for (int box = 0; box < BOXES; box++) {
@@ -146,17 +140,17 @@
     return fleet.postBody(box, "/resume/x", CRASHING_BODY, AUTHORIZATION);
   }
 
-  /** The store comes back as a copy once all boxes have read what is lost with it. */
-  private void restore(StoreStandIn.Copy copy) throws Exception {
-    for (int number = 0; number < LOST_VERSIONS; number++) {
+  /** Restores a snapshot once all boxes have read the writes that it lacks. */
+  private void restore(StoreStandIn.Copy snapshot) throws Exception {
+    for (int number = 0; number < LOST_WRITES; number++) {
       fleet.store().put("heartbeats", "key", "{}");
     }
-    FleetEngine witness = fleet.addEngine("plain", EngineKind.PLAIN);
+    FleetEngine addedLater = fleet.addEngine("plain", EngineKind.PLAIN);
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> runCountFor(witness, asked) > 0);
+      int boxIndex = box;
+      Fleet.await(() -> runCountFor(addedLater, boxIndex) > 0);
     }
-    fleet.store().comeBackAs(copy);
+    fleet.store().comeBackAs(snapshot);
   }
 
   private void startBoxes() throws Exception {
@@ -170,7 +164,7 @@
     }
   }
 
-  /** Returns how many of some requests to a box an upstream has run. */
+  /** Sends requests to a box and returns how many of them the upstream has run. */
   private int runCountFor(FleetEngine upstream, int box) throws Exception {
     int before = upstream.ran().size();
     for (int number = 0; number < REQUESTS / BOXES; number++) {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAction.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAction.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 import java.util.Random;
 
-/** Something that the soak does to a run. */
+/** A step that the soak test executes during a run, such as the injection of a fault. */
 interface SoakAction {
 
-  /** Returns its name. */
+  /** Returns the name that the step log shows. */
   String name();
 
-  /** Returns whether other steps have to be over before it and wait for it. */
+  /** Returns whether the step runs while no other step does. */
   boolean isExclusive();
 
-  /** Does it, and undoes it where it lasts. */
+  /** Executes the step and reverts its lasting effects. */
   void execute(SoakRun run, Random random) throws IOException, InterruptedException;
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementChecks.java
@@ -11,98 +11,98 @@
 import org.gradeledge.standin.fleet.EngineArrival.Answer;
 
 /**
- * Whether boxes heeded what engines said of themselves, judged by what callers sent and engines
- * got; each method returns what broke it. What a box has been told holds for one life of it and one
- * start of the engine.
+ * Checks that boxes apply the announcements of engines; each method returns violations. An
+ * announcement holds for one incarnation of the box and one of the engine.
  */
 final class SoakAnnouncementChecks {
 
   private static final long LEAVING_BOUND_MILLIS = 2_000;
 
-  /** What was sent before the answer was read arrives within this. */
+  /** Time within which requests arrive that were sent before the response was read. */
   private static final long IN_FLIGHT_MILLIS = 500;
 
-  /** So many requests may come from one box within a time all the same. */
+  /** Requests of one box that an engine may receive during a backoff. */
   private static final int MAX_REQUESTS_DURING_BACKOFF = 2;
 
   private SoakAnnouncementChecks() {}
 
-  /** A box and its life, and an engine and its start: who was told by whom. */
+  /** Identifies the incarnation of a box and of the engine that sent an announcement to it. */
   private record Told(int box, int life, String engine, int start) {}
 
   /**
-   * No request that a caller sent later than the bound after the box had passed on an answer that
-   * says that the engine leaves reaches that start of it.
+   * Checks that an engine receives no request that was sent later than the bound after the box had
+   * forwarded a response announcing that the engine leaves.
    */
   static List<String> checkLeavingAnnouncements(
       Collection<SoakCall> calls, Collection<FleetEngine> engines) {
-    Map<String, SoakCall> byId = callsById(calls);
-    List<String> broken = new ArrayList<>();
+    Map<String, SoakCall> callsById = callsById(calls);
+    List<String> violations = new ArrayList<>();
     for (FleetEngine engine : engines) {
-      Map<Told, Long> passedOn = new HashMap<>();
+      Map<Told, Long> announcedMillis = new HashMap<>();
       for (EngineArrival arrival : engine.signals().arrivals()) {
-        Optional.ofNullable(byId.get(arrival.id()))
-            .ifPresent(call -> checkArrival(engine, arrival, call, passedOn, broken));
+        Optional.ofNullable(callsById.get(arrival.id()))
+            .ifPresent(call -> checkArrival(engine, arrival, call, announcedMillis, violations));
       }
     }
-    return broken;
+    return violations;
   }
 
   private static void checkArrival(
       FleetEngine engine,
       EngineArrival arrival,
       SoakCall call,
-      Map<Told, Long> passedOn,
-      List<String> broken) {
-    Told told = announcementKey(engine, arrival, call);
-    Long since = passedOn.get(told);
-    if (since != null && call.sentMillis() > since + LEAVING_BOUND_MILLIS) {
-      broken.add(call.id() + " reached " + engine.id() + ", which had told " + told);
+      Map<Told, Long> announcedMillis,
+      List<String> violations) {
+    Told key = announcementKey(engine, arrival, call);
+    Long announcedAt = announcedMillis.get(key);
+    if (announcedAt != null && call.sentMillis() > announcedAt + LEAVING_BOUND_MILLIS) {
+      violations.add(call.id() + " reached " + engine.id() + ", which had told " + key);
     }
     if (arrival.answer() == Answer.LEAVING && call.hasStatus(200)) {
-      passedOn.merge(told, call.endMillis(), Math::min);
+      announcedMillis.merge(key, call.endMillis(), Math::min);
     }
   }
 
   /**
-   * No more than two requests of a box reach an engine between half a second after it has turned
-   * one of that box away and the end of the time that it asked for.
+   * Checks that an engine receives at most two requests from a box between half a second after it
+   * requested a backoff from that box and the end of the backoff.
    */
   static List<String> checkBackoffs(Collection<SoakCall> calls, Collection<FleetEngine> engines) {
-    Map<String, SoakCall> byId = callsById(calls);
-    List<String> broken = new ArrayList<>();
+    Map<String, SoakCall> callsById = callsById(calls);
+    List<String> violations = new ArrayList<>();
     for (FleetEngine engine : engines) {
-      Map<Told, List<EngineArrival>> byBox =
+      Map<Told, List<EngineArrival>> arrivalsByKey =
           engine.signals().arrivals().stream()
-              .filter(arrival -> byId.containsKey(arrival.id()))
+              .filter(arrival -> callsById.containsKey(arrival.id()))
               .collect(
                   Collectors.groupingBy(
-                      arrival -> announcementKey(engine, arrival, byId.get(arrival.id()))));
-      byBox.forEach(
-          (told, arrivals) ->
+                      arrival -> announcementKey(engine, arrival, callsById.get(arrival.id()))));
+      arrivalsByKey.forEach(
+          (key, arrivals) ->
               arrivals.stream()
                   .filter(arrival -> arrival.answer() == Answer.BACKOFF)
                   .filter(
-                      asked -> countDuringBackoff(asked, arrivals) > MAX_REQUESTS_DURING_BACKOFF)
+                      backoff ->
+                          countDuringBackoff(backoff, arrivals) > MAX_REQUESTS_DURING_BACKOFF)
                   .findFirst()
                   .ifPresent(
-                      asked ->
-                          broken.add(
+                      backoff ->
+                          violations.add(
                               engine.id()
                                   + " asked "
-                                  + told
+                                  + key
                                   + " for "
-                                  + asked.backoffMillis()
+                                  + backoff.backoffMillis()
                                   + " ms without requests and got "
-                                  + countDuringBackoff(asked, arrivals))));
+                                  + countDuringBackoff(backoff, arrivals))));
     }
-    return broken;
+    return violations;
   }
 
-  private static long countDuringBackoff(EngineArrival asked, List<EngineArrival> arrivals) {
+  private static long countDuringBackoff(EngineArrival backoff, List<EngineArrival> arrivals) {
     return arrivals.stream()
-        .filter(arrival -> arrival.millis() > asked.millis() + IN_FLIGHT_MILLIS)
-        .filter(arrival -> arrival.millis() < asked.millis() + asked.backoffMillis())
+        .filter(arrival -> arrival.millis() > backoff.millis() + IN_FLIGHT_MILLIS)
+        .filter(arrival -> arrival.millis() < backoff.millis() + backoff.backoffMillis())
         .count();
   }
 
@@ -112,6 +112,6 @@
 
   private static Map<String, SoakCall> callsById(Collection<SoakCall> calls) {
     return calls.stream()
-        .collect(Collectors.toMap(SoakCall::id, Function.identity(), (first, again) -> first));
+        .collect(Collectors.toMap(SoakCall::id, Function.identity(), (first, second) -> first));
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementStep.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementStep.java
@@ -4,19 +4,18 @@
 import java.util.Random;
 
 /**
- * What the soak has engines say of themselves: that they leave, and that they want no requests for
- * a while. A series of its own, so that seeds play the same other steps as before there was this
- * one.
+ * Steps in which engines announce that they leave or request a backoff. They form a separate
+ * series, so that a seed still produces the same steps in the other series.
  */
 enum SoakAnnouncementStep implements SoakAction {
-  /** An engine says in its answers that it leaves, ends and starts again under its id. */
+  /** An engine announces that it leaves and restarts under the same id. */
   ANNOUNCE_LEAVING(false) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
       run.engineSteps().announceLeaving(run.engines().randomEngine(random), randomMillis(random));
     }
   },
-  /** It does so while the store is away, so that its entry cannot say it. */
+  /** An engine announces that it leaves while the store is unavailable. */
   ANNOUNCE_LEAVING_IN_OUTAGE(false) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
@@ -25,32 +24,32 @@
       run.store().setFault(StoreFault.NONE);
     }
   },
-  /** An engine says something of leaving that cannot be read: it goes on serving. */
+  /** An engine sends an invalid leaving announcement and continues to serve. */
   ANNOUNCE_UNREADABLY(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
-      EngineSignals signals = run.engines().randomEngine(random).signals();
-      signals.announceLeaving(
+      EngineSignals announcements = run.engines().randomEngine(random).signals();
+      announcements.announceLeaving(
           INVALID_LEAVING_VALUES[random.nextInt(INVALID_LEAVING_VALUES.length)]);
       SoakRun.pause(randomMillis(random));
-      signals.withdraw();
+      announcements.withdraw();
     }
   },
-  /** An engine turns requests away and asks for time without any, while nothing else is wrong. */
+  /** An engine requests a backoff while no fault is injected. */
   TURN_AWAY_IN_CALM(true) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
       run.engineSteps().checkBackoff(run.engines().randomEngine(random), 2 + random.nextInt(3));
     }
   },
-  /** An engine does so, or asks for something odd, while other things go wrong. */
+  /** An engine requests a valid or invalid backoff while other steps run. */
   TURN_AWAY(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
-      EngineSignals signals = run.engines().randomEngine(random).signals();
-      signals.turnAway(BACKOFF_VALUES[random.nextInt(BACKOFF_VALUES.length)]);
+      EngineSignals announcements = run.engines().randomEngine(random).signals();
+      announcements.turnAway(BACKOFF_VALUES[random.nextInt(BACKOFF_VALUES.length)]);
       SoakRun.pause(randomMillis(random));
-      signals.withdraw();
+      announcements.withdraw();
     }
   };
 
@@ -59,8 +58,8 @@
 
   private final boolean exclusive;
 
-  SoakAnnouncementStep(boolean calm) {
-    this.exclusive = calm;
+  SoakAnnouncementStep(boolean exclusive) {
+    this.exclusive = exclusive;
   }
 
   @Override
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.gradeledge.standin.JavaCommand;
 
-/** A box of the soak: a real process, its link to the store, and where it is reached. */
+/** A box that runs in a process of its own, with a proxy to the store that can inject faults. */
 final class SoakBox implements AutoCloseable {
 
   private static final int PORT_COUNT = 4;
@@ -20,15 +20,15 @@
   private volatile Process process;
   private volatile int incarnation;
 
-  SoakBox(Path folder, int number, String store) throws IOException {
+  SoakBox(Path folder, int number, String storeAddress) throws IOException {
     this.folder = folder;
     this.number = number;
-    // A box that is started again must find its ports free, whatever others dial meanwhile.
+    // Outgoing connections must not take the ports of a box that is being restarted.
     this.ports = FreePorts.findBelowOutgoing(PORT_COUNT);
-    this.storeLink = new FaultyLink(store);
+    this.storeLink = new FaultyLink(storeAddress);
   }
 
-  /** Returns what a step holds that stops, kills or freezes the process; callers never do. */
+  /** Returns the lock that steps hold while they stop, kill or suspend the process. */
   Object processLock() {
     return processLock;
   }
@@ -73,7 +73,7 @@
     process.destroyForcibly().onExit().join();
   }
 
-  /** Asks the box to stop as planned and waits until it has. */
+  /** Sends SIGTERM, waits until the process has ended and returns its exit code. */
   int stop() {
     process.destroy();
     return process.onExit().join().exitValue();
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCall.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCall.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * One request of the soak as its caller saw it.
+ * A request of a soak caller and its result.
  *
- * @param id its id
- * @param path its path
- * @param box number of the box that was asked
- * @param life which process of that box was asked
- * @param sentMillis when it was sent
- * @param endMillis when it ended
- * @param status status of the answer, empty where the connection ended without a whole answer
- * @param body body of the answer
+ * @param id id of the request
+ * @param path path of the request
+ * @param box number of the box that received it
+ * @param life incarnation of the process of that box
+ * @param sentMillis time at which it was sent
+ * @param endMillis time at which it ended
+ * @param status status of the response, empty if the connection ended before a complete response
+ * @param body body of the response, or text of the exception
  */
 record SoakCall(
     String id,
@@ -24,8 +24,8 @@
     Optional<Integer> status,
     String body) {
 
-  boolean hasStatus(int wanted) {
-    return status.filter(answered -> answered == wanted).isPresent();
+  boolean hasStatus(int expected) {
+    return status.filter(actual -> actual == expected).isPresent();
   }
 
   boolean hasPathPrefix(String prefix) {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCallers.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCallers.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Callers that send one request after the other to a box of their own, on connections that stay
- * open until the process is gone, and note what they saw. Thread-safe.
+ * Runs callers that send sequential requests to one box each, on persistent connections, and
+ * records the results. Thread-safe.
  */
 final class SoakCallers {
 
@@ -29,15 +29,15 @@
   private volatile boolean stopping;
   private volatile long requestCount;
 
-  SoakCallers(String run) {
-    this.idPrefix = run;
+  SoakCallers(String idPrefix) {
+    this.idPrefix = idPrefix;
   }
 
   Collection<SoakCall> calls() {
     return calls;
   }
 
-  /** Callers ask from now on for a route too that was added. */
+  /** Adds a path to which callers also send requests. */
   void addPath(String prefix) {
     addedPaths.add(prefix);
   }
@@ -66,18 +66,26 @@
     }
   }
 
-  /** Sends one request and notes how it ended. */
+  /** Sends a request and records its result. */
   SoakCall sendRequest(HttpClient client, SoakBox box, String path) {
     String id = nextId();
-    int life = box.incarnation();
-    long sent = currentMillis();
+    int incarnation = box.incarnation();
+    long sentMillis = currentMillis();
     SoakCall call;
     try {
-      HttpResponse<String> answer =
-          client.send(request(box, path, id), HttpResponse.BodyHandlers.ofString());
-      call = newCall(id, path, box, life, sent, Optional.of(answer.statusCode()), answer.body());
+      HttpResponse<String> response =
+          client.send(newRequest(box, path, id), HttpResponse.BodyHandlers.ofString());
+      call =
+          newCall(
+              id,
+              path,
+              box,
+              incarnation,
+              sentMillis,
+              Optional.of(response.statusCode()),
+              response.body());
     } catch (IOException e) {
-      call = newCall(id, path, box, life, sent, Optional.empty(), String.valueOf(e));
+      call = newCall(id, path, box, incarnation, sentMillis, Optional.empty(), String.valueOf(e));
     } catch (InterruptedException e) {
       throw new IllegalStateException("callers are not interrupted", e);
     }
@@ -89,14 +97,15 @@
       String id,
       String path,
       SoakBox box,
-      int life,
-      long sent,
+      int incarnation,
+      long sentMillis,
       Optional<Integer> status,
       String body) {
-    return new SoakCall(id, path, box.number(), life, sent, currentMillis(), status, body);
+    return new SoakCall(
+        id, path, box.number(), incarnation, sentMillis, currentMillis(), status, body);
   }
 
-  private static HttpRequest request(SoakBox box, String path, String id) {
+  private static HttpRequest newRequest(SoakBox box, String path, String id) {
     return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + box.callerPort() + path + "x"))
         .timeout(REQUEST_TIMEOUT)
         .header("X-Request-Id", id)
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
@@ -14,7 +14,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** What must hold, judged by what callers and engines saw; each method returns what broke it. */
+/** Checks guarantees on the requests that callers and engines recorded; returns violations. */
 final class SoakChecks {
 
   private static final Pattern EVENT_ID = Pattern.compile("(?m)^id: (\\d+)$");
@@ -23,7 +23,7 @@
 
   private SoakChecks() {}
 
-  /** A success is the whole answer to the caller's own request. */
+  /** Checks that each successful response is complete and belongs to its request. */
   static List<String> checkResponses(Collection<SoakCall> calls) {
     return findViolations(
         calls,
@@ -47,71 +47,77 @@
     return ids;
   }
 
-  /** What must not be repeated runs once at most. */
-  static List<String> checkNoRepeatedRuns(Collection<SeenRequest> ran) {
-    return countRuns(ran).entrySet().stream()
+  /** Checks that each non-idempotent request runs at most once. */
+  static List<String> checkNoRepeatedRuns(Collection<SeenRequest> requests) {
+    return countRuns(requests).entrySet().stream()
         .filter(entry -> entry.getValue() > 1)
         .map(entry -> entry.getKey() + " ran " + entry.getValue() + " times")
         .toList();
   }
 
-  private static Map<String, Long> countRuns(Collection<SeenRequest> ran) {
-    return ran.stream()
-        .filter(seen -> seen.path().startsWith("/once/"))
-        .collect(Collectors.groupingBy(seen -> seen.header("X-Request-Id"), Collectors.counting()));
+  private static Map<String, Long> countRuns(Collection<SeenRequest> requests) {
+    return requests.stream()
+        .filter(request -> request.path().startsWith("/once/"))
+        .collect(
+            Collectors.groupingBy(
+                request -> request.header("X-Request-Id"), Collectors.counting()));
   }
 
-  /** A refusal that promises that the request has not run is true. */
-  static List<String> checkRefusedNotRun(Collection<SoakCall> calls, Collection<SeenRequest> ran) {
-    Set<String> didRun = countRuns(ran).keySet();
+  /** Checks that no request runs whose status states that it has not run. */
+  static List<String> checkRefusedNotRun(
+      Collection<SoakCall> calls, Collection<SeenRequest> requests) {
+    Set<String> executedIds = countRuns(requests).keySet();
     return findViolations(
         calls,
-        call -> (call.hasStatus(503) || call.hasStatus(429)) && didRun.contains(call.id()),
+        call -> (call.hasStatus(503) || call.hasStatus(429)) && executedIds.contains(call.id()),
         call -> call.id() + " was told " + call.status().orElse(0) + " and ran");
   }
 
-  /** Once a process has served a route that was added, it never says again that there is none. */
+  /** Checks that a process that has served an added route never rejects it as unknown. */
   static List<String> checkRoutesKept(Collection<SoakCall> calls) {
-    Map<String, Long> served = new HashMap<>();
-    List<String> broken = new ArrayList<>();
+    Map<String, Long> servedMillis = new HashMap<>();
+    List<String> violations = new ArrayList<>();
     calls.stream()
         .filter(call -> call.hasPathPrefix("/add-"))
         .sorted(Comparator.comparingLong(SoakCall::sentMillis))
-        .forEach(call -> checkRoute(call, served, broken));
-    return broken;
+        .forEach(call -> checkRoute(call, servedMillis, violations));
+    return violations;
   }
 
-  private static void checkRoute(SoakCall call, Map<String, Long> served, List<String> broken) {
-    String process = call.box() + "/" + call.life() + call.path();
+  private static void checkRoute(
+      SoakCall call, Map<String, Long> servedMillis, List<String> violations) {
+    String processAndPath = call.box() + "/" + call.life() + call.path();
     if (call.hasStatus(200)) {
-      served.merge(process, call.endMillis(), Math::min);
+      servedMillis.merge(processAndPath, call.endMillis(), Math::min);
     } else if (call.hasStatus(404)
-        && call.sentMillis() > served.getOrDefault(process, Long.MAX_VALUE)) {
-      broken.add(call.id() + ": box " + call.box() + " forgot " + call.path());
+        && call.sentMillis() > servedMillis.getOrDefault(processAndPath, Long.MAX_VALUE)) {
+      violations.add(call.id() + ": box " + call.box() + " forgot " + call.path());
     }
   }
 
-  /** A planned stop cuts no request that an engine has run. */
+  /** Checks that a planned stop aborts no request that an engine has run. */
   static List<String> checkPlannedStops(
-      Collection<SoakCall> calls, Collection<SeenRequest> ran, Collection<PlannedStop> stops) {
-    Set<String> didRun =
-        ran.stream().map(seen -> seen.header("X-Request-Id")).collect(Collectors.toSet());
+      Collection<SoakCall> calls, Collection<SeenRequest> requests, Collection<PlannedStop> stops) {
+    Set<String> executedIds =
+        requests.stream()
+            .map(request -> request.header("X-Request-Id"))
+            .collect(Collectors.toSet());
     return findViolations(
         calls,
         call ->
             call.status().isEmpty()
-                && didRun.contains(call.id())
+                && executedIds.contains(call.id())
                 && stops.stream().anyMatch(stop -> stop.overlaps(call)),
         call -> call.id() + " was cut by the planned stop of box " + call.box());
   }
 
   /**
-   * A planned stop with nothing else wrong.
+   * A planned stop of a box while no fault is injected.
    *
    * @param box number of the box
-   * @param incarnation its process
-   * @param fromMillis when it was told
-   * @param untilMillis when it had ended
+   * @param incarnation incarnation of its process
+   * @param fromMillis time at which the stop was requested
+   * @param untilMillis time at which the process had ended
    */
   record PlannedStop(int box, int incarnation, long fromMillis, long untilMillis) {
 
@@ -123,13 +129,15 @@
     }
   }
 
-  /** Returns the most requests in 4 s that a limit allows. */
+  /** Returns the maximum number of requests in 4 s at a rate limit. */
   static long maxRequestsInWindow(double perSecond) {
     return (long) (perSecond * 1.5 * 4 + 5);
   }
 
   private static List<String> findViolations(
-      Collection<SoakCall> calls, Predicate<SoakCall> breaks, Function<SoakCall, String> text) {
-    return calls.stream().filter(breaks).map(text).toList();
+      Collection<SoakCall> calls,
+      Predicate<SoakCall> isViolation,
+      Function<SoakCall, String> message) {
+    return calls.stream().filter(isViolation).map(message).toList();
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecksTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecksTests.java
@@ -8,7 +8,7 @@
 import org.gradeledge.standin.fleet.SoakChecks.PlannedStop;
 import org.junit.jupiter.api.Test;
 
-/** Each check finds a fault that was planted, and nothing where there is none. */
+/** Tests that each check reports a violation and accepts valid results. */
 class SoakChecksTests {
 
   private static final String COMPLETE_STREAM =
@@ -72,25 +72,25 @@
 
   @Test
   void detectsLostRoute() {
-    SoakCall served = new SoakCall("a", "/add-1/x", 1, 1, 0, 10, Optional.of(200), "");
-    SoakCall before = new SoakCall("b", "/add-1/x", 1, 1, 9, 10, Optional.of(404), "");
-    SoakCall forgotten = new SoakCall("c", "/add-1/x", 1, 1, 11, 12, Optional.of(404), "");
+    SoakCall completed = new SoakCall("a", "/add-1/x", 1, 1, 0, 10, Optional.of(200), "");
+    SoakCall earlier = new SoakCall("b", "/add-1/x", 1, 1, 9, 10, Optional.of(404), "");
+    SoakCall lost = new SoakCall("c", "/add-1/x", 1, 1, 11, 12, Optional.of(404), "");
 
-    assertThat(SoakChecks.checkRoutesKept(List.of(before, served))).isEmpty();
-    assertThat(SoakChecks.checkRoutesKept(List.of(served, forgotten))).hasSize(1);
+    assertThat(SoakChecks.checkRoutesKept(List.of(earlier, completed))).isEmpty();
+    assertThat(SoakChecks.checkRoutesKept(List.of(completed, lost))).hasSize(1);
   }
 
   @Test
   void detectsRequestAbortedByPlannedStop() {
-    SoakCall cut = new SoakCall("a", "/once/1", 2, 1, 100, 300, Optional.empty(), "");
+    SoakCall aborted = new SoakCall("a", "/once/1", 2, 1, 100, 300, Optional.empty(), "");
     PlannedStop stop = new PlannedStop(2, 1, 200, 400);
-    List<SeenRequest> ran = List.of(newRequest("a", "/once/1"));
+    List<SeenRequest> executed = List.of(newRequest("a", "/once/1"));
 
-    assertThat(SoakChecks.checkPlannedStops(List.of(cut), ran, List.of(stop))).hasSize(1);
-    assertThat(SoakChecks.checkPlannedStops(List.of(cut), List.of(), List.of(stop))).isEmpty();
+    assertThat(SoakChecks.checkPlannedStops(List.of(aborted), executed, List.of(stop))).hasSize(1);
+    assertThat(SoakChecks.checkPlannedStops(List.of(aborted), List.of(), List.of(stop))).isEmpty();
     assertThat(
             SoakChecks.checkPlannedStops(
-                List.of(cut), ran, List.of(new PlannedStop(2, 2, 200, 400))))
+                List.of(aborted), executed, List.of(new PlannedStop(2, 2, 200, 400))))
         .isEmpty();
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakConfiguration.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakConfiguration.java
@@ -1,6 +1,6 @@
 package org.gradeledge.standin.fleet;
 
-/** The configuration of a run, which only grows. Thread-safe. */
+/** The configuration of a run, to which routes are added. Thread-safe. */
 final class SoakConfiguration {
 
   private final StoreStandIn store;
@@ -13,7 +13,7 @@
     write();
   }
 
-  /** Adds a route; returns its prefix. */
+  /** Adds a route and returns its path prefix. */
   synchronized String addRoute() {
     version++;
     String prefix = "/add-" + version + "/";
@@ -22,7 +22,7 @@
     return prefix;
   }
 
-  /** Writes the newest configuration, also where the store holds it. */
+  /** Writes the current configuration, even if the store already has it. */
   synchronized void write() {
     store.put("op", "config", FleetConfiguration.of(version, routes));
   }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
@@ -5,19 +5,19 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Consumer;
 
-/** What a run does to single engines, and what each must see of it. Thread-safe. */
+/** Steps that act on one engine and check which requests it receives. Thread-safe. */
 final class SoakEngineSteps {
 
   private static final long LEAVING_BOUND_MILLIS = 2_000;
   private static final long LEAVING_MARGIN_MILLIS = 500;
 
-  /** A limit must be kept so long after it was first named. */
+  /** Time within which boxes apply an announced limit. */
   private static final long LIMIT_PROPAGATION_MILLIS = 3_000;
 
   private static final long LIMIT_OBSERVATION_MILLIS = 6_000;
   private static final long BACKOFF_MILLIS = 2_000;
 
-  /** A start that has left, and how many requests it had run when its bound was over. */
+  /** An incarnation that has left and the number of its runs at the end of the leaving bound. */
   private record DepartedEngine(FleetEngine engine, int incarnation, int runsAtBound) {
 
     boolean hasRunMore() {
@@ -32,37 +32,40 @@
   private final List<DepartedEngine> departedEngines = new CopyOnWriteArrayList<>();
 
   /**
-   * Creates them.
+   * Creates the steps.
    *
-   * @param allServing notes the boxes that do not serve, with when that is
-   * @param broken takes what was broken
-   * @param patience by how much the bounds of time are stretched
+   * @param servingCheck checks that all boxes serve; takes the phase for the message
+   * @param violations receives the violations
+   * @param timeoutFactor factor for all time bounds
    */
   SoakEngineSteps(
-      SoakEngines engines, Consumer<String> allServing, Consumer<String> broken, int patience) {
+      SoakEngines engines,
+      Consumer<String> servingCheck,
+      Consumer<String> violations,
+      int timeoutFactor) {
     this.engines = engines;
-    this.servingCheck = allServing;
-    this.violations = broken;
-    this.timeoutFactor = patience;
+    this.servingCheck = servingCheck;
+    this.violations = violations;
+    this.timeoutFactor = timeoutFactor;
   }
 
-  /** Lets an engine name a limit while nothing else is wrong: it must be kept. */
+  /** Checks that boxes keep a limit that an engine announces while no fault is injected. */
   void checkLimit(FleetEngine engine, double perSecond) throws InterruptedException {
     servingCheck.accept("before an engine names a limit");
     engine.limit().name(String.valueOf(perSecond));
     SoakRun.pause(LIMIT_PROPAGATION_MILLIS * timeoutFactor);
-    int first = engine.limit().arrived();
+    int requestsBefore = engine.limit().arrived();
     SoakRun.pause(LIMIT_OBSERVATION_MILLIS);
-    long most = engine.limit().mostInWindowAfter(first);
+    long maxInWindow = engine.limit().mostInWindowAfter(requestsBefore);
     engine.limit().withdraw();
-    if (most > SoakChecks.maxRequestsInWindow(perSecond)) {
+    if (maxInWindow > SoakChecks.maxRequestsInWindow(perSecond)) {
       violations.accept(
-          engine.id() + " takes " + perSecond + " a second and got " + most + " in 4 s");
+          engine.id() + " takes " + perSecond + " a second and got " + maxInWindow + " in 4 s");
     }
     servingCheck.accept("after an engine names no limit any more");
   }
 
-  /** Takes an engine away: after the bound it must get no new work. */
+  /** Replaces an engine; it must receive no work after the leaving bound. */
   void checkLeaving(FleetEngine leaving) throws IOException, InterruptedException {
     servingCheck.accept("before an engine leaves");
     engines.add(leaving.kind());
@@ -73,40 +76,40 @@
         new DepartedEngine(leaving, leaving.start(), leaving.ranDuring(leaving.start())));
   }
 
-  /** Takes an engine away, and starts it again under its id once it must get no new work. */
+  /** Drains an engine and restarts it under the same id after the leaving bound. */
   void checkLeavingAndRestart(FleetEngine engine) throws IOException, InterruptedException {
     servingCheck.accept("before an engine leaves to come back");
-    int start = engine.start();
+    int incarnation = engine.start();
     engines.putRow(engine, "draining");
     awaitLeavingBound();
-    int ranByThen = engine.ranDuring(start);
+    int runsAtBound = engine.ranDuring(incarnation);
     engine.startAgain();
-    departedEngines.add(new DepartedEngine(engine, start, ranByThen));
+    departedEngines.add(new DepartedEngine(engine, incarnation, runsAtBound));
     engines.putRow(engine, "ready");
     servingCheck.accept("after an engine came back under its id");
   }
 
-  /** Lets an engine crash and start again under its id. */
+  /** Crashes an engine and restarts it under the same id. */
   void restart(FleetEngine engine) throws IOException {
     engine.startAgain();
     engines.putRow(engine, "ready");
   }
 
-  /** The same while nothing else is wrong. */
+  /** Checks that no box requests results of the previous incarnation from a restarted engine. */
   void checkRestart(FleetEngine engine) throws IOException, InterruptedException {
     servingCheck.accept("before an engine starts again");
     restart(engine);
     awaitLeavingBound();
-    int askedByThen = engine.askedOfOthers().size();
+    int staleAtBound = engine.askedOfOthers().size();
     servingCheck.accept("after an engine started again");
-    if (engine.askedOfOthers().size() > askedByThen) {
+    if (engine.askedOfOthers().size() > staleAtBound) {
       violations.accept(engine.id() + " was asked about results of the start before");
     }
   }
 
   /**
-   * Has an engine say in its answers that it leaves, and starts it again under its id some time
-   * later; what it got meanwhile is judged in the end.
+   * Lets an engine announce in responses that it leaves, and restarts it under the same id later.
+   * {@link SoakAnnouncementChecks} checks at the end of the run which requests it received.
    */
   void announceLeaving(FleetEngine engine, long millis) throws IOException, InterruptedException {
     engine.signals().announceLeaving("1");
@@ -116,7 +119,7 @@
     engines.putRow(engine, "ready");
   }
 
-  /** Has an engine turn requests away for some seconds while nothing else is wrong. */
+  /** Lets an engine request a backoff while no fault is injected. */
   void checkBackoff(FleetEngine engine, int seconds) throws InterruptedException {
     servingCheck.accept("before an engine turns requests away");
     engine.signals().turnAway(String.valueOf(seconds));
@@ -129,7 +132,7 @@
     SoakRun.pause((LEAVING_BOUND_MILLIS + LEAVING_MARGIN_MILLIS) * timeoutFactor);
   }
 
-  /** Notes the starts that got work after they had left. */
+  /** Reports the incarnations that received work after they had left. */
   void checkDepartedEngines() {
     departedEngines.stream()
         .filter(DepartedEngine::hasRunMore)
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Stream;
 
-/** The engines of a run, each behind a link that can be harmed, and their rows. Thread-safe. */
+/** The engines of a run, each behind a {@link FaultyLink}, and their rows. Thread-safe. */
 final class SoakEngines implements AutoCloseable {
 
   private final StoreStandIn store;
@@ -19,12 +19,12 @@
   private final List<FaultyLink> allLinks = new CopyOnWriteArrayList<>();
   private final Map<FleetEngine, FaultyLink> links = new ConcurrentHashMap<>();
 
-  SoakEngines(StoreStandIn store, Random seeds) {
+  SoakEngines(StoreStandIn store, Random idRandom) {
     this.store = store;
-    this.idRandom = seeds;
+    this.idRandom = idRandom;
   }
 
-  /** Starts one more and lists it. */
+  /** Starts an engine and writes its row. */
   void add(EngineKind kind) throws IOException {
     FleetEngine engine = new FleetEngine("i-" + kind + "-" + idRandom.nextInt(1_000_000), kind);
     FaultyLink link = new FaultyLink(engine.address());
@@ -34,20 +34,20 @@
     putRow(engine, "ready");
   }
 
-  /** Takes one out of those that serve. */
+  /** Removes an engine from those that serve, without stopping it. */
   void remove(FleetEngine engine) {
     servingEngines.remove(engine);
     removedEngines.add(engine);
   }
 
-  /** Puts the row of an engine, with a state. */
+  /** Writes the row of an engine with the given state. */
   void putRow(FleetEngine engine, String state) {
     String row = engine.row(engine.kind().service(), "zone-a", state);
     String address = links.get(engine).address();
     store.put("servers", engine.id(), row.replace(engine.address(), address));
   }
 
-  /** Puts the rows of all that serve. */
+  /** Writes the rows of all engines that serve. */
   void putAllRows() {
     servingEngines.forEach(engine -> putRow(engine, "ready"));
   }
@@ -60,20 +60,20 @@
     return allLinks.get(random.nextInt(allLinks.size()));
   }
 
-  /** Returns all that ever served. */
+  /** Returns all engines, including removed ones. */
   List<FleetEngine> allEngines() {
     return Stream.concat(servingEngines.stream(), removedEngines.stream()).toList();
   }
 
-  /** Returns what all that ever served have run. */
+  /** Returns the requests that all engines have run, including removed ones. */
   List<SeenRequest> executedRequests() {
-    List<SeenRequest> ran = new ArrayList<>();
-    servingEngines.forEach(engine -> ran.addAll(engine.ran()));
-    removedEngines.forEach(engine -> ran.addAll(engine.ran()));
-    return ran;
+    List<SeenRequest> requests = new ArrayList<>();
+    servingEngines.forEach(engine -> requests.addAll(engine.ran()));
+    removedEngines.forEach(engine -> requests.addAll(engine.ran()));
+    return requests;
   }
 
-  /** Ends all faults of engines and links. */
+  /** Clears all faults, limits and announcements. */
   void clearFaults() {
     servingEngines.forEach(engine -> engine.setFault(EngineFault.NONE));
     servingEngines.forEach(engine -> engine.limit().withdraw());
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakFaultStep.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakFaultStep.java
@@ -3,23 +3,23 @@
 import java.io.IOException;
 import java.util.Random;
 
-/** What the soak does to a run. */
+/** Steps that inject faults into boxes, engines, the store and the links between them. */
 enum SoakFaultStep implements SoakAction {
-  /** The link of a box to the store is harmed. */
+  /** Injects a fault into the link of a box to the store. */
   HARM_STORE_LINK(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
       injectFault(run.randomBox(random).storeLink(), random);
     }
   },
-  /** The link to an engine is harmed. */
+  /** Injects a fault into the link to an engine. */
   HARM_ENGINE_LINK(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
       injectFault(run.engines().randomLink(random), random);
     }
   },
-  /** The store is away, or forgets its history. */
+  /** Makes the store unavailable or lets it lose its history. */
   HARM_STORE(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
@@ -29,7 +29,7 @@
       run.store().setFault(StoreFault.NONE);
     }
   },
-  /** An engine fails its requests in some way. */
+  /** Lets an engine fail its requests. */
   HARM_ENGINE(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
@@ -48,7 +48,7 @@
       engine.setFault(EngineFault.NONE);
     }
   },
-  /** A box stands still for a while. */
+  /** Suspends the process of a box. */
   FREEZE_BOX(false) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
@@ -60,7 +60,7 @@
       }
     }
   },
-  /** A box is killed and started again. */
+  /** Kills and restarts a box. */
   KILL_BOX(false) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
@@ -72,7 +72,7 @@
       }
     }
   },
-  /** A box is told to stop while other things go wrong, and started again. */
+  /** Stops and restarts a box while other steps run. */
   STOP_BOX(false) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException {
@@ -83,14 +83,14 @@
       }
     }
   },
-  /** A box is told to stop while nothing else is wrong. */
+  /** Stops and restarts a box while no fault is injected. */
   STOP_BOX_IN_CALM(true) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException {
       run.stopAsPlanned(run.randomBox(random));
     }
   },
-  /** A route is added. */
+  /** Adds a route to the configuration. */
   ADD_ROUTE(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
@@ -98,7 +98,7 @@
       SoakRun.pause(random.nextInt(1_000));
     }
   },
-  /** An engine leaves while nothing else is wrong. */
+  /** Replaces an engine while no fault is injected. */
   LEAVE_IN_CALM(true) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
@@ -108,8 +108,8 @@
 
   private final boolean exclusive;
 
-  SoakFaultStep(boolean needsCalm) {
-    this.exclusive = needsCalm;
+  SoakFaultStep(boolean exclusive) {
+    this.exclusive = exclusive;
   }
 
   @Override
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakLimitAndRestoreStep.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakLimitAndRestoreStep.java
@@ -4,11 +4,11 @@
 import java.util.Random;
 
 /**
- * What the soak does to what engines say and to what the store remembers. A series of its own, so
- * that seeds play the same other steps as before there was this one.
+ * Steps in which engines announce rate limits or the store is restored from a snapshot. They form a
+ * separate series, so that a seed still produces the same steps in the other series.
  */
 enum SoakLimitAndRestoreStep implements SoakAction {
-  /** An engine names a limit while nothing else is wrong, and then names it no more. */
+  /** An engine announces a limit and withdraws it while no fault is injected. */
   NAME_LIMIT_IN_CALM(true) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
@@ -18,7 +18,7 @@
               VALID_LIMITS[random.nextInt(VALID_LIMITS.length)]);
     }
   },
-  /** An engine names a limit, or something that is none, while other things go wrong. */
+  /** An engine announces a valid or invalid limit while other steps run. */
   NAME_LIMIT(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
@@ -28,24 +28,24 @@
       limit.withdraw();
     }
   },
-  /** The store comes back as an older copy, while other things go wrong. */
+  /** Restores the store from a snapshot while other steps run. */
   DRILL(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
       restoreSnapshot(run, random);
     }
   },
-  /** It does so twice in a row. */
+  /** Restores the store from a snapshot twice. */
   TWO_DRILLS(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
-      StoreStandIn.Copy copy = run.store().copy();
+      StoreStandIn.Copy snapshot = run.store().copy();
       restoreSnapshot(run, random);
-      run.store().comeBackAs(copy);
+      run.store().comeBackAs(snapshot);
       run.rewriteStore();
     }
   },
-  /** Boxes are killed and started while it does so. */
+  /** Kills a box before the store is restored and starts it afterwards. */
   DRILL_WITH_KILL(false) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
@@ -63,8 +63,8 @@
 
   private final boolean exclusive;
 
-  SoakLimitAndRestoreStep(boolean calm) {
-    this.exclusive = calm;
+  SoakLimitAndRestoreStep(boolean exclusive) {
+    this.exclusive = exclusive;
   }
 
   @Override
@@ -72,11 +72,11 @@
     return exclusive;
   }
 
-  /** Engines and operator write again within some 1.5 s what they had written since. */
+  /** Restores a snapshot and later writes again what it lacks. */
   private static void restoreSnapshot(SoakRun run, Random random) throws InterruptedException {
-    StoreStandIn.Copy copy = run.store().copy();
+    StoreStandIn.Copy snapshot = run.store().copy();
     SoakRun.pause(300 + random.nextInt(2_500));
-    run.store().comeBackAs(copy);
+    run.store().comeBackAs(snapshot);
     SoakRun.pause(random.nextInt(1_500));
     run.rewriteStore();
     SoakRun.pause(1_000 + random.nextInt(1_500));
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRestartStep.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRestartStep.java
@@ -4,11 +4,11 @@
 import java.util.Random;
 
 /**
- * What the soak does to starts of engines and to their list. A series of its own, so that seeds
- * play the same other steps as before there was this one.
+ * Steps that restart engines or write invalid rows into their list. They form a separate series, so
+ * that a seed still produces the same steps in the other series.
  */
 enum SoakRestartStep implements SoakAction {
-  /** An engine crashes and starts again under its id, while other things go wrong. */
+  /** An engine crashes and restarts under the same id while other steps run. */
   START_AGAIN(false) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
@@ -16,28 +16,28 @@
       SoakRun.pause(500 + random.nextInt(1_500));
     }
   },
-  /** The same while nothing else is wrong: it must not be asked about what it held before. */
+  /** An engine restarts while no fault is injected; no box may request its previous results. */
   START_AGAIN_IN_CALM(true) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
       run.engineSteps().checkRestart(run.engines().randomEngine(random));
     }
   },
-  /** An engine leaves, and comes back under its id, while nothing else is wrong. */
+  /** An engine leaves and restarts under the same id while no fault is injected. */
   COME_BACK_IN_CALM(true) {
     @Override
     public void execute(SoakRun run, Random random) throws IOException, InterruptedException {
       run.engineSteps().checkLeavingAndRestart(run.engines().randomEngine(random));
     }
   },
-  /** Something else writes rows into the list, one of them over the row of an engine. */
+  /** Foreign rows are written to the list, one of them over the row of an engine. */
   ROWS_FROM_OTHERS(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
-      String text = FOREIGN_ROWS[random.nextInt(FOREIGN_ROWS.length)];
+      String row = FOREIGN_ROWS[random.nextInt(FOREIGN_ROWS.length)];
       FleetEngine engine = run.engines().randomEngine(random);
-      run.store().put("servers", "other-" + random.nextInt(9), text);
-      run.store().put("servers", engine.id(), text);
+      run.store().put("servers", "other-" + random.nextInt(9), row);
+      run.store().put("servers", engine.id(), row);
       SoakRun.pause(200 + random.nextInt(1_000));
       run.engines().putRow(engine, "ready");
       SoakRun.pause(random.nextInt(1_000));
@@ -57,8 +57,8 @@
 
   private final boolean exclusive;
 
-  SoakRestartStep(boolean calm) {
-    this.exclusive = calm;
+  SoakRestartStep(boolean exclusive) {
+    this.exclusive = exclusive;
   }
 
   @Override
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRun.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRun.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.locks.ReentrantReadWriteLock;
 
 /**
- * One run of the soak: real boxes, stand-ins of store and engines, links that are harmed, callers,
- * and several series of faults at a time, all drawn from one seed. A step that needs calm around it
- * to be judged (a planned stop, an engine that leaves) holds the other series up.
+ * One run of the soak test: box processes, stand-ins for the store and the engines, callers, and
+ * concurrent series of steps drawn from one seed. An exclusive step, such as a planned stop, waits
+ * until the other series pause, so that its effect can be checked without other faults.
  */
 final class SoakRun implements AutoCloseable {
 
@@ -50,22 +50,23 @@
   private final SoakConfiguration configuration = new SoakConfiguration(store);
 
   /**
-   * Prepares a run; nothing is started yet.
+   * Prepares a run without starting any box.
    *
-   * @param patience by how much the bounds of time are stretched on a machine that does other work
+   * @param timeoutFactor factor for time bounds on a machine with other load
    */
-  SoakRun(long seed, Duration length, int boxCount, int patience, Path folder) throws IOException {
+  SoakRun(long seed, Duration duration, int boxCount, int timeoutFactor, Path folder)
+      throws IOException {
     this.faultRandom = new Random(seed);
     this.restartRandom = new Random(~seed);
     this.limitRandom = new Random(seed ^ LIMIT_SEED_MASK);
     this.announcementRandom = new Random(seed ^ ANNOUNCEMENT_SEED_MASK);
     this.engines = new SoakEngines(store, faultRandom);
-    this.timeoutFactor = patience;
+    this.timeoutFactor = timeoutFactor;
     this.engineSteps =
-        new SoakEngineSteps(engines, this::expectAllServing, violations::add, patience);
+        new SoakEngineSteps(engines, this::expectAllServing, violations::add, timeoutFactor);
     this.folder = folder;
     this.callers = new SoakCallers("s" + seed);
-    this.endMillis = SoakCallers.currentMillis() + length.toMillis();
+    this.endMillis = SoakCallers.currentMillis() + duration.toMillis();
     for (EngineKind kind : EngineKind.values()) {
       engines.add(kind);
       engines.add(kind);
@@ -75,7 +76,7 @@
     }
   }
 
-  /** Plays the run; returns what was broken, with the steps that led to it. */
+  /** Executes the run and returns violations, followed by the step log if there are any. */
   List<String> execute() throws IOException, InterruptedException, ExecutionException {
     for (SoakBox box : boxes) {
       box.start(seedAddresses());
@@ -93,9 +94,9 @@
   }
 
   private List<String> violationsAndSteps() {
-    List<String> text = new ArrayList<>(violations);
-    text.addAll(stepLog);
-    return text;
+    List<String> lines = new ArrayList<>(violations);
+    lines.addAll(stepLog);
+    return lines;
   }
 
   int callCount() {
@@ -118,9 +119,10 @@
     series.shutdown();
   }
 
-  private Void runSeries(SoakAction[] all, Random random) throws IOException, InterruptedException {
+  private Void runSeries(SoakAction[] actions, Random random)
+      throws IOException, InterruptedException {
     while (SoakCallers.currentMillis() < endMillis) {
-      SoakAction step = all[random.nextInt(all.length)];
+      SoakAction step = actions[random.nextInt(actions.length)];
       Lock lock = step.isExclusive() ? exclusionLock.writeLock() : exclusionLock.readLock();
       lock.lock();
       try {
@@ -158,32 +160,33 @@
     return boxes.stream().map(SoakBox::peerAddress).toList();
   }
 
-  /** Waits as long as a fault is to last. */
+  /** Sleeps for the duration of a step. */
   static void pause(long millis) throws InterruptedException {
     TimeUnit.MILLISECONDS.sleep(millis);
   }
 
-  /** Stops a box as planned while nothing else is wrong, and starts it again. */
+  /** Stops a box with SIGTERM while no fault is injected, and restarts it. */
   void stopAsPlanned(SoakBox box) throws IOException {
     expectServing(box, "before a planned stop");
-    long from = SoakCallers.currentMillis();
-    int life = box.incarnation();
-    int exit = box.stop();
+    long fromMillis = SoakCallers.currentMillis();
+    int incarnation = box.incarnation();
+    int exitCode = box.stop();
     plannedStops.add(
-        new SoakChecks.PlannedStop(box.number(), life, from, SoakCallers.currentMillis()));
-    if (exit != 0) {
-      violations.add("box " + box.number() + " ended with " + exit + " after SIGTERM");
+        new SoakChecks.PlannedStop(
+            box.number(), incarnation, fromMillis, SoakCallers.currentMillis()));
+    if (exitCode != 0) {
+      violations.add("box " + box.number() + " ended with " + exitCode + " after SIGTERM");
     }
     box.start(seedAddresses());
     expectServing(box, "after a planned stop");
   }
 
-  /** Adds a route, which callers ask for from then on. */
+  /** Adds a route to which callers send requests from now on. */
   void addRoute() {
     callers.addPath(configuration.addRoute());
   }
 
-  /** Operator and engines write again what the store may have lost. */
+  /** Writes again the configuration and rows that the store may have lost. */
   void rewriteStore() {
     configuration.write();
     engines.putAllRows();
@@ -195,33 +198,33 @@
     boxes.forEach(box -> box.storeLink().setFault(FaultyLink.Fault.NONE));
   }
 
-  private void expectAllServing(String when) {
-    boxes.forEach(box -> expectServing(box, when));
+  private void expectAllServing(String phase) {
+    boxes.forEach(box -> expectServing(box, phase));
   }
 
-  /** Notes a box that does not serve every kind of request within the bound for recovery. */
-  private void expectServing(SoakBox box, String when) {
-    long until = SoakCallers.currentMillis() + RECOVERY_TIMEOUT.toMillis() * timeoutFactor;
+  /** Records a violation unless the box serves each kind of request within the recovery timeout. */
+  private void expectServing(SoakBox box, String phase) {
+    long deadlineMillis = SoakCallers.currentMillis() + RECOVERY_TIMEOUT.toMillis() * timeoutFactor;
     HttpClient client = FleetCaller.newClient();
     for (String path : FleetConfiguration.PATHS) {
       SoakCall call = callers.sendRequest(client, box, path);
-      while (!call.hasStatus(200) && SoakCallers.currentMillis() < until) {
+      while (!call.hasStatus(200) && SoakCallers.currentMillis() < deadlineMillis) {
         call = callers.sendRequest(client, box, path);
       }
       if (!call.hasStatus(200)) {
         violations.add(
-            "box " + box.number() + " does not serve " + path + " " + when + ": " + call);
+            "box " + box.number() + " does not serve " + path + " " + phase + ": " + call);
       }
     }
   }
 
   private void checkResults() {
-    List<SeenRequest> ran = engines.executedRequests();
+    List<SeenRequest> executed = engines.executedRequests();
     violations.addAll(SoakChecks.checkResponses(callers.calls()));
-    violations.addAll(SoakChecks.checkNoRepeatedRuns(ran));
-    violations.addAll(SoakChecks.checkRefusedNotRun(callers.calls(), ran));
+    violations.addAll(SoakChecks.checkNoRepeatedRuns(executed));
+    violations.addAll(SoakChecks.checkRefusedNotRun(callers.calls(), executed));
     violations.addAll(SoakChecks.checkRoutesKept(callers.calls()));
-    violations.addAll(SoakChecks.checkPlannedStops(callers.calls(), ran, plannedStops));
+    violations.addAll(SoakChecks.checkPlannedStops(callers.calls(), executed, plannedStops));
     violations.addAll(
         SoakAnnouncementChecks.checkLeavingAnnouncements(callers.calls(), engines.allEngines()));
     violations.addAll(SoakAnnouncementChecks.checkBackoffs(callers.calls(), engines.allEngines()));
