--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageLimiter.java
@@ -228,7 +228,7 @@
             "the remaining stages take about "
                 + ticket.estimatedRemaining().toMillis()
                 + " ms and "
-                + ticket.deadline().left().toMillis()
+                + ticket.deadline().remaining().toMillis()
                 + " ms are left")
         .retryAfter(retryDelay)
         .build();
--- a/gradeledge-core/src/main/java/org/gradeledge/admission/StageTicket.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/admission/StageTicket.java
@@ -17,12 +17,12 @@
 
   /** Returns whether the request can meet its deadline if the call starts now. */
   public boolean canMeetDeadline() {
-    return deadline.left().compareTo(estimatedRemaining) > 0;
+    return deadline.remaining().compareTo(estimatedRemaining) > 0;
   }
 
   /** Returns how long the call can wait without missing the deadline. */
   public Duration slack() {
-    Duration slack = deadline.left().minus(estimatedRemaining);
+    Duration slack = deadline.remaining().minus(estimatedRemaining);
     return slack.isNegative() ? Duration.ZERO : slack;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCall.java
@@ -90,7 +90,7 @@
         .with("upstream", target.upstream().id())
         .with("status", status)
         .with("pieces", pieces.size())
-        .with("most", limits.itemsPerCall())
+        .with("most", limits.maxItemsPerCall())
         .with("waiting-after", waitingAfter)
         .with("waited-ms", longestWaitMillis())
         .with("expected-ms", (long) target.expectedMillis(limits, pieces.size()))
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -109,7 +109,7 @@
   }
 
   private boolean callNext(BatchLimits limits, long now) {
-    int items = Math.min(waiting.size(), limits.itemsPerCall());
+    int items = Math.min(waiting.size(), limits.maxItemsPerCall());
     return upstreams.candidates(limits, items, now).stream()
         .anyMatch(each -> tryCall(each, limits, now));
   }
@@ -117,7 +117,7 @@
   private boolean tryCall(BatchUpstream target, BatchLimits limits, long now) {
     List<StagePiece> batch =
         waiting.takeBatch(
-            limits.itemsPerCall(),
+            limits.maxItemsPerCall(),
             upstreams.freeBytes(target, limits),
             upstreams.eligibility(target, limits, now));
     if (batch.isEmpty()) {
@@ -248,7 +248,7 @@
       return;
     }
     resultMemory.add(
-        handle, upstream.incarnationId(), group.group().resultBytes(), limits.resultMillis());
+        handle, upstream.incarnationId(), group.group().resultBytes(), limits.retentionMillis());
     group.pieceCompleted(piece.index(), handle);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstream.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstream.java
@@ -23,7 +23,7 @@
   }
 
   boolean hasFreeSlot(BatchLimits limits) {
-    return calls < limits.calls();
+    return calls < limits.maxConcurrentCalls();
   }
 
   long reservedBytes() {
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
@@ -61,8 +61,8 @@
     if (upstreams.isEmpty()) {
       return Double.MAX_VALUE;
     }
-    double fullCalls = Math.ceil((double) pieces / limits.itemsPerCall());
-    double work = fullCalls * limits.callMillis() + pieces * limits.itemMillis();
+    double fullCalls = Math.ceil((double) pieces / limits.maxItemsPerCall());
+    double work = fullCalls * limits.fixedCallMillis() + pieces * limits.millisPerItem();
     double earliestFreeMillis =
         upstreams.stream()
                 .mapToDouble(each -> millisUntilCompletion(each, limits, 0, now))
@@ -78,7 +78,7 @@
 
   /** Returns the mean time per piece in full calls to all upstreams. */
   double secondsPerPiece(BatchLimits limits) {
-    int maxItems = limits.itemsPerCall();
+    int maxItems = limits.maxItemsPerCall();
     double upstreamSeconds = limits.expectedMillis(maxItems) / maxItems / MILLIS_PER_SECOND;
     return upstreamSeconds / Math.max(1, effectiveUpstreams(usable(), limits));
   }
@@ -108,7 +108,7 @@
             each -> {
               double callsPerSecond =
                   context.sendingRule().requestsPerSecond(each.upstream()) * CALLS_PER_REQUEST;
-              double fullCallMillis = each.expectedMillis(limits, limits.itemsPerCall());
+              double fullCallMillis = each.expectedMillis(limits, limits.maxItemsPerCall());
               return Math.min(1, callsPerSecond * fullCallMillis / MILLIS_PER_SECOND);
             })
         .sum();
@@ -118,13 +118,13 @@
   long freeBytes(BatchUpstream target, BatchLimits limits) {
     return resultMemory.isFull(target.upstream().incarnationId())
         ? 0
-        : (long) (limits.roomBytes() * USABLE_MEMORY_SHARE) - occupiedBytes(target);
+        : (long) (limits.memoryBytes() * USABLE_MEMORY_SHARE) - occupiedBytes(target);
   }
 
   /** Counts calls of peers as well: the previous owner of the service may have calls in flight. */
   private boolean hasFreeSlot(BatchUpstream target, BatchLimits limits) {
     int peerCalls = context.loads().inFlightAtPeers(target.upstream());
-    return target.hasFreeSlot(limits) && peerCalls < limits.calls();
+    return target.hasFreeSlot(limits) && peerCalls < limits.maxConcurrentCalls();
   }
 
   /**
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/QueueForecast.java
@@ -37,7 +37,7 @@
     long now = context.clock().nanos();
     long ahead = waiting.countAhead(group, limits.expectedMillis(1), now);
     double ownMillis =
-        limits.expectedMillis(Math.min(group.group().pieces(), limits.itemsPerCall()));
+        limits.expectedMillis(Math.min(group.group().pieces(), limits.maxItemsPerCall()));
     double waitMillis = upstreams.backlogMillis(limits, ahead, now);
     return !group.meetsTargetAfter(
         waitMillis / remainingShare(group.group().priority(), limits) + ownMillis, now);
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/AnswerWriter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/AnswerWriter.java
@@ -22,7 +22,8 @@
 
   private AnswerWriter() {}
 
-  static Mono<Void> whole(String requestId, Flux<AnswerEvent> events, HttpServerResponse response) {
+  static Mono<Void> writeJson(
+      String requestId, Flux<AnswerEvent> events, HttpServerResponse response) {
     return events
         .ofType(AnswerEvent.Result.class)
         .last()
@@ -37,7 +38,7 @@
   }
 
   /** A refusal before the first event is a plain refusal; a later one ends the stream. */
-  static Mono<Void> stream(
+  static Mono<Void> writeEventStream(
       String requestId, Flux<AnswerEvent> events, HttpServerResponse response) {
     return events
         .switchOnFirst(
@@ -47,19 +48,21 @@
               }
               response.sse().header("Cache-Control", "no-store");
               Flux<ByteBuf> written =
-                  all.map(event -> event(requestId, event))
-                      .onErrorResume(RefusalException.class, e -> Flux.just(error(requestId, e)));
+                  all.map(event -> answerEvent(requestId, event))
+                      .onErrorResume(
+                          RefusalException.class, e -> Flux.just(errorEvent(requestId, e)));
               return response.send(written, buffer -> true).then().flux();
             })
         .then();
   }
 
-  static Mono<Void> refuse(
+  static Mono<Void> writeRefusal(
       String requestId, RefusalException refusal, HttpServerResponse response) {
     response.header(VERDICT_HEADER, refusal.verdict().wireName());
     refusal
         .retryAfter()
-        .ifPresent(after -> response.header("Retry-After", String.valueOf(wholeSeconds(after))));
+        .ifPresent(
+            after -> response.header("Retry-After", String.valueOf(roundUpToSeconds(after))));
     boolean closes =
         refusal.reason() == RefusalReason.STOPPING
             || refusal.reason() == RefusalReason.BODY_TOO_LARGE;
@@ -77,19 +80,20 @@
     return new Answer(requestId, result.version(), Verdict.COMPLETED.wireName(), result.results());
   }
 
-  private static ByteBuf event(String requestId, AnswerEvent event) {
+  private static ByteBuf answerEvent(String requestId, AnswerEvent event) {
     if (event instanceof AnswerEvent.Token token) {
-      return sse("token", String.valueOf(token.offset()), HttpReplies.bytes(token.text()));
+      return serverSentEvent(
+          "token", String.valueOf(token.offset()), HttpReplies.bytes(token.text()));
     }
     Answer answer = answer(requestId, (AnswerEvent.Result) event);
-    return sse("result", "", HttpReplies.bytes(answer));
+    return serverSentEvent("result", "", HttpReplies.bytes(answer));
   }
 
-  private static ByteBuf error(String requestId, RefusalException refusal) {
-    return sse("error", "", HttpReplies.bytes(Problem.of(refusal, requestId)));
+  private static ByteBuf errorEvent(String requestId, RefusalException refusal) {
+    return serverSentEvent("error", "", HttpReplies.bytes(Problem.of(refusal, requestId)));
   }
 
-  private static ByteBuf sse(String name, String id, byte[] data) {
+  private static ByteBuf serverSentEvent(String name, String id, byte[] data) {
     String head = (id.isEmpty() ? "" : "id: " + id + "\n") + "event: " + name + "\ndata: ";
     return Unpooled.wrappedBuffer(
         Unpooled.copiedBuffer(head, StandardCharsets.UTF_8),
@@ -97,7 +101,7 @@
         Unpooled.copiedBuffer("\n\n", StandardCharsets.UTF_8));
   }
 
-  private static long wholeSeconds(Duration duration) {
+  private static long roundUpToSeconds(Duration duration) {
     return Math.max(1, duration.plusMillis(999).toSeconds());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRequestReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRequestReader.java
@@ -18,7 +18,7 @@
 /** Makes a caller's request of its head and body, or refuses it with what is wrong. */
 abstract class CallerRequestReader {
 
-  private static final int LONGEST_KEY = 255;
+  private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 
   private CallerRequestReader() {}
 
@@ -27,13 +27,13 @@
         requestId,
         Objects.requireNonNull(request.param("pipeline")),
         BearerTokens.digest(request),
-        deadline(request.requestHeaders().get("Gradeledge-Deadline-Ms")),
-        idempotencyKey(request.requestHeaders().get("Idempotency-Key")),
+        parseDeadline(request.requestHeaders().get("Gradeledge-Deadline-Ms")),
+        parseIdempotencyKey(request.requestHeaders().get("Idempotency-Key")),
         TextDigest.sha256(body),
-        object(body));
+        parseObject(body));
   }
 
-  private static OptionalLong deadline(@Nullable String header) {
+  private static OptionalLong parseDeadline(@Nullable String header) {
     if (header == null) {
       return OptionalLong.empty();
     }
@@ -47,17 +47,18 @@
     }
   }
 
-  private static Optional<String> idempotencyKey(@Nullable String header) {
+  private static Optional<String> parseIdempotencyKey(@Nullable String header) {
     if (header == null) {
       return Optional.empty();
     }
-    if (header.isBlank() || header.length() > LONGEST_KEY) {
-      throw malformed("Idempotency-Key must have 1 to " + LONGEST_KEY + " characters", null);
+    if (header.isBlank() || header.length() > MAX_IDEMPOTENCY_KEY_LENGTH) {
+      throw malformed(
+          "Idempotency-Key must have 1 to " + MAX_IDEMPOTENCY_KEY_LENGTH + " characters", null);
     }
     return Optional.of(header.strip());
   }
 
-  private static ObjectNode object(byte[] body) {
+  private static ObjectNode parseObject(byte[] body) {
     try {
       JsonNode node = JsonMappers.json().readTree(body);
       if (node instanceof ObjectNode object) {
--- a/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/caller/CallerRoutes.java
@@ -25,7 +25,7 @@
  */
 public final class CallerRoutes {
 
-  private static final String PIPELINE = "pipeline";
+  private static final String PIPELINE_PARAMETER = "pipeline";
   private static final String EVENT_STREAM = "text/event-stream";
 
   private final RequestService requests;
@@ -49,8 +49,8 @@
   /** Adds the routes to a port. */
   public void addTo(HttpServerRoutes routes) {
     routes
-        .post("/v1/pipelines/{" + PIPELINE + "}/requests", this::serve)
-        .get("/healthz", (request, response) -> text(response, 200, "ok\n"))
+        .post("/v1/pipelines/{" + PIPELINE_PARAMETER + "}/requests", this::serve)
+        .get("/healthz", (request, response) -> sendText(response, 200, "ok\n"))
         .get("/readyz", (request, response) -> readiness(response))
         .get(
             "/metrics",
@@ -68,10 +68,10 @@
             callerRequest -> {
               Flux<AnswerEvent> events = requests.serve(callerRequest);
               return stream
-                  ? AnswerWriter.stream(requestId, events, response)
-                  : AnswerWriter.whole(requestId, events, response);
+                  ? AnswerWriter.writeEventStream(requestId, events, response)
+                  : AnswerWriter.writeJson(requestId, events, response);
             })
-        .onErrorResume(e -> AnswerWriter.refuse(requestId, refusal(requestId, e), response));
+        .onErrorResume(e -> AnswerWriter.writeRefusal(requestId, refusal(requestId, e), response));
   }
 
   private static RefusalException refusal(String requestId, Throwable e) {
@@ -84,11 +84,11 @@
 
   private Publisher<Void> readiness(HttpServerResponse response) {
     return ready.getAsBoolean()
-        ? text(response, 200, "ready\n")
-        : text(response, 503, "not ready\n");
+        ? sendText(response, 200, "ready\n")
+        : sendText(response, 503, "not ready\n");
   }
 
-  private static Mono<Void> text(HttpServerResponse response, int status, String body) {
+  private static Mono<Void> sendText(HttpServerResponse response, int status, String body) {
     return HttpReplies.send(
         response, status, "text/plain", body.getBytes(StandardCharsets.US_ASCII));
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/AbandonedChanges.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/AbandonedSubmissionCleaner.java
@@ -15,29 +15,32 @@
  *
  * @since 0.1
  */
-public final class AbandonedChanges {
+public final class AbandonedSubmissionCleaner {
 
   private final SubmissionStore store;
-  private final Duration bound;
+  private final Duration timeout;
   private final MonotonicClock clock;
-  private final Map<String, Long> seenSince = new HashMap<>();
+  private final Map<String, Long> firstSeenNanos = new HashMap<>();
 
-  AbandonedChanges(SubmissionStore store, Duration bound, MonotonicClock clock) {
+  AbandonedSubmissionCleaner(SubmissionStore store, Duration bound, MonotonicClock clock) {
     this.store = store;
-    this.bound = bound;
+    this.timeout = bound;
     this.clock = clock;
   }
 
   /** Takes in one read of the heads and refuses what has been staged for longer than the bound. */
-  public Mono<Void> observe(ChangeHeads heads) {
+  public Mono<Void> refuseExpired(ChangeHeads heads) {
     long now = clock.nanos();
-    seenSince
+    firstSeenNanos
         .keySet()
         .retainAll(heads.staged().values().stream().map(staged -> staged.record().id()).toList());
-    heads.staged().values().forEach(staged -> seenSince.putIfAbsent(staged.record().id(), now));
+    heads
+        .staged()
+        .values()
+        .forEach(staged -> firstSeenNanos.putIfAbsent(staged.record().id(), now));
     return Flux.fromIterable(heads.staged().values())
         .map(StagedHead::record)
-        .filter(record -> now - seenSince.get(record.id()) >= bound.toNanos())
+        .filter(record -> now - firstSeenNanos.get(record.id()) >= timeout.toNanos())
         .concatMap(record -> refuse(record, heads))
         .then();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeCoordinator.java
@@ -24,28 +24,28 @@
  */
 public final class ChangeCoordinator {
 
-  private static final int MEMBER_SET_TRIES = 5;
+  private static final int MAX_ACCEPT_ATTEMPTS = 5;
 
   private final SubmissionStore store;
   private final MembershipService membership;
-  private final MemberPreparation preparation;
+  private final ParticipantClient participants;
   private final ConfigurationRegistry registry;
   private final BoxMetrics metrics;
-  private final Duration doubtBound;
+  private final Duration installTimeout;
 
   ChangeCoordinator(
       SubmissionStore store,
       MembershipService membership,
-      MemberPreparation preparation,
+      ParticipantClient preparation,
       ConfigurationRegistry registry,
       BoxMetrics metrics,
       Duration doubtBound) {
     this.store = store;
     this.membership = membership;
-    this.preparation = preparation;
+    this.participants = preparation;
     this.registry = registry;
     this.metrics = metrics;
-    this.doubtBound = doubtBound;
+    this.installTimeout = doubtBound;
   }
 
   /** Submits a file; never fails, since every outcome has its state. */
@@ -55,9 +55,9 @@
         .flatMap(
             known ->
                 known
-                    .map(record -> Mono.just(repeated(submission, record)))
+                    .map(record -> Mono.just(resultOfRepeatedSubmission(submission, record)))
                     .orElseGet(() -> stage(submission)))
-        .onErrorResume(PlatformException.class, e -> Mono.just(notStaged(submission)))
+        .onErrorResume(PlatformException.class, e -> Mono.just(storeUnavailable(submission)))
         .doOnNext(
             result -> metrics.change(submission.pipeline(), result.record().state().wireName()));
   }
@@ -67,7 +67,8 @@
     return store.find(submissionId);
   }
 
-  private static SubmissionResult repeated(Submission submission, SubmissionRecord record) {
+  private static SubmissionResult resultOfRepeatedSubmission(
+      Submission submission, SubmissionRecord record) {
     boolean same =
         record.digest().equals(submission.digest())
             && record.baseVersion() == submission.baseVersion();
@@ -78,7 +79,7 @@
                 .refused(RefusalCause.LOST_RACE, "the submission id was used for another file"));
   }
 
-  private static SubmissionResult notStaged(Submission submission) {
+  private static SubmissionResult storeUnavailable(Submission submission) {
     return SubmissionResult.of(
         SubmissionRecord.staged(submission)
             .refused(RefusalCause.STORE_UNAVAILABLE, "nothing was staged"));
@@ -146,17 +147,17 @@
 
   private Mono<SubmissionResult> prepareAndSettle(
       Submission submission, SubmissionRecord record, long stagedRevision) {
-    return prepareAll(submission, record, stagedRevision, MEMBER_SET_TRIES)
+    return prepareMembers(submission, record, stagedRevision, MAX_ACCEPT_ATTEMPTS)
         .onErrorResume(PlatformException.class, e -> readBackVerdict(submission, record));
   }
 
-  private Mono<SubmissionResult> prepareAll(
+  private Mono<SubmissionResult> prepareMembers(
       Submission submission, SubmissionRecord record, long stagedRevision, int tries) {
     return membership
         .read()
         .flatMap(
             members ->
-                preparation
+                participants
                     .prepare(submission, members)
                     .flatMap(
                         missing ->
@@ -184,7 +185,7 @@
               }
               boolean membersChanged = result.conflicts().equals(List.of(MemberSet.EPOCH_KEY));
               return membersChanged && tries > 1
-                  ? prepareAll(submission, record, stagedRevision, tries - 1)
+                  ? prepareMembers(submission, record, stagedRevision, tries - 1)
                   : readBackVerdict(submission, record);
             });
   }
@@ -199,7 +200,7 @@
               if (!committed) {
                 return readBackVerdict(submission, record);
               }
-              preparation.withdraw(submission);
+              participants.withdraw(submission);
               return Mono.just(
                   SubmissionResult.of(record.refused(RefusalCause.MEMBER_NOT_PREPARED, detail)));
             });
@@ -216,7 +217,7 @@
                 case ACCEPTED ->
                     membership.read().flatMap(members -> install(submission, current, members));
                 case REFUSED -> {
-                  preparation.withdraw(submission);
+                  participants.withdraw(submission);
                   yield Mono.just(SubmissionResult.of(current));
                 }
                 default -> Mono.just(unknown(record, "the verdict was not written in time"));
@@ -238,8 +239,8 @@
         accepted.version(),
         accepted.id(),
         accepted.operator());
-    return preparation
-        .install(accepted, members, doubtBound)
+    return participants
+        .install(accepted, members, installTimeout)
         .map(boxes -> new SubmissionResult(accepted, boxes, List.of()));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeHeads.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeHeads.java
@@ -40,7 +40,7 @@
   }
 
   /** Returns the prefixes to read for the heads of one pipeline. */
-  static List<String> prefixesOf(String pipeline) {
+  static List<String> rowPrefixes(String pipeline) {
     return List.of(PipelineHead.rowKey(pipeline), StagedHead.rowKey(pipeline));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeParticipant.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeParticipant.java
@@ -54,12 +54,12 @@
         .fold(
             faults -> new ChangeMessages.Prepared(false, "finds the file faulty: " + faults),
             file ->
-                hold(
+                prepareVersion(
                     new PipelineVersion(
                         prepare.version(), prepare.submissionId(), prepare.text(), file)));
   }
 
-  private ChangeMessages.Prepared hold(PipelineVersion version) {
+  private ChangeMessages.Prepared prepareVersion(PipelineVersion version) {
     boolean prepared = registry.prepare(version);
     Logger.debug("prepare: submission={} prepared={}", version.submissionId(), prepared);
     return new ChangeMessages.Prepared(
@@ -70,7 +70,7 @@
     Mono<Void> held =
         registry.installPrepared(install.pipeline(), install.submissionId())
             ? Mono.empty()
-            : fetcher.bringInForceFrom(from, install.pipeline(), install.version());
+            : fetcher.installFromPeer(from, install.pipeline(), install.version());
     return held.then(
         Mono.fromSupplier(
             () -> new ChangeMessages.Installed(registry.versionInForce(install.pipeline()))));
--- a/gradeledge-core/src/main/java/org/gradeledge/change/ChangeService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ChangeService.java
@@ -19,17 +19,17 @@
  *
  * @param coordinator for submissions made at this box
  * @param fetcher for versions that this box lacks
- * @param learner for verdicts read from the table
- * @param abandoned for submissions whose submitter died
+ * @param verdictApplier for verdicts read from the table
+ * @param abandonedSubmissionCleaner for submissions whose submitter died
  * @since 0.1
  */
 public record ChangeService(
     ChangeCoordinator coordinator,
     VersionFetcher fetcher,
-    VerdictLearner learner,
-    AbandonedChanges abandoned) {
+    VerdictApplier verdictApplier,
+    AbandonedSubmissionCleaner abandonedSubmissionCleaner) {
 
-  private static final int ABANDONED_AFTER_PREPARE_BOUNDS = 6;
+  private static final int ABANDONMENT_TIMEOUT_FACTOR = 6;
 
   /** Starts a service. */
   public static Builder builder() {
@@ -108,8 +108,8 @@
       ChangeParticipant participant = new ChangeParticipant(versions, self, reader, fetcher);
       participant.register(network);
       SubmissionStore store = new SubmissionStore(tableService, objectStore, Clock.systemUTC());
-      MemberPreparation preparation =
-          new MemberPreparation(network, self, participant, versions, bounds.prepareBound());
+      ParticipantClient preparation =
+          new ParticipantClient(network, self, participant, versions, bounds.prepareBound());
       return new ChangeService(
           new ChangeCoordinator(
               store,
@@ -119,9 +119,9 @@
               counters,
               bounds.doubtBound()),
           fetcher,
-          new VerdictLearner(versions, fetcher),
-          new AbandonedChanges(
-              store, bounds.prepareBound().multipliedBy(ABANDONED_AFTER_PREPARE_BOUNDS), clock));
+          new VerdictApplier(versions, fetcher),
+          new AbandonedSubmissionCleaner(
+              store, bounds.prepareBound().multipliedBy(ABANDONMENT_TIMEOUT_FACTOR), clock));
     }
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/MemberPreparation.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/ParticipantClient.java
@@ -14,34 +14,34 @@
 import reactor.util.retry.Retry;
 
 /** Speaks with all members on behalf of a submitter, itself included. Thread-safe. */
-final class MemberPreparation {
+final class ParticipantClient {
 
-  private static final Duration ASK_AGAIN = Duration.ofMillis(100);
-  private static final int AT_A_TIME = 64;
+  private static final Duration RETRY_INTERVAL = Duration.ofMillis(100);
+  private static final int MAX_CONCURRENT_CALLS = 64;
 
   private final PeerNetwork peers;
-  private final Membership self;
+  private final Membership membership;
   private final ChangeParticipant participant;
   private final ConfigurationRegistry registry;
-  private final Duration prepareBound;
+  private final Duration prepareTimeout;
 
-  MemberPreparation(
+  ParticipantClient(
       PeerNetwork peers,
       Membership self,
       ChangeParticipant participant,
       ConfigurationRegistry registry,
       Duration prepareBound) {
     this.peers = peers;
-    this.self = self;
+    this.membership = self;
     this.participant = participant;
     this.registry = registry;
-    this.prepareBound = prepareBound;
+    this.prepareTimeout = prepareBound;
   }
 
   /** Has all members prepare; returns what kept each of the others from it, by name. */
   Mono<List<String>> prepare(Submission submission, MemberSet members) {
     return Flux.fromIterable(members.members().values())
-        .flatMap(member -> prepareOne(submission, member), AT_A_TIME)
+        .flatMap(member -> prepareMember(submission, member), MAX_CONCURRENT_CALLS)
         .sort()
         .collectList();
   }
@@ -49,7 +49,7 @@
   /** Tells all connected members that a submission was refused; the rest learn it by reading. */
   void withdraw(Submission submission) {
     registry.withdraw(submission.pipeline(), submission.id());
-    peers.tellAll(
+    peers.sendToAll(
         ChangeMessages.WITHDRAW,
         new ChangeMessages.Withdraw(submission.pipeline(), submission.id()));
   }
@@ -61,25 +61,25 @@
    */
   Mono<List<String>> install(SubmissionRecord accepted, MemberSet members, Duration doubtBound) {
     return Flux.fromIterable(members.members().values())
-        .flatMap(member -> installOne(accepted, member, doubtBound), AT_A_TIME)
+        .flatMap(member -> installOnMember(accepted, member, doubtBound), MAX_CONCURRENT_CALLS)
         .sort()
         .collectList();
   }
 
-  private Mono<String> prepareOne(Submission submission, MemberRow member) {
+  private Mono<String> prepareMember(Submission submission, MemberRow member) {
     ChangeMessages.Prepare prepare =
         new ChangeMessages.Prepare(
             member.incarnation(), submission.baseVersion() + 1, submission.id(), submission.text());
     Mono<ChangeMessages.Prepared> answer =
-        member.boxId().equals(self.boxId())
+        member.boxId().equals(membership.boxId())
             ? Mono.fromSupplier(() -> participant.prepare(prepare))
-            : peers.ask(
+            : peers.request(
                 member.boxId(),
                 ChangeMessages.PREPARE,
                 prepare,
                 ChangeMessages.Prepared.class,
-                prepareBound);
-    return untilBound(answer, prepareBound)
+                prepareTimeout);
+    return retryUntilTimeout(answer, prepareTimeout)
         .flatMap(
             prepared ->
                 prepared.prepared()
@@ -88,29 +88,29 @@
         .onErrorResume(e -> Mono.just(member.boxId() + " did not prepare in time"));
   }
 
-  private Mono<String> installOne(
+  private Mono<String> installOnMember(
       SubmissionRecord accepted, MemberRow member, Duration doubtBound) {
-    if (member.boxId().equals(self.boxId())) {
+    if (member.boxId().equals(membership.boxId())) {
       return Mono.just(member.boxId());
     }
     Mono<ChangeMessages.Installed> answer =
-        peers.ask(
+        peers.request(
             member.boxId(),
             ChangeMessages.INSTALL,
             new ChangeMessages.Install(accepted.pipeline(), accepted.version(), accepted.id()),
             ChangeMessages.Installed.class,
             doubtBound);
-    return untilBound(answer, doubtBound)
+    return retryUntilTimeout(answer, doubtBound)
         .filter(installed -> installed.version() >= accepted.version())
         .map(installed -> member.boxId())
         .onErrorResume(e -> Mono.empty());
   }
 
   /** Asks again while the peer is not connected, until the bound has passed in all. */
-  private static <A> Mono<A> untilBound(Mono<A> answer, Duration bound) {
+  private static <A> Mono<A> retryUntilTimeout(Mono<A> answer, Duration bound) {
     return answer
         .retryWhen(
-            Retry.fixedDelay(Long.MAX_VALUE, ASK_AGAIN)
+            Retry.fixedDelay(Long.MAX_VALUE, RETRY_INTERVAL)
                 .filter(
                     e -> e instanceof PeerException && !(e.getCause() instanceof TimeoutException)))
         .timeout(bound);
--- a/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionRecord.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionRecord.java
@@ -53,15 +53,15 @@
   }
 
   SubmissionRecord accepted() {
-    return with(SubmissionState.ACCEPTED, RefusalCause.NONE, "");
+    return withState(SubmissionState.ACCEPTED, RefusalCause.NONE, "");
   }
 
   SubmissionRecord refused(RefusalCause why, String detailText) {
-    return with(SubmissionState.REFUSED, why, detailText);
+    return withState(SubmissionState.REFUSED, why, detailText);
   }
 
   SubmissionRecord unknown(String detailText) {
-    return with(SubmissionState.UNKNOWN, RefusalCause.NONE, detailText);
+    return withState(SubmissionState.UNKNOWN, RefusalCause.NONE, detailText);
   }
 
   AuditEntry auditEntry(long atMillis) {
@@ -70,7 +70,8 @@
         atMillis, operator, pipeline, id, baseVersion, version, digest, state.wireName(), reason);
   }
 
-  private SubmissionRecord with(SubmissionState newState, RefusalCause why, String detailText) {
+  private SubmissionRecord withState(
+      SubmissionState newState, RefusalCause why, String detailText) {
     return new SubmissionRecord(
         id, operator, pipeline, baseVersion, version, digest, newState, why, detailText);
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionStore.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/SubmissionStore.java
@@ -19,8 +19,8 @@
  */
 final class SubmissionStore {
 
-  private static final int READ_BACKS = 5;
-  private static final Duration READ_BACK_PAUSE = Duration.ofMillis(200);
+  private static final int READ_BACK_RETRIES = 5;
+  private static final Duration READ_BACK_INTERVAL = Duration.ofMillis(200);
 
   private final TableService table;
   private final ObjectStore objects;
@@ -46,12 +46,12 @@
 
   /** As {@link #find}, trying again for a while; fails where the table stays away. */
   Mono<Optional<SubmissionRecord>> readBack(String id) {
-    return find(id).retryWhen(Retry.fixedDelay(READ_BACKS, READ_BACK_PAUSE));
+    return find(id).retryWhen(Retry.fixedDelay(READ_BACK_RETRIES, READ_BACK_INTERVAL));
   }
 
   /** Returns the heads of one pipeline. */
   Mono<ChangeHeads> heads(String pipeline) {
-    return table.read(ChangeHeads.prefixesOf(pipeline)).map(ChangeHeads::of);
+    return table.read(ChangeHeads.rowPrefixes(pipeline)).map(ChangeHeads::of);
   }
 
   Mono<Void> storeText(Submission submission) {
@@ -80,7 +80,7 @@
     PipelineHead head =
         new PipelineHead(record.pipeline(), record.version(), record.id(), record.digest());
     return table.commit(
-        settle(record, stagedRevision)
+        settlementTransaction(record, stagedRevision)
             .require(MemberSet.EPOCH_KEY, prepared.revision())
             .put(PipelineHead.rowKey(record.pipeline()), RowValues.encode(head))
             .build());
@@ -89,22 +89,25 @@
   /** Refuses a staged submission unless it was settled meanwhile. */
   Mono<CommitResult> refuseStaged(
       SubmissionRecord staged, long stagedRevision, RefusalCause cause, String detail) {
-    return table.commit(settle(staged.refused(cause, detail), stagedRevision).build());
+    return table.commit(
+        settlementTransaction(staged.refused(cause, detail), stagedRevision).build());
   }
 
   /** Records the refusal of a submission that was never staged. */
   Mono<CommitResult> refuseUnstaged(SubmissionRecord refused) {
     return table.commit(
-        withAudit(TableTransaction.builder().requireAbsent(refused.rowKey()), refused).build());
+        withAuditEntry(TableTransaction.builder().requireAbsent(refused.rowKey()), refused)
+            .build());
   }
 
-  private TableTransaction.Builder settle(SubmissionRecord settled, long stagedRevision) {
+  private TableTransaction.Builder settlementTransaction(
+      SubmissionRecord settled, long stagedRevision) {
     String stagedKey = StagedHead.rowKey(settled.pipeline());
-    return withAudit(
+    return withAuditEntry(
         TableTransaction.builder().require(stagedKey, stagedRevision).delete(stagedKey), settled);
   }
 
-  private TableTransaction.Builder withAudit(
+  private TableTransaction.Builder withAuditEntry(
       TableTransaction.Builder transaction, SubmissionRecord record) {
     var entry = record.auditEntry(wallClock.millis());
     return transaction
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VerdictLearner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VerdictApplier.java
@@ -12,19 +12,19 @@
  *
  * @since 0.1
  */
-public final class VerdictLearner {
+public final class VerdictApplier {
 
   private final ConfigurationRegistry registry;
   private final VersionFetcher fetcher;
 
   /** Creates a learner. */
-  public VerdictLearner(ConfigurationRegistry registry, VersionFetcher fetcher) {
+  public VerdictApplier(ConfigurationRegistry registry, VersionFetcher fetcher) {
     this.registry = registry;
     this.fetcher = fetcher;
   }
 
-  /** Returns what is prepared now, to be given to {@link #learn} with a read that starts later. */
-  public List<PipelineVersion> openBeforeRead() {
+  /** Returns what is prepared now, to be given to {@link #apply} with a read that starts later. */
+  public List<PipelineVersion> preparedBeforeRead() {
     return registry.allPrepared();
   }
 
@@ -34,9 +34,9 @@
    * @param open what was prepared before the read started: only of these does "neither staged nor
    *     accepted" mean refused, as others may have been staged after the read
    */
-  public Mono<Void> learn(ChangeHeads heads, List<PipelineVersion> open) {
+  public Mono<Void> apply(ChangeHeads heads, List<PipelineVersion> open) {
     return Flux.fromIterable(heads.accepted().values())
-        .concatMap(fetcher::bringInForce)
+        .concatMap(fetcher::installAccepted)
         .then(Mono.fromRunnable(() -> open.forEach(version -> dropIfRefused(heads, version))));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/VersionFetcher.java
@@ -21,7 +21,7 @@
  */
 public final class VersionFetcher {
 
-  private static final Duration PEER_LIMIT = Duration.ofSeconds(1);
+  private static final Duration PEER_TIMEOUT = Duration.ofSeconds(1);
 
   private final ConfigurationRegistry registry;
   private final PeerNetwork peers;
@@ -42,31 +42,33 @@
 
   /** Answers peers that fetch from this box. */
   public void register() {
-    peers.register(ChangeMessages.FETCH, (from, fetch) -> Mono.just(answer(fetch)));
+    peers.register(ChangeMessages.FETCH, (from, fetch) -> Mono.just(answerFetch(fetch)));
   }
 
   /** Completes once this box has the head's version, or a later one, in force. */
-  public Mono<Void> bringInForce(PipelineHead head) {
+  public Mono<Void> installAccepted(PipelineHead head) {
     return Mono.defer(
         () -> {
           boolean held =
               registry.versionInForce(head.pipeline()) >= head.version()
                   || registry.installPrepared(head.pipeline(), head.submissionId());
-          return held ? Mono.empty() : fromAnyPeer(head).onErrorResume(e -> fromStore(head));
+          return held
+              ? Mono.empty()
+              : installFromAnyPeer(head).onErrorResume(e -> installFromObjectStore(head));
         });
   }
 
   /** Completes once this box has a version at least as high as a peer's. */
-  public Mono<Void> bringInForceFrom(String peerId, String pipeline, long version) {
+  public Mono<Void> installFromPeer(String peerId, String pipeline, long version) {
     return Mono.defer(
         () ->
             registry.versionInForce(pipeline) >= version
                 ? Mono.empty()
-                : fetch(peerId, pipeline, version));
+                : fetchFromPeer(peerId, pipeline, version));
   }
 
   /** Returns the text of a version as the object store keeps it. */
-  public Mono<byte[]> text(PipelineHead head) {
+  public Mono<byte[]> fetchText(PipelineHead head) {
     return objects
         .get(head.objectKey())
         .flatMap(
@@ -80,11 +82,11 @@
                                     head.objectKey() + " must be stored", null))));
   }
 
-  private Mono<Void> fromAnyPeer(PipelineHead head) {
-    return Flux.fromIterable(peers.connected())
+  private Mono<Void> installFromAnyPeer(PipelineHead head) {
+    return Flux.fromIterable(peers.connectedPeers())
         .concatMapDelayError(
             peer ->
-                fetch(peer.boxId(), head.pipeline(), head.version())
+                fetchFromPeer(peer.boxId(), head.pipeline(), head.version())
                     .thenReturn(Boolean.TRUE)
                     .onErrorResume(PeerException.class, e -> Mono.empty()))
         .next()
@@ -92,14 +94,14 @@
         .then();
   }
 
-  private Mono<Void> fetch(String peerId, String pipeline, long version) {
+  private Mono<Void> fetchFromPeer(String peerId, String pipeline, long version) {
     return peers
-        .ask(
+        .request(
             peerId,
             ChangeMessages.FETCH,
             new ChangeMessages.Fetch(pipeline),
             ChangeMessages.Fetched.class,
-            PEER_LIMIT)
+            PEER_TIMEOUT)
         .flatMap(
             fetched -> {
               if (fetched.version() < version || fetched.text().isEmpty()) {
@@ -110,8 +112,10 @@
             });
   }
 
-  private Mono<Void> fromStore(PipelineHead head) {
-    return text(head).doOnNext(text -> install(head.version(), head.submissionId(), text)).then();
+  private Mono<Void> installFromObjectStore(PipelineHead head) {
+    return fetchText(head)
+        .doOnNext(text -> install(head.version(), head.submissionId(), text))
+        .then();
   }
 
   private void install(long version, String submissionId, byte[] text) {
@@ -127,7 +131,7 @@
                         new PlatformException("an accepted file must be valid: " + faults, null))));
   }
 
-  private ChangeMessages.Fetched answer(ChangeMessages.Fetch fetch) {
+  private ChangeMessages.Fetched answerFetch(ChangeMessages.Fetch fetch) {
     Optional<PipelineVersion> held = registry.inForce(fetch.pipeline());
     return new ChangeMessages.Fetched(
         held.map(PipelineVersion::version).orElse(0L),
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimOutcome.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimOutcome.java
@@ -10,14 +10,14 @@
 public sealed interface ClaimOutcome {
 
   /** This request holds the key and may run. */
-  record Won(Claim claim) implements ClaimOutcome {}
+  record Acquired(Claim claim) implements ClaimOutcome {}
 
   /** An earlier request with the key and the same body completed; this is its answer. */
   record Answered(JsonNode result) implements ClaimOutcome {}
 
   /** An earlier request with the key may have run; its answer is not recorded. */
-  record Taken() implements ClaimOutcome {}
+  record InUse() implements ClaimOutcome {}
 
   /** The key was used with another body. */
-  record OtherBody() implements ClaimOutcome {}
+  record BodyMismatch() implements ClaimOutcome {}
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimService.java
@@ -29,8 +29,8 @@
  */
 public final class ClaimService {
 
-  private static final int READ_BACKS = 3;
-  private static final Duration READ_BACK_PAUSE = Duration.ofMillis(100);
+  private static final int READ_BACK_RETRIES = 3;
+  private static final Duration READ_BACK_INTERVAL = Duration.ofMillis(100);
 
   private final GroupCommit groupCommit;
   private final TableService table;
@@ -93,45 +93,46 @@
             .build();
     return groupCommit
         .commit(transaction)
-        .flatMap(result -> decide(key, record, result))
+        .flatMap(result -> outcomeOfCommit(key, record, result))
         .onErrorResume(PlatformException.class, e -> readBack(key, record))
         .onErrorMap(e -> !(e instanceof RefusalException), ClaimService::unavailable);
   }
 
-  private Mono<ClaimOutcome> decide(ClaimKey key, ClaimRecord record, CommitResult result) {
+  private Mono<ClaimOutcome> outcomeOfCommit(
+      ClaimKey key, ClaimRecord record, CommitResult result) {
     return result.committed()
-        ? Mono.just(new ClaimOutcome.Won(new Claim(key, record, result.revision())))
+        ? Mono.just(new ClaimOutcome.Acquired(new Claim(key, record, result.revision())))
         : readBack(key, record);
   }
 
   private Mono<ClaimOutcome> readBack(ClaimKey key, ClaimRecord record) {
     return table
         .read(List.of(key.rowKey()))
-        .retryWhen(Retry.fixedDelay(READ_BACKS, READ_BACK_PAUSE))
+        .retryWhen(Retry.fixedDelay(READ_BACK_RETRIES, READ_BACK_INTERVAL))
         .flatMap(
             rows ->
                 rows.isEmpty()
                     ? Mono.error(unavailable(new PlatformException("claim was not written", null)))
-                    : judge(key, record, rows.get(0)));
+                    : outcomeOfRow(key, record, rows.get(0)));
   }
 
-  private Mono<ClaimOutcome> judge(ClaimKey key, ClaimRecord own, TableRow row) {
+  private Mono<ClaimOutcome> outcomeOfRow(ClaimKey key, ClaimRecord own, TableRow row) {
     ClaimRecord found = decode(row.value());
     if (found.writer().equals(own.writer())) {
-      return Mono.just(new ClaimOutcome.Won(new Claim(key, own, row.revision())));
+      return Mono.just(new ClaimOutcome.Acquired(new Claim(key, own, row.revision())));
     }
     if (found.expiresAtMillis() < wallClock.millis()) {
       return write(key, own, row.revision());
     }
     if (!found.bodyDigest().equals(own.bodyDigest())) {
-      return Mono.just(new ClaimOutcome.OtherBody());
+      return Mono.just(new ClaimOutcome.BodyMismatch());
     }
     return Mono.just(
         found
             .result()
             .filter(JsonNode::isObject)
             .<ClaimOutcome>map(ClaimOutcome.Answered::new)
-            .orElseGet(ClaimOutcome.Taken::new));
+            .orElseGet(ClaimOutcome.InUse::new));
   }
 
   private static RefusalException unavailable(Throwable cause) {
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/GroupCommit.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/GroupCommit.java
@@ -27,11 +27,11 @@
  */
 public final class GroupCommit {
 
-  private static final int MOST_IN_ONE = 64;
-  private static final int MOST_WAITING = 10_000;
-  private static final Duration LONGEST_WAIT = Duration.ofMillis(2);
+  private static final int MAX_BATCH_SIZE = 64;
+  private static final int MAX_QUEUED = 10_000;
+  private static final Duration MAX_BATCH_DELAY = Duration.ofMillis(2);
 
-  private record Item(TableTransaction transaction, Sinks.One<CommitResult> result) {
+  private record PendingTransaction(TableTransaction transaction, Sinks.One<CommitResult> result) {
 
     Set<String> keys() {
       Set<String> keys = new HashSet<>();
@@ -42,17 +42,17 @@
   }
 
   private final TableService table;
-  private final Sinks.Many<Item> incoming =
-      Sinks.many().unicast().onBackpressureBuffer(new LinkedBlockingQueue<>(MOST_WAITING));
-  private final Disposable task;
+  private final Sinks.Many<PendingTransaction> incoming =
+      Sinks.many().unicast().onBackpressureBuffer(new LinkedBlockingQueue<>(MAX_QUEUED));
+  private final Disposable subscription;
 
   /** Starts the task that commits; {@link #close} ends it. */
   public GroupCommit(TableService table) {
     this.table = table;
-    this.task =
+    this.subscription =
         incoming
             .asFlux()
-            .bufferTimeout(MOST_IN_ONE, LONGEST_WAIT, true)
+            .bufferTimeout(MAX_BATCH_SIZE, MAX_BATCH_DELAY, true)
             .concatMap(this::commitAll)
             .subscribe();
   }
@@ -64,7 +64,7 @@
   public Mono<CommitResult> commit(TableTransaction transaction) {
     return Mono.defer(
         () -> {
-          Item item = new Item(transaction, Sinks.one());
+          PendingTransaction item = new PendingTransaction(transaction, Sinks.one());
           synchronized (incoming) {
             incoming.emitNext(item, Sinks.EmitFailureHandler.FAIL_FAST);
           }
@@ -74,18 +74,19 @@
 
   /** Ends the task. */
   public void close() {
-    task.dispose();
+    subscription.dispose();
   }
 
-  private Mono<Void> commitAll(List<Item> items) {
-    return Flux.fromIterable(inDisjointGroups(items)).concatMap(this::commitGroup).then();
+  private Mono<Void> commitAll(List<PendingTransaction> items) {
+    return Flux.fromIterable(groupByDisjointKeys(items)).concatMap(this::commitGroup).then();
   }
 
   /** Two transactions on one key must not be merged, or both would find it as it was before. */
-  private static List<List<Item>> inDisjointGroups(List<Item> items) {
-    List<List<Item>> groups = new ArrayList<>();
+  private static List<List<PendingTransaction>> groupByDisjointKeys(
+      List<PendingTransaction> items) {
+    List<List<PendingTransaction>> groups = new ArrayList<>();
     List<Set<String>> keysOfGroups = new ArrayList<>();
-    for (Item item : items) {
+    for (PendingTransaction item : items) {
       Set<String> keys = item.keys();
       int group = 0;
       while (group < groups.size() && keys.stream().anyMatch(keysOfGroups.get(group)::contains)) {
@@ -101,13 +102,13 @@
     return groups;
   }
 
-  private Mono<Void> commitGroup(List<Item> group) {
+  private Mono<Void> commitGroup(List<PendingTransaction> group) {
     if (group.isEmpty()) {
       return Mono.empty();
     }
     return table
         .commit(merge(group))
-        .flatMap(result -> settle(group, result))
+        .flatMap(result -> completeGroup(group, result))
         .onErrorResume(
             e -> {
               group.forEach(item -> item.result().tryEmitError(e));
@@ -115,14 +116,14 @@
             });
   }
 
-  private Mono<Void> settle(List<Item> group, CommitResult result) {
+  private Mono<Void> completeGroup(List<PendingTransaction> group, CommitResult result) {
     if (result.committed()) {
       group.forEach(item -> item.result().tryEmitValue(result));
       return Mono.empty();
     }
     Set<String> conflicts = Set.copyOf(result.conflicts());
-    List<Item> others = new ArrayList<>();
-    for (Item item : group) {
+    List<PendingTransaction> others = new ArrayList<>();
+    for (PendingTransaction item : group) {
       if (item.keys().stream().anyMatch(conflicts::contains)) {
         item.result().tryEmitValue(result);
       } else {
@@ -134,7 +135,7 @@
         : Mono.error(new IllegalStateException("a conflict must name a key of the transaction"));
   }
 
-  private static TableTransaction merge(List<Item> group) {
+  private static TableTransaction merge(List<PendingTransaction> group) {
     List<TableCondition> conditions =
         group.stream().flatMap(item -> item.transaction().conditions().stream()).toList();
     List<TableWrite> writes =
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/Deployment.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/Deployment.java
@@ -11,7 +11,7 @@
  * @param services the services by name
  * @param accounts the client accounts by key
  * @param keysRequired whether routes that are not open need a key
- * @param bounds what callers may send
+ * @param callerLimits what callers may send
  * @param document the bytes that it was read from, for peers that could not read them
  * @since 0.2
  */
@@ -21,7 +21,7 @@
     Map<String, ServiceDefinition> services,
     Map<String, ClientAccount> accounts,
     boolean keysRequired,
-    CallerBounds bounds,
+    CallerLimits callerLimits,
     byte[] document) {
 
   /** Copies the maps. */
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/DeploymentRegistry.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/DeploymentRegistry.java
@@ -21,7 +21,7 @@
   private final EventLog events;
   private final List<Consumer<Deployment>> listeners = new ArrayList<>();
   private @Nullable Deployment current;
-  private long unreadableBytes = -1;
+  private long lastUnreadableLength = -1;
 
   /** Creates a registry that holds nothing yet. */
   public DeploymentRegistry(DeploymentReader reader, EventLog events) {
@@ -50,10 +50,13 @@
    * @param source who it was learned from, for the log
    */
   public void offer(byte[] document, String source) {
-    reader.read(document).peek(next -> take(next, source)).peekLeft(why -> refuse(document, why));
+    reader
+        .read(document)
+        .peek(next -> apply(next, source))
+        .peekLeft(why -> rejectUnreadable(document, why));
   }
 
-  private void take(Deployment next, String source) {
+  private void apply(Deployment next, String source) {
     if (next.revision() <= revision()) {
       return;
     }
@@ -68,11 +71,11 @@
     listeners.forEach(listener -> listener.accept(next));
   }
 
-  private void refuse(byte[] document, String why) {
-    if (unreadableBytes == document.length) {
+  private void rejectUnreadable(byte[] document, String why) {
+    if (lastUnreadableLength == document.length) {
       return;
     }
-    unreadableBytes = document.length;
+    lastUnreadableLength = document.length;
     events.change("configuration-unreadable").with("why", why).with("kept", revision()).write();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/RouteDefinition.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/RouteDefinition.java
@@ -10,12 +10,12 @@
  * @param pathPrefix begins and ends with a slash
  * @param repeatability what may be repeated
  * @param timeoutMillis longest time that a request may be held
- * @param targetMillis time within which an answer earns its full worth
+ * @param targetLatencyMillis time within which an answer earns its full worth
  * @param priority 0 is the most urgent
  * @param maxAttempts most upstreams that may run one request
  * @param services where requests go, by weight
  * @param stages work that comes first, in the order of its numbers
- * @param open whether requests need no key
+ * @param publicAccess whether requests need no key
  * @since 0.2
  */
 public record RouteDefinition(
@@ -24,12 +24,12 @@
     String pathPrefix,
     Repeatability repeatability,
     long timeoutMillis,
-    long targetMillis,
+    long targetLatencyMillis,
     int priority,
     int maxAttempts,
     List<WeightedService> services,
     List<StageWork> stages,
-    boolean open) {
+    boolean publicAccess) {
 
   /** Copies the lists and checks the bounds. */
   public RouteDefinition {
@@ -45,7 +45,7 @@
    *
    * @param draw any number that is spread evenly over requests
    */
-  public String serviceFor(int draw) {
+  public String selectService(int draw) {
     int total = services.stream().mapToInt(WeightedService::weight).sum();
     if (total == 0) {
       return services.get(0).service();
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/RouteTable.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/RouteTable.java
@@ -19,14 +19,15 @@
   private static final Comparator<RouteDefinition> LONGEST_FIRST =
       Comparator.comparingInt((RouteDefinition route) -> route.pathPrefix().length()).reversed();
 
-  private final Map<String, List<RouteDefinition>> byHost;
+  private final Map<String, List<RouteDefinition>> routesByHost;
 
   /** Creates the table. */
   public RouteTable(Collection<RouteDefinition> routes) {
     Map<String, List<RouteDefinition>> grouped =
         routes.stream().collect(Collectors.groupingBy(RouteDefinition::host));
-    this.byHost = new HashMap<>();
-    grouped.forEach((host, list) -> byHost.put(host, list.stream().sorted(LONGEST_FIRST).toList()));
+    this.routesByHost = new HashMap<>();
+    grouped.forEach(
+        (host, list) -> routesByHost.put(host, list.stream().sorted(LONGEST_FIRST).toList()));
   }
 
   /**
@@ -36,7 +37,7 @@
    * @param path without the query
    */
   public Optional<RouteDefinition> find(String host, String path) {
-    return byHost.getOrDefault(withoutPort(host).toLowerCase(Locale.ROOT), List.of()).stream()
+    return routesByHost.getOrDefault(withoutPort(host).toLowerCase(Locale.ROOT), List.of()).stream()
         .filter(route -> path.startsWith(route.pathPrefix()))
         .findFirst();
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/StageWork.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/StageWork.java
@@ -6,14 +6,14 @@
  * Work that must be finished before a request of a route can run.
  *
  * @param service name of the service that does it
- * @param after numbers of the stages whose results it needs
+ * @param dependencies numbers of the stages whose results it needs
  * @param resultBytes about how large one result is
  * @since 0.2
  */
-public record StageWork(String service, List<Integer> after, long resultBytes) {
+public record StageWork(String service, List<Integer> dependencies, long resultBytes) {
 
   /** Copies the list. */
   public StageWork {
-    after = List.copyOf(after);
+    dependencies = List.copyOf(dependencies);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/deployment/Urgency.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/deployment/Urgency.java
@@ -17,7 +17,7 @@
   public static final int LEVELS = 10;
 
   /** Priorities of routes that are told apart among the requests of one account. */
-  private static final int ROUTE_LEVELS = 3;
+  private static final int ROUTE_PRIORITY_LEVELS = 3;
 
   /**
    * Returns the urgency of a request.
@@ -27,7 +27,7 @@
    */
   public static Urgency of(Optional<Integer> account, int route) {
     int first = Math.max(0, account.orElse(route));
-    int second = Math.min(Math.max(0, route), ROUTE_LEVELS - 1);
-    return new Urgency((int) Math.min(LEVELS - 1L, (long) first * ROUTE_LEVELS + second));
+    int second = Math.min(Math.max(0, route), ROUTE_PRIORITY_LEVELS - 1);
+    return new Urgency((int) Math.min(LEVELS - 1L, (long) first * ROUTE_PRIORITY_LEVELS + second));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/DepartedUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/DepartedUpstreams.java
@@ -18,7 +18,7 @@
   private final Set<String> incarnationIds = new LinkedHashSet<>();
 
   void add(UpstreamRecord upstream) {
-    latestStartById.merge(upstream.id(), upstream.startedAtMillis(), Math::max);
+    latestStartById.merge(upstream.id(), upstream.born(), Math::max);
     if (latestStartById.size() > MAX_ENTRIES) {
       latestStartById.remove(latestStartById.keySet().iterator().next());
     }
@@ -36,7 +36,7 @@
   /** Returns whether this incarnation or a later one has departed. */
   boolean contains(UpstreamRecord upstream) {
     Long latestStart = latestStartById.get(upstream.id());
-    return latestStart != null && upstream.startedAtMillis() <= latestStart
+    return latestStart != null && upstream.born() <= latestStart
         || incarnationIds.contains(upstream.incarnationId());
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/KnownUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/KnownUpstreams.java
@@ -57,7 +57,7 @@
   /** Returns the entry of this incarnation, if it is the latest one of its upstream. */
   Optional<UpstreamRecord> find(UpstreamRecord upstream) {
     return Optional.ofNullable(byId.get(upstream.id()))
-        .filter(known -> known.startedAtMillis() == upstream.startedAtMillis());
+        .filter(known -> known.born() == upstream.born());
   }
 
   /** Removes all upstreams whose ids are not given. */
@@ -76,10 +76,10 @@
   void put(UpstreamRecord upstream) {
     reappeared.recordWritten(upstream.id());
     UpstreamRecord before = byId.get(upstream.id());
-    if (before != null && upstream.startedAtMillis() < before.startedAtMillis()) {
+    if (before != null && upstream.born() < before.born()) {
       return;
     }
-    if (before != null && before.startedAtMillis() < upstream.startedAtMillis()) {
+    if (before != null && before.born() < upstream.born()) {
       replace(before);
       before = null;
     }
@@ -90,10 +90,7 @@
   }
 
   private boolean hasLeft(UpstreamRecord upstream, @Nullable UpstreamRecord before) {
-    boolean leavingBefore =
-        before != null
-            && before.leaving()
-            && before.startedAtMillis() == upstream.startedAtMillis();
+    boolean leavingBefore = before != null && before.leaving() && before.born() == upstream.born();
     return leavingBefore || departed.contains(upstream);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamChangeLog.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamChangeLog.java
@@ -16,7 +16,7 @@
     events
         .change(event)
         .with("upstream", upstream.id())
-        .with("born", upstream.startedAtMillis())
+        .with("born", upstream.born())
         .with("service", upstream.service())
         .with("address", upstream.address())
         .with("revision", revision)
@@ -28,7 +28,7 @@
     events
         .change("upstream-announces-leaving")
         .with("upstream", upstream.id())
-        .with("born", upstream.startedAtMillis())
+        .with("born", upstream.born())
         .with("service", upstream.service())
         .with("from", reporter)
         .write();
--- a/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRecord.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/discovery/UpstreamRecord.java
@@ -7,8 +7,8 @@
  * restarted upstream may reuse the id; it has none of the state of the previous incarnation.
  *
  * @param id name in the list
- * @param startedAtMillis start time in milliseconds since the epoch; 0 if not reported, in which
- *     case no other incarnation has this id
+ * @param born start time in milliseconds since the epoch; 0 if not reported, in which case no other
+ *     incarnation has this id
  * @param service name of the service
  * @param host IP address
  * @param port TCP port
@@ -20,7 +20,7 @@
  */
 public record UpstreamRecord(
     String id,
-    long startedAtMillis,
+    long born,
     String service,
     String host,
     int port,
@@ -40,15 +40,12 @@
    * load, memory, connections and requests. It is the id alone if no start time is reported.
    */
   public String incarnationId() {
-    return startedAtMillis == 0
-        ? id
-        : id + "*" + Long.toString(startedAtMillis, Character.MAX_RADIX);
+    return born == 0 ? id : id + "*" + Long.toString(born, Character.MAX_RADIX);
   }
 
   /** Returns a copy that is marked as leaving. */
   UpstreamRecord asLeaving() {
-    return new UpstreamRecord(
-        id, startedAtMillis, service, host, port, zone, slots, true, coldMillis);
+    return new UpstreamRecord(id, born, service, host, port, zone, slots, true, coldMillis);
   }
 
   /** Returns the address as {@code host:port}. */
@@ -61,7 +58,7 @@
   public boolean equals(@Nullable Object other) {
     return other instanceof UpstreamRecord that
         && id.equals(that.id)
-        && startedAtMillis == that.startedAtMillis
+        && born == that.born
         && service.equals(that.service)
         && host.equals(that.host)
         && port == that.port
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableFollower.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableFollower.java
@@ -22,13 +22,13 @@
  */
 public final class TableFollower {
 
-  private static final long FIRST_BACKOFF_MILLIS = 120;
+  private static final long INITIAL_BACKOFF_MILLIS = 120;
 
   /**
    * A call that has waited for so long while the table is away will not be answered: 10 times the
    * usual.
    */
-  private static final long HUNG_MILLIS = 50;
+  private static final long STALE_CALL_MILLIS = 50;
 
   private final String name;
   private final RevisionedTable table;
@@ -36,18 +36,18 @@
   private final EventLoop loop;
   private final MonotonicClock clock;
   private final EventLog events;
-  private final FollowPace pace;
+  private final PollingIntervals intervals;
   private long revision = -1;
-  private long era = -1;
-  private long backoffMillis = FIRST_BACKOFF_MILLIS;
+  private long epoch = -1;
+  private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
   /** The next call, null while one is under way. */
-  private @Nullable ScheduledFuture<?> pausing;
+  private @Nullable ScheduledFuture<?> scheduledCall;
 
-  private long calls;
-  private long calledNanos;
-  private boolean lost;
-  private boolean away;
+  private long lastCallNumber;
+  private long callStartNanos;
+  private boolean lastCallFailed;
+  private boolean reportedUnavailable;
 
   /** Creates a follower that does nothing yet. */
   public TableFollower(
@@ -57,30 +57,30 @@
       EventLoop loop,
       MonotonicClock clock,
       EventLog events,
-      FollowPace pace) {
+      PollingIntervals pace) {
     this.name = name;
     this.table = table;
     this.listener = listener;
     this.loop = loop;
     this.clock = clock;
     this.events = events;
-    this.pace = pace;
+    this.intervals = pace;
   }
 
   /** Starts to follow. */
   public void start() {
-    next();
+    startCall();
   }
 
   /**
    * Ends a pause between calls, as there is something new to be read. Whoever tells of it has read
    * the table, so that one that was away may be back: a call that still waits for it is given up.
    */
-  public void lookNow() {
-    if (pausing != null && pausing.cancel(false)) {
-      next();
-    } else if (pausing == null && lost && callMillis() > HUNG_MILLIS) {
-      next();
+  public void pollNow() {
+    if (scheduledCall != null && scheduledCall.cancel(false)) {
+      startCall();
+    } else if (scheduledCall == null && lastCallFailed && elapsedCallMillis() > STALE_CALL_MILLIS) {
+      startCall();
     }
   }
 
@@ -88,26 +88,26 @@
    * Calls anew after the machine was suspended: what is known is older than it seems, the timer of
    * a call that is under way counts none of that time, and its connection may be gone.
    */
-  public void wokeUp() {
-    if (calls == 0) {
+  public void onMachineResume() {
+    if (lastCallNumber == 0) {
       return;
     }
-    if (pausing != null) {
-      pausing.cancel(false);
+    if (scheduledCall != null) {
+      scheduledCall.cancel(false);
     }
-    next();
+    startCall();
   }
 
-  private long callMillis() {
-    return (clock.nanos() - calledNanos) / 1_000_000;
+  private long elapsedCallMillis() {
+    return (clock.nanos() - callStartNanos) / 1_000_000;
   }
 
-  private void next() {
-    pausing = null;
+  private void startCall() {
+    scheduledCall = null;
     if (revision < 0) {
-      subscribe(table.read(), this::take);
+      subscribe(table.read(), this::apply);
     } else {
-      subscribe(table.changes(revision, waitNow()), this::take);
+      subscribe(table.changes(revision, currentMaxWait()), this::apply);
     }
   }
 
@@ -115,40 +115,41 @@
    * A call that is sent while the table is away may never be answered, also once it is back; so
    * none waits for a change until one has been answered.
    */
-  private Duration waitNow() {
-    return lost ? Duration.ZERO : pace.longestWait().get();
+  private Duration currentMaxWait() {
+    return lastCallFailed ? Duration.ZERO : intervals.maxWait().get();
   }
 
   private <T> void subscribe(Mono<T> call, Consumer<T> taker) {
-    long number = ++calls;
-    calledNanos = clock.nanos();
+    long number = ++lastCallNumber;
+    callStartNanos = clock.nanos();
     call.switchIfEmpty(Mono.error(() -> new IOException("no answer")))
         .subscribe(
-            answer -> loop.execute(() -> ended(number, () -> answered(answer, taker))),
-            failure -> loop.execute(() -> ended(number, () -> failed(failure))));
+            answer -> loop.execute(() -> runIfLatest(number, () -> onAnswer(answer, taker))),
+            failure -> loop.execute(() -> runIfLatest(number, () -> onFailure(failure))));
   }
 
   /** Only the newest call counts; what comes of one that was given up is passed over. */
-  private void ended(long number, Runnable outcome) {
-    if (number == calls) {
+  private void runIfLatest(long number, Runnable outcome) {
+    if (number == lastCallNumber) {
       outcome.run();
     }
   }
 
-  private <T> void answered(T answer, Consumer<T> taker) {
-    backoffMillis = FIRST_BACKOFF_MILLIS;
-    if (lost) {
-      regained();
+  private <T> void onAnswer(T answer, Consumer<T> taker) {
+    backoffMillis = INITIAL_BACKOFF_MILLIS;
+    if (lastCallFailed) {
+      onRecovery();
     }
-    takeSafely(answer, taker);
-    pausing = loop.schedule(this::next, pace.pause().get().toMillis(), TimeUnit.MILLISECONDS);
+    applySafely(answer, taker);
+    scheduledCall =
+        loop.schedule(this::startCall, intervals.delay().get().toMillis(), TimeUnit.MILLISECONDS);
   }
 
   /** Whatever goes wrong with an answer, the table is followed on: from a whole reading. */
-  private <T> void takeSafely(T answer, Consumer<T> taker) {
+  private <T> void applySafely(T answer, Consumer<T> taker) {
     try {
       taker.accept(answer);
-      listener.onAnswered();
+      listener.onAnswerApplied();
     } catch (RuntimeException failure) {
       events
           .problem("table-answer-not-taken")
@@ -160,24 +161,24 @@
     }
   }
 
-  private void regained() {
-    lost = false;
+  private void onRecovery() {
+    lastCallFailed = false;
     events.change("dependency-regained").with("dependency", name).write();
-    if (away) {
-      away = false;
-      listener.onBack();
+    if (reportedUnavailable) {
+      reportedUnavailable = false;
+      listener.onAvailableAgain();
     }
   }
 
-  private void take(TableContent content) {
+  private void apply(TableContent content) {
     revision = content.revision();
-    noteEra(TableRevision.era(revision));
+    updateEpoch(TableRevision.epoch(revision));
     listener.onContent(content);
   }
 
-  private void noteEra(long eraNow) {
-    long before = era;
-    era = eraNow;
+  private void updateEpoch(long eraNow) {
+    long before = epoch;
+    epoch = eraNow;
     if (before >= 0 && before < eraNow) {
       events
           .change("table-older-copy")
@@ -186,23 +187,23 @@
           .with("before", before)
           .with("version", TableRevision.version(revision))
           .write();
-      listener.onOlderCopy();
+      listener.onBackupRestored();
     }
   }
 
-  private void take(TableChanges changes) {
+  private void apply(TableChanges changes) {
     revision = Math.max(revision, changes.revision());
     if (!changes.put().isEmpty() || !changes.removed().isEmpty()) {
       listener.onChanges(changes);
     }
   }
 
-  private void failed(Throwable failure) {
+  private void onFailure(Throwable failure) {
     if (failure instanceof HistoryLostException) {
       revision = -1;
     }
-    if (!lost) {
-      lost = true;
+    if (!lastCallFailed) {
+      lastCallFailed = true;
       events
           .change("dependency-lost")
           .with("dependency", name)
@@ -210,12 +211,13 @@
           .with("revision", revision)
           .write();
     }
-    if (!away && !(failure instanceof HistoryLostException)) {
-      away = true;
-      listener.onAway();
+    if (!reportedUnavailable && !(failure instanceof HistoryLostException)) {
+      reportedUnavailable = true;
+      listener.onUnavailable();
     }
     long jitter = ThreadLocalRandom.current().nextLong(backoffMillis);
-    pausing = loop.schedule(this::next, backoffMillis / 2 + jitter, TimeUnit.MILLISECONDS);
-    backoffMillis = Math.min(pace.longestBackoff().get().toMillis(), backoffMillis * 2);
+    scheduledCall =
+        loop.schedule(this::startCall, backoffMillis / 2 + jitter, TimeUnit.MILLISECONDS);
+    backoffMillis = Math.min(intervals.maxBackoff().get().toMillis(), backoffMillis * 2);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableListener.java
@@ -14,18 +14,18 @@
   void onChanges(TableChanges changes);
 
   /** An answer was taken in, whether or not it held anything new. */
-  default void onAnswered() {}
+  default void onAnswerApplied() {}
 
   /** A call has got no answer: the table may have been away for as long as the call took. */
-  default void onAway() {}
+  default void onUnavailable() {}
 
   /**
    * The table came back as an older copy of itself, which follows as a whole reading: what was
    * written since the copy was taken is missing from it, and what was removed since is there again,
    * until whoever wrote it does so anew.
    */
-  default void onOlderCopy() {}
+  default void onBackupRestored() {}
 
   /** The table answers again after it was away; what it says now follows. */
-  default void onBack() {}
+  default void onAvailableAgain() {}
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/follow/TableRevision.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/follow/TableRevision.java
@@ -14,26 +14,26 @@
   /** A version for each microsecond of twelve days; eras then go up to eight million. */
   private static final int VERSION_BITS = 40;
 
-  private static final long MOST_VERSIONS = 1L << VERSION_BITS;
-  private static final long MOST_ERAS = 1L << Long.SIZE - 1 - VERSION_BITS;
+  private static final long VERSION_LIMIT = 1L << VERSION_BITS;
+  private static final long EPOCH_LIMIT = 1L << Long.SIZE - 1 - VERSION_BITS;
 
   private TableRevision() {}
 
   /** Returns the revision of a version in an era. */
   public static long of(long era, long version) {
-    if (era < 0 || era >= MOST_ERAS || version < 0 || version >= MOST_VERSIONS) {
+    if (era < 0 || era >= EPOCH_LIMIT || version < 0 || version >= VERSION_LIMIT) {
       throw new IllegalArgumentException("no place in a history: " + era + "/" + version);
     }
     return era << VERSION_BITS | version;
   }
 
   /** Returns the era of a revision, -1 where none is known. */
-  public static long era(long revision) {
+  public static long epoch(long revision) {
     return revision >> VERSION_BITS;
   }
 
   /** Returns the version of a revision. */
   public static long version(long revision) {
-    return revision & MOST_VERSIONS - 1;
+    return revision & VERSION_LIMIT - 1;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/MemberSet.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/MemberSet.java
@@ -61,7 +61,7 @@
   }
 
   /** Returns whether a box is a member under this very incarnation and is not being removed. */
-  public boolean confirms(String boxId, long incarnation) {
+  public boolean isActiveMember(String boxId, long incarnation) {
     return member(boxId)
         .filter(member -> member.incarnation() == incarnation && !member.removing())
         .isPresent();
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/Membership.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/Membership.java
@@ -16,22 +16,22 @@
  */
 public final class Membership {
 
-  private static final MemberSet NOBODY = new MemberSet(0, 0, Map.of(), Map.of());
+  private static final MemberSet NO_MEMBERS = new MemberSet(0, 0, Map.of(), Map.of());
 
   private final String boxId;
-  private final Duration bound;
+  private final Duration membershipBound;
   private final MonotonicClock clock;
   private final BoxMetrics metrics;
-  private volatile MemberSet members = NOBODY;
+  private volatile MemberSet members = NO_MEMBERS;
   private volatile long incarnation;
-  private long confirmedNanos;
+  private long confirmedAtNanos;
   private boolean everConfirmed;
   private boolean lapseLogged;
 
   /** Creates the membership of a box that has not joined yet. */
   public Membership(String boxId, Duration bound, MonotonicClock clock, BoxMetrics metrics) {
     this.boxId = boxId;
-    this.bound = bound;
+    this.membershipBound = bound;
     this.clock = clock;
     this.metrics = metrics;
   }
@@ -59,7 +59,7 @@
   }
 
   /** Notes that this box has joined, or joined again. */
-  public synchronized void joined(long newIncarnation) {
+  public synchronized void recordJoin(long newIncarnation) {
     incarnation = newIncarnation;
     everConfirmed = false;
     metrics.stateChange("joined");
@@ -70,12 +70,12 @@
    * Notes that somebody confirmed this incarnation's membership, as of a moment on the monotonic
    * clock. To be called only once this box has every version that the confirmer names.
    */
-  public synchronized void confirmed(long ofIncarnation, long asOfNanos) {
+  public synchronized void recordConfirmation(long ofIncarnation, long asOfNanos) {
     if (ofIncarnation != incarnation) {
       return;
     }
-    if (!everConfirmed || asOfNanos - confirmedNanos > 0) {
-      confirmedNanos = asOfNanos;
+    if (!everConfirmed || asOfNanos - confirmedAtNanos > 0) {
+      confirmedAtNanos = asOfNanos;
       everConfirmed = true;
     }
     if (lapseLogged && isConfirmed()) {
@@ -87,7 +87,8 @@
 
   /** Returns whether this box may serve now. */
   public synchronized boolean isConfirmed() {
-    boolean confirmed = everConfirmed && clock.nanos() - confirmedNanos < bound.toNanos();
+    boolean confirmed =
+        everConfirmed && clock.nanos() - confirmedAtNanos < membershipBound.toNanos();
     if (!confirmed && everConfirmed && !lapseLogged) {
       lapseLogged = true;
       metrics.stateChange("membership-lapsed");
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/MembershipService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/MembershipService.java
@@ -21,8 +21,8 @@
  */
 public final class MembershipService {
 
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
-  private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
+  private static final Duration MIN_BACKOFF = Duration.ofMillis(100);
+  private static final Duration MAX_BACKOFF = Duration.ofSeconds(1);
 
   private final TableService table;
 
@@ -44,10 +44,10 @@
    */
   public Mono<MemberRow> join(MemberRow self) {
     return Mono.defer(this::read)
-        .flatMap(members -> enter(self, members))
+        .flatMap(members -> tryJoin(self, members))
         .retryWhen(
-            Retry.backoff(Long.MAX_VALUE, FIRST_PAUSE)
-                .maxBackoff(LONGEST_PAUSE)
+            Retry.backoff(Long.MAX_VALUE, MIN_BACKOFF)
+                .maxBackoff(MAX_BACKOFF)
                 .doBeforeRetry(
                     signal -> Logger.debug("join is tried again: {}", signal.failure())));
   }
@@ -57,16 +57,16 @@
     return Mono.defer(this::read)
         .flatMap(
             members ->
-                isSame(members, self) ? delete(members, self.boxId()) : Mono.just(Boolean.TRUE))
+                isMember(members, self) ? delete(members, self.boxId()) : Mono.just(Boolean.TRUE))
         .flatMap(done -> done ? Mono.empty() : Mono.error(conflict("leaving")))
-        .retryWhen(Retry.backoff(5, FIRST_PAUSE).maxBackoff(LONGEST_PAUSE))
+        .retryWhen(Retry.backoff(5, MIN_BACKOFF).maxBackoff(MAX_BACKOFF))
         .then();
   }
 
   /** Marks a member as being removed, so that nobody confirms it from the next read on. */
   public Mono<Boolean> markRemoving(MemberSet members, MemberRow member) {
     String key = MemberRow.rowKey(member.boxId());
-    return change(members, member.boxId())
+    return startChange(members, member.boxId())
         .flatMap(
             transaction ->
                 table.commit(
@@ -76,13 +76,13 @@
 
   /** Removes a member; returns whether the set was still as read. */
   public Mono<Boolean> delete(MemberSet members, String boxId) {
-    return change(members, boxId)
+    return startChange(members, boxId)
         .flatMap(transaction -> table.commit(transaction.delete(MemberRow.rowKey(boxId)).build()))
         .map(CommitResult::committed);
   }
 
   /** Starts a change of one member, conditional on the set as read. */
-  private static Mono<TableTransaction.Builder> change(MemberSet members, String boxId) {
+  private static Mono<TableTransaction.Builder> startChange(MemberSet members, String boxId) {
     return Mono.fromSupplier(
         () ->
             TableTransaction.builder()
@@ -91,7 +91,7 @@
                 .put(MemberSet.EPOCH_KEY, members.nextEpochValue()));
   }
 
-  private Mono<MemberRow> enter(MemberRow self, MemberSet members) {
+  private Mono<MemberRow> tryJoin(MemberRow self, MemberSet members) {
     String key = MemberRow.rowKey(self.boxId());
     MemberRow joining =
         new MemberRow(
@@ -101,14 +101,14 @@
             self.host(),
             self.port(),
             false);
-    return change(members, self.boxId())
+    return startChange(members, self.boxId())
         .flatMap(
             transaction -> table.commit(transaction.put(key, RowValues.encode(joining)).build()))
         .flatMap(
             result -> result.committed() ? Mono.just(joining) : Mono.error(conflict("joining")));
   }
 
-  private static boolean isSame(MemberSet members, MemberRow self) {
+  private static boolean isMember(MemberSet members, MemberRow self) {
     return members
         .member(self.boxId())
         .filter(member -> member.incarnation() == self.incarnation())
--- a/gradeledge-core/src/main/java/org/gradeledge/membership/GoneMembers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/membership/UnlistedMemberTracker.java
@@ -19,73 +19,75 @@
  *
  * @since 0.1
  */
-public final class GoneMembers {
+public final class UnlistedMemberTracker {
 
-  private final Duration bound;
-  private final Duration poll;
-  private final LongSupplier nanos;
+  private final Duration membershipBound;
+  private final Duration pollInterval;
+  private final LongSupplier nanoTime;
   private final Map<String, Long> unlistedSince = new HashMap<>();
   private final Map<String, Long> markedSince = new HashMap<>();
 
   /** Creates a watch with the membership bound and the period of reads. */
-  public GoneMembers(Duration bound, Duration poll, MonotonicClock clock) {
-    this.bound = bound;
-    this.poll = poll;
-    this.nanos = clock::nanos;
+  public UnlistedMemberTracker(Duration bound, Duration poll, MonotonicClock clock) {
+    this.membershipBound = bound;
+    this.pollInterval = poll;
+    this.nanoTime = clock::nanos;
   }
 
   /** Takes in one read of the members and the list. */
   public void observe(MemberSet members, Set<String> listed) {
-    long now = nanos.getAsLong();
-    unlistedSince.keySet().removeIf(key -> isGone(members, key) || listed.contains(name(key)));
-    markedSince.keySet().removeIf(key -> isGone(members, key));
+    long now = nanoTime.getAsLong();
+    unlistedSince.keySet().removeIf(key -> isAbsent(members, key) || listed.contains(boxIdOf(key)));
+    markedSince.keySet().removeIf(key -> isAbsent(members, key));
     members
         .members()
         .values()
         .forEach(
             member -> {
               if (!listed.contains(member.boxId())) {
-                unlistedSince.putIfAbsent(key(member), now);
+                unlistedSince.putIfAbsent(keyOf(member), now);
               }
               if (member.removing()) {
-                markedSince.putIfAbsent(key(member), now);
+                markedSince.putIfAbsent(keyOf(member), now);
               }
             });
   }
 
   /** Forgets what was seen of the list, since it could not be read. */
-  public void listUnknown() {
+  public void listUnavailable() {
     unlistedSince.clear();
   }
 
   /** Returns the members to mark now. */
-  public List<MemberRow> toMark(MemberSet members) {
+  public List<MemberRow> membersToMark(MemberSet members) {
     return members.members().values().stream()
-        .filter(member -> !member.removing() && isOlder(unlistedSince.get(key(member)), bound))
+        .filter(
+            member ->
+                !member.removing() && hasElapsed(unlistedSince.get(keyOf(member)), membershipBound))
         .toList();
   }
 
   /** Returns the marked members to remove now. */
-  public List<MemberRow> toRemove(MemberSet members) {
-    Duration wait = bound.plus(poll.multipliedBy(2));
+  public List<MemberRow> membersToRemove(MemberSet members) {
+    Duration wait = membershipBound.plus(pollInterval.multipliedBy(2));
     return members.members().values().stream()
-        .filter(member -> member.removing() && isOlder(markedSince.get(key(member)), wait))
+        .filter(member -> member.removing() && hasElapsed(markedSince.get(keyOf(member)), wait))
         .toList();
   }
 
-  private boolean isOlder(@Nullable Long since, Duration age) {
-    return since != null && nanos.getAsLong() - since >= age.toNanos();
+  private boolean hasElapsed(@Nullable Long since, Duration age) {
+    return since != null && nanoTime.getAsLong() - since >= age.toNanos();
   }
 
-  private static boolean isGone(MemberSet members, String key) {
-    return members.members().values().stream().noneMatch(member -> key(member).equals(key));
+  private static boolean isAbsent(MemberSet members, String key) {
+    return members.members().values().stream().noneMatch(member -> keyOf(member).equals(key));
   }
 
-  private static String key(MemberRow member) {
+  private static String keyOf(MemberRow member) {
     return member.boxId() + "#" + member.incarnation();
   }
 
-  private static String name(String key) {
+  private static String boxIdOf(String key) {
     return key.substring(0, key.indexOf('#'));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DigestFormat.java
@@ -29,16 +29,17 @@
 
   @Override
   public Digest read(MessageReader reader) throws IOException {
-    return new Digest(reader.onlyField(ENTRIES, this::readEntries));
+    return new Digest(reader.readField(ENTRIES, this::readEntries));
   }
 
   private List<DigestEntry> readEntries(MessageReader reader) throws IOException {
-    return reader.list(this::readEntry);
+    return reader.readList(this::readEntry);
   }
 
   private DigestEntry readEntry(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(ENTRY_FIELDS);
-    DigestEntry entry = new DigestEntry(reader.text(), reader.number(), heartbeats.read(reader));
+    DigestEntry entry =
+        new DigestEntry(reader.readString(), reader.readLong(), heartbeats.read(reader));
     reader.skip(extraFields);
     return entry;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentAnswerFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentAnswerFormat.java
@@ -21,7 +21,7 @@
 
   @Override
   public DocumentAnswer read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
-    return new DocumentAnswer(fields.bytes(DOCUMENT));
+    MessageFields fields = reader.readFields();
+    return new DocumentAnswer(fields.getBytes(DOCUMENT));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentRequestFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/DocumentRequestFormat.java
@@ -20,7 +20,7 @@
 
   @Override
   public DocumentRequest read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
-    return new DocumentRequest(fields.number(KNOWN));
+    MessageFields fields = reader.readFields();
+    return new DocumentRequest(fields.getLong(KNOWN));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatFormat.java
@@ -74,42 +74,42 @@
     int extraFields = reader.beginRecord(REQUIRED_FIELDS);
     Heartbeat heartbeat =
         new Heartbeat(
-            reader.text(),
-            reader.flag(),
-            reader.flag(),
-            reader.integer(),
-            reader.number(),
-            reader.number(),
-            reader.list(MessageReader::text),
-            reader.map(HeartbeatFormat::readShare),
-            reader.map(HeartbeatFormat::readNumbers),
-            reader.map(HeartbeatFormat::readNumbers),
+            reader.readString(),
+            reader.readBoolean(),
+            reader.readBoolean(),
+            reader.readInt(),
+            reader.readLong(),
+            reader.readLong(),
+            reader.readList(MessageReader::readString),
+            reader.readMap(HeartbeatFormat::readShare),
+            reader.readMap(HeartbeatFormat::readNumbers),
+            reader.readMap(HeartbeatFormat::readNumbers),
             extraFields > 0 ? readEvacuations(reader) : ZoneEvacuations.UNKNOWN,
-            extraFields > 1 ? reader.number() : NO_QUARANTINE_DIGEST,
-            extraFields > 2 ? reader.integer() : ListTrust.UNKNOWN.code(),
-            extraFields > 3 ? reader.number() : NO_SEQUENCE_NUMBER,
-            extraFields > 4 ? reader.list(LimitReportFormat::read) : List.of(),
-            extraFields > 5 ? reader.list(MessageReader::text) : List.of());
+            extraFields > 1 ? reader.readLong() : NO_QUARANTINE_DIGEST,
+            extraFields > 2 ? reader.readInt() : ListTrust.UNKNOWN.code(),
+            extraFields > 3 ? reader.readLong() : NO_SEQUENCE_NUMBER,
+            extraFields > 4 ? reader.readList(LimitReportFormat::read) : List.of(),
+            extraFields > 5 ? reader.readList(MessageReader::readString) : List.of());
     reader.skip(Math.max(0, extraFields - 6));
     return heartbeat;
   }
 
   private static ZoneEvacuations readEvacuations(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(EVACUATION_FIELDS);
-    long revision = reader.number();
-    List<String> zones = reader.list(MessageReader::text);
+    long revision = reader.readLong();
+    List<String> zones = reader.readList(MessageReader::readString);
     reader.skip(extraFields);
     return new ZoneEvacuations(revision, new HashSet<>(zones));
   }
 
   private static BoxLoad readShare(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(SHARE_FIELDS);
-    BoxLoad share = new BoxLoad(reader.integer(), reader.number());
+    BoxLoad share = new BoxLoad(reader.readInt(), reader.readLong());
     reader.skip(extraFields);
     return share;
   }
 
   private static List<Long> readNumbers(MessageReader reader) throws IOException {
-    return reader.list(MessageReader::number);
+    return reader.readList(MessageReader::readLong);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/HeartbeatSender.java
@@ -82,13 +82,14 @@
   void sendHeartbeat() {
     Heartbeat heartbeat = ownHeartbeat.get();
     if (!routes.usesRelays()) {
-      network.tellAll(MeshMessages.HEARTBEAT, heartbeat.withBoxes(List.copyOf(peers.alive())));
+      network.sendToAll(MeshMessages.HEARTBEAT, heartbeat.withBoxes(List.copyOf(peers.alive())));
       return;
     }
     if (!receivesDigests() && isDigestDue()) {
-      network.tellAll(MeshMessages.HEARTBEAT, heartbeat);
+      network.sendToAll(MeshMessages.HEARTBEAT, heartbeat);
     }
-    network.tellEach(routes.localRelays(), MeshMessages.HEARTBEAT, heartbeat.withRelayRequested());
+    network.sendToEach(
+        routes.localRelays(), MeshMessages.HEARTBEAT, heartbeat.withRelayRequested());
   }
 
   /**
@@ -174,10 +175,10 @@
     Set<String> clients = relayedBoxes();
     Heartbeat heartbeat = ownHeartbeat.get();
     if (!clients.isEmpty()) {
-      network.tellEach(clients, MeshMessages.DIGEST, relay.digestOfAll(heartbeat));
+      network.sendToEach(clients, MeshMessages.DIGEST, relay.digestOfAll(heartbeat));
     }
     if (sendsToOtherZones(clients)) {
-      network.tellEach(
+      network.sendToEach(
           routes.remoteRelays(), MeshMessages.DIGEST, relay.digestOf(clients, heartbeat));
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/LimitReportFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/LimitReportFormat.java
@@ -25,7 +25,7 @@
 
   static LimitReport read(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(FIELDS);
-    LimitReport report = new LimitReport(reader.text(), reader.number(), reader.number());
+    LimitReport report = new LimitReport(reader.readString(), reader.readLong(), reader.readLong());
     reader.skip(extraFields);
     return report;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshConnections.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/MeshConnections.java
@@ -57,7 +57,7 @@
     lastUsedNanos.values().removeIf(lastUsed -> lastUsed - since < 0);
     Set<String> required = new HashSet<>(lastUsedNanos.keySet());
     required.addAll(boxes);
-    network.keepUp(required.stream().map(MeshConnections::address).toList());
+    network.maintainConnections(required.stream().map(MeshConnections::address).toList());
   }
 
   /** Returns whether the last attempt to connect to a box failed. */
@@ -82,7 +82,7 @@
                     failure, "Failed to connect to box {} for message {}", box, type.name()),
             () -> {
               markUsed(box);
-              network.tell(box, type, message);
+              network.send(box, type, message);
             });
   }
 
@@ -94,7 +94,7 @@
     markUsed(box);
     return network
         .connect(address(box), limit.compareTo(CONNECT_TIMEOUT) < 0 ? limit : CONNECT_TIMEOUT)
-        .then(network.ask(box, type, message, answerType, limit));
+        .then(network.request(box, type, message, answerType, limit));
   }
 
   private static PeerAddress address(String box) {
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageCancelFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageCancelFormat.java
@@ -22,7 +22,7 @@
 
   @Override
   public StageCancel read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
-    return new StageCancel(fields.text(SERVICE), fields.text(REQUEST_ID));
+    MessageFields fields = reader.readFields();
+    return new StageCancel(fields.getString(SERVICE), fields.getString(REQUEST_ID));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageFreeFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageFreeFormat.java
@@ -21,7 +21,7 @@
 
   @Override
   public StageFree read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
-    return new StageFree(fields.texts(HANDLES));
+    MessageFields fields = reader.readFields();
+    return new StageFree(fields.getStrings(HANDLES));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupFormat.java
@@ -53,21 +53,21 @@
 
   @Override
   public StageGroup read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
+    MessageFields fields = reader.readFields();
     return new StageGroup(
-        fields.text(SERVICE),
-        fields.text(REQUEST_ID),
-        fields.integer(STAGE),
-        fields.integer(PIECES),
-        fields.optionalText(KEY),
-        fields.texts(INPUTS),
-        fields.number(INPUT_BYTES),
-        fields.number(RESULT_BYTES),
-        fields.text(ZONE),
-        fields.integer(PRIORITY),
-        fields.number(DUE_MILLIS),
-        fields.number(REMAINING_MILLIS),
-        fields.number(WAIT_MILLIS),
-        fields.flag(FIRST));
+        fields.getString(SERVICE),
+        fields.getString(REQUEST_ID),
+        fields.getInt(STAGE),
+        fields.getInt(PIECES),
+        fields.getOptionalString(KEY),
+        fields.getStrings(INPUTS),
+        fields.getLong(INPUT_BYTES),
+        fields.getLong(RESULT_BYTES),
+        fields.getString(ZONE),
+        fields.getInt(PRIORITY),
+        fields.getLong(DUE_MILLIS),
+        fields.getLong(REMAINING_MILLIS),
+        fields.getLong(WAIT_MILLIS),
+        fields.getBoolean(FIRST));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupResultFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageGroupResultFormat.java
@@ -34,13 +34,13 @@
 
   @Override
   public StageGroupResult read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
+    MessageFields fields = reader.readFields();
     return new StageGroupResult(
-        StageOutcome.valueOf(fields.text(OUTCOME)),
-        fields.texts(HANDLES),
-        fields.text(BOX),
-        fields.number(COME_BACK_MILLIS),
-        fields.number(WAITED_MILLIS),
-        fields.textsIfGiven(ENDED_UPSTREAMS));
+        StageOutcome.valueOf(fields.getString(OUTCOME)),
+        fields.getStrings(HANDLES),
+        fields.getString(BOX),
+        fields.getLong(COME_BACK_MILLIS),
+        fields.getLong(WAITED_MILLIS),
+        fields.getStringsOrEmpty(ENDED_UPSTREAMS));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/StageInputsTakenFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/StageInputsTakenFormat.java
@@ -22,7 +22,7 @@
 
   @Override
   public StageInputsTaken read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
-    return new StageInputsTaken(fields.text(REQUEST_ID), fields.integer(STAGE));
+    MessageFields fields = reader.readFields();
+    return new StageInputsTaken(fields.getString(REQUEST_ID), fields.getInt(STAGE));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectExchange.java
@@ -73,10 +73,10 @@
       return;
     }
     if (!routes.usesRelays()) {
-      network.tellAll(MeshMessages.SUSPECTS, records);
+      network.sendToAll(MeshMessages.SUSPECTS, records);
       return;
     }
-    network.tellEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, records);
+    network.sendToEach(sender.forwardingRecipients(), MeshMessages.SUSPECTS, records);
   }
 
   /** Compares the digest in the heartbeat of a connected box with the own one. */
@@ -88,7 +88,7 @@
     Long last = lastSentNanos.get(box);
     if (last == null || now - last > RESEND_INTERVAL_NANOS) {
       lastSentNanos.put(box, now);
-      network.tell(box, MeshMessages.SUSPECTS, quarantine.snapshot());
+      network.send(box, MeshMessages.SUSPECTS, quarantine.snapshot());
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/SuspectsFormat.java
@@ -46,7 +46,8 @@
     int extraFields = reader.beginRecord(FIELDS);
     SuspectUpdate records =
         new SuspectUpdate(
-            reader.list(SuspectsFormat::readReport), reader.list(MessageReader::text));
+            reader.readList(SuspectsFormat::readReport),
+            reader.readList(MessageReader::readString));
     reader.skip(extraFields);
     return records;
   }
@@ -55,16 +56,16 @@
     int extraFields = reader.beginRecord(REPORT_FIELDS);
     SuspectReport report =
         new SuspectReport(
-            new RequestFingerprint(reader.number(), reader.number(), reader.integer()),
-            reader.list(SuspectsFormat::readEnd),
-            reader.flag());
+            new RequestFingerprint(reader.readLong(), reader.readLong(), reader.readInt()),
+            reader.readList(SuspectsFormat::readEnd),
+            reader.readBoolean());
     reader.skip(extraFields);
     return report;
   }
 
   private static CrashReport readEnd(MessageReader reader) throws IOException {
     int extraFields = reader.beginRecord(END_FIELDS);
-    CrashReport end = new CrashReport(reader.text(), reader.number(), reader.flag());
+    CrashReport end = new CrashReport(reader.readString(), reader.readLong(), reader.readBoolean());
     reader.skip(extraFields);
     return end;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/mesh/UpstreamListFormat.java
@@ -39,7 +39,7 @@
   private static void write(MessagePacker packer, UpstreamRecord upstream) throws IOException {
     packer.packMapHeader(RECORD_FIELDS);
     packer.packString(ID).packString(upstream.id());
-    packer.packString(BORN).packLong(upstream.startedAtMillis());
+    packer.packString(BORN).packLong(upstream.born());
     packer.packString(SERVICE).packString(upstream.service());
     packer.packString(HOST).packString(upstream.host());
     packer.packString(PORT).packInt(upstream.port());
@@ -51,23 +51,23 @@
 
   @Override
   public UpstreamList read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
+    MessageFields fields = reader.readFields();
     return new UpstreamList(
-        fields.number(REVISION),
-        fields.records(UPSTREAMS).stream().map(UpstreamListFormat::read).toList(),
-        fields.flagIfGiven(DOUBTED));
+        fields.getLong(REVISION),
+        fields.getRecords(UPSTREAMS).stream().map(UpstreamListFormat::read).toList(),
+        fields.getBooleanOrFalse(DOUBTED));
   }
 
   private static UpstreamRecord read(MessageFields fields) {
     return new UpstreamRecord(
-        fields.text(ID),
-        fields.numberOr(BORN, 0),
-        fields.text(SERVICE),
-        fields.text(HOST),
-        fields.integer(PORT),
-        fields.text(ZONE),
-        fields.integer(SLOTS),
-        fields.flag(LEAVING),
-        fields.numberOr(COLD_MILLIS, 0));
+        fields.getString(ID),
+        fields.getLongOrDefault(BORN, 0),
+        fields.getString(SERVICE),
+        fields.getString(HOST),
+        fields.getInt(PORT),
+        fields.getString(ZONE),
+        fields.getInt(SLOTS),
+        fields.getBoolean(LEAVING),
+        fields.getLongOrDefault(COLD_MILLIS, 0));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/BoxServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/BoxServices.java
@@ -117,7 +117,7 @@
             metrics,
             clock);
     this.audit = new AuditTrail(table);
-    registry.addListener(version -> takeOver(version, limits));
+    registry.addListener(version -> applyVersion(version, limits));
     metrics.gauge("gradeledge_requests_in_progress", "Requests in progress", gate::inProgress);
   }
 
@@ -128,7 +128,7 @@
     upstreamConnections.dispose();
   }
 
-  private void takeOver(PipelineVersion version, RequestLimits limits) {
+  private void applyVersion(PipelineVersion version, RequestLimits limits) {
     limits.update(version.file());
     upstreams.retain(
         registry.all().stream().flatMap(each -> each.file().upstreams().stream()).toList());
--- a/gradeledge-core/src/main/java/org/gradeledge/node/PlannedStop.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/GracefulShutdown.java
@@ -13,34 +13,34 @@
  * closing connections that rest, then waiting for what is under way, and refusing in time what no
  * upstream has got. Confined to the event loop.
  */
-final class PlannedStop {
+final class GracefulShutdown {
 
-  private static final double IDLE_CLOSES_AT = 0.3;
-  private static final double REFUSES_AT = 0.4;
+  private static final double CLOSE_IDLE_AT = 0.3;
+  private static final double REFUSE_AT = 0.4;
 
   /** What waits for stage work by then would not be answered before the end. */
-  private static final double REFUSES_UNSENT_AT = 0.8;
+  private static final double REFUSE_UNSENT_AT = 0.8;
 
-  private static final double ENDS_AT = 0.95;
-  private static final long LOOK_MILLIS = 50;
+  private static final double END_AT = 0.95;
+  private static final long POLL_INTERVAL_MILLIS = 50;
 
-  private final Duration grace;
+  private final Duration gracePeriod;
   private final RelayServer server;
   private final RelayHandler handler;
   private final BoxMesh mesh;
   private final EventLoop loop;
   private final EventLog events;
-  private boolean begun;
+  private boolean started;
   private boolean refusing;
 
-  PlannedStop(
+  GracefulShutdown(
       Duration grace,
       RelayServer server,
       RelayHandler handler,
       BoxMesh mesh,
       EventLoop loop,
       EventLog events) {
-    this.grace = grace;
+    this.gracePeriod = grace;
     this.server = server;
     this.handler = handler;
     this.mesh = mesh;
@@ -48,40 +48,41 @@
     this.events = events;
   }
 
-  boolean hasBegun() {
-    return begun;
+  boolean isStarted() {
+    return started;
   }
 
   void start(Runnable whenDone) {
-    if (begun) {
+    if (started) {
       return;
     }
-    begun = true;
+    started = true;
     events.change("stop").with("active", server.activeRequests()).write();
     mesh.leave();
     server.closeAfterAnswers();
-    after(IDLE_CLOSES_AT, server::closeIdle);
-    after(REFUSES_AT, this::refuse);
-    after(REFUSES_UNSENT_AT, handler::refuseUnsent);
-    after(ENDS_AT, whenDone);
-    waitForActive(whenDone);
+    scheduleAt(CLOSE_IDLE_AT, server::closeIdle);
+    scheduleAt(REFUSE_AT, this::refuseRequests);
+    scheduleAt(REFUSE_UNSENT_AT, handler::refuseUnsent);
+    scheduleAt(END_AT, whenDone);
+    awaitActiveRequests(whenDone);
   }
 
-  private void refuse() {
+  private void refuseRequests() {
     refusing = true;
     handler.stop();
     server.closeIdle();
   }
 
-  private void waitForActive(Runnable whenDone) {
+  private void awaitActiveRequests(Runnable whenDone) {
     if (refusing && server.activeRequests() == 0) {
       whenDone.run();
     } else {
-      loop.schedule(() -> waitForActive(whenDone), LOOK_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(
+          () -> awaitActiveRequests(whenDone), POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void after(double part, Runnable step) {
-    loop.schedule(step, (long) (grace.toMillis() * part), TimeUnit.MILLISECONDS);
+  private void scheduleAt(double part, Runnable step) {
+    loop.schedule(step, (long) (gracePeriod.toMillis() * part), TimeUnit.MILLISECONDS);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/GradeledgeBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/GradeledgeBox.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 import org.gradeledge.caller.CallerRoutes;
 import org.gradeledge.http.HttpListener;
-import org.gradeledge.membership.GoneMembers;
 import org.gradeledge.membership.MemberRow;
 import org.gradeledge.membership.MembershipService;
+import org.gradeledge.membership.UnlistedMemberTracker;
 import org.gradeledge.operator.OperatorRoutes;
 import org.gradeledge.platform.BoxState;
 import org.gradeledge.platform.ListedBox;
@@ -37,7 +37,7 @@
  */
 public final class GradeledgeBox {
 
-  private static final Duration DRAIN_LOOK = Duration.ofMillis(50);
+  private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(50);
 
   private final BoxSettings settings;
   private final BoxServices services;
@@ -45,7 +45,7 @@
   private final AtomicBoolean stopping = new AtomicBoolean();
   private final Sinks.Empty<Void> stopped = Sinks.empty();
   private volatile @Nullable BoxPorts ports;
-  private volatile @Nullable MemberRow self;
+  private volatile @Nullable MemberRow memberRow;
 
   /** Creates a box; it opens nothing yet. */
   public GradeledgeBox(BoxSettings settings) {
@@ -125,7 +125,7 @@
             services.changes,
             services.peers,
             services.upstreams,
-            new GoneMembers(
+            new UnlistedMemberTracker(
                 services.timing.membershipBound(), services.timing.poll(), services.clock),
             services.clock,
             this::join);
@@ -165,8 +165,8 @@
         .join(row)
         .doOnNext(
             joined -> {
-              self = joined;
-              services.membership.joined(joined.incarnation());
+              memberRow = joined;
+              services.membership.recordJoin(joined.incarnation());
               services.peers.setIncarnation(joined.incarnation());
             })
         .then(Mono.defer(() -> announce(BoxState.LIVE).onErrorComplete()));
@@ -179,7 +179,7 @@
   }
 
   private Mono<Void> leave() {
-    MemberRow row = self;
+    MemberRow row = memberRow;
     Mono<Void> left = row == null ? Mono.empty() : new MembershipService(services.table).leave(row);
     return left.onErrorComplete()
         .then(services.boxList.withdraw(settings.boxId()).onErrorComplete());
@@ -188,7 +188,7 @@
   private Mono<Void> finishWork() {
     return Mono.defer(
             () -> services.gate.inProgress() == 0 ? Mono.just(Boolean.TRUE) : Mono.<Boolean>empty())
-        .repeatWhenEmpty(looks -> looks.delayElements(DRAIN_LOOK))
+        .repeatWhenEmpty(looks -> looks.delayElements(DRAIN_POLL_INTERVAL))
         .timeout(services.timing.drainBound())
         .onErrorComplete()
         .then();
--- a/gradeledge-core/src/main/java/org/gradeledge/node/BoxPages.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/MonitoringEndpoints.java
@@ -10,7 +10,7 @@
 import reactor.netty.resources.LoopResources;
 
 /** What a box tells of itself over HTTP: whether it is ready, and its metrics. */
-final class BoxPages {
+final class MonitoringEndpoints {
 
   private static final int HTTP_OK = 200;
   private static final int HTTP_UNAVAILABLE = 503;
@@ -19,14 +19,14 @@
   private final RelayMetrics relayMetrics;
   private final BoxMetrics boxMetrics;
 
-  BoxPages(LoopResources loops, RelayMetrics relayMetrics, BoxMetrics boxMetrics) {
+  MonitoringEndpoints(LoopResources loops, RelayMetrics relayMetrics, BoxMetrics boxMetrics) {
     this.loops = loops;
     this.relayMetrics = relayMetrics;
     this.boxMetrics = boxMetrics;
   }
 
   /** Starts to tell whether the box is ready. */
-  Mono<?> listenReady(InetSocketAddress address, BooleanSupplier ready) {
+  Mono<?> bindReadiness(InetSocketAddress address, BooleanSupplier ready) {
     return HttpServer.create()
         .runOn(loops, false)
         .bindAddress(() -> address)
@@ -40,7 +40,7 @@
   }
 
   /** Starts to tell the metrics, if there is an address for them. */
-  Mono<?> listenMetrics(Optional<InetSocketAddress> address) {
+  Mono<?> bindMetrics(Optional<InetSocketAddress> address) {
     return address.isEmpty()
         ? Mono.empty()
         : HttpServer.create()
--- a/gradeledge-core/src/main/java/org/gradeledge/node/OperatorOrderReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/OperatorRowReader.java
@@ -7,7 +7,7 @@
  *
  * @since 0.3
  */
-public interface OperatorOrderReader {
+public interface OperatorRowReader {
 
   /** Returns whether a row holds the configuration. */
   boolean isConfiguration(String key);
--- a/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/OperatorTableListener.java
@@ -24,56 +24,56 @@
   private static final String SOURCE = "platform";
 
   /** As long as upstreams are given to write their entries again after an outage. */
-  private static final Duration WRITTEN_AGAIN = Duration.ofSeconds(2);
+  private static final Duration REWRITE_TIME = Duration.ofSeconds(2);
 
-  private final OperatorOrderReader orders;
+  private final OperatorRowReader rowReader;
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final Runnable onEvacuations;
+  private final Runnable evacuationListener;
   private final EventLoop loop;
-  private final Set<String> evacuated = new HashSet<>();
+  private final Set<String> tableZones = new HashSet<>();
 
   /** What holds against the table while its orders are yet to be written again; else the same. */
-  private final Set<String> inForce = new HashSet<>();
+  private final Set<String> effectiveZones = new HashSet<>();
 
-  private int copies;
-  private boolean settling;
+  private int restoreCount;
+  private boolean awaitingRewrites;
   private long revision;
 
   OperatorTableListener(
-      OperatorOrderReader orders,
+      OperatorRowReader orders,
       DeploymentRegistry deployments,
       UpstreamRegistry upstreams,
       EventLoop loop,
       Runnable onEvacuations) {
-    this.orders = orders;
+    this.rowReader = orders;
     this.deployments = deployments;
     this.upstreams = upstreams;
     this.loop = loop;
-    this.onEvacuations = onEvacuations;
+    this.evacuationListener = onEvacuations;
   }
 
   @Override
   public void onContent(TableContent content) {
-    evacuated.clear();
-    zones(content.rows().stream().map(TableRow::key)).forEach(evacuated::add);
-    if (!settling) {
-      putInForce(evacuated);
+    tableZones.clear();
+    evacuatedZones(content.rows().stream().map(TableRow::key)).forEach(tableZones::add);
+    if (!awaitingRewrites) {
+      setEffectiveZones(tableZones);
     }
-    tell(content.revision());
-    offer(content.rows());
+    applyEvacuations(content.revision());
+    offerConfigurations(content.rows());
   }
 
   @Override
   public void onChanges(TableChanges changes) {
-    List<String> put = zones(changes.put().stream().map(TableRow::key)).toList();
-    List<String> removed = zones(changes.removed().stream()).toList();
-    for (Set<String> zones : List.of(evacuated, inForce)) {
+    List<String> put = evacuatedZones(changes.put().stream().map(TableRow::key)).toList();
+    List<String> removed = evacuatedZones(changes.removed().stream()).toList();
+    for (Set<String> zones : List.of(tableZones, effectiveZones)) {
       zones.addAll(put);
       removed.forEach(zones::remove);
     }
-    tell(changes.revision());
-    offer(changes.put());
+    applyEvacuations(changes.revision());
+    offerConfigurations(changes.put());
   }
 
   /**
@@ -81,45 +81,45 @@
    * operator has had the time to write it anew. What is written meanwhile holds at once.
    */
   @Override
-  public void onOlderCopy() {
-    int number = ++copies;
-    settling = true;
-    putInForce(upstreams.evacuations().zones());
-    loop.schedule(() -> settled(number), WRITTEN_AGAIN.toMillis(), TimeUnit.MILLISECONDS);
+  public void onBackupRestored() {
+    int number = ++restoreCount;
+    awaitingRewrites = true;
+    setEffectiveZones(upstreams.evacuations().zones());
+    loop.schedule(() -> endRewriteTime(number), REWRITE_TIME.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void settled(int number) {
-    if (number == copies) {
-      settling = false;
-      putInForce(evacuated);
-      tell(revision);
+  private void endRewriteTime(int number) {
+    if (number == restoreCount) {
+      awaitingRewrites = false;
+      setEffectiveZones(tableZones);
+      applyEvacuations(revision);
     }
   }
 
-  private void putInForce(Set<String> zones) {
-    inForce.clear();
-    inForce.addAll(zones);
+  private void setEffectiveZones(Set<String> zones) {
+    effectiveZones.clear();
+    effectiveZones.addAll(zones);
   }
 
-  private Stream<String> zones(Stream<String> keys) {
-    return keys.flatMap(key -> orders.evacuatedZone(key).stream());
+  private Stream<String> evacuatedZones(Stream<String> keys) {
+    return keys.flatMap(key -> rowReader.evacuatedZone(key).stream());
   }
 
   /**
    * An order is in force before a configuration that came with it is. What holds against a copy
    * gives way to what is read, at whatever revision that stands.
    */
-  private void tell(long newRevision) {
+  private void applyEvacuations(long newRevision) {
     revision = newRevision;
-    long holds = settling ? revision - 1 : revision;
-    if (upstreams.applyEvacuations(new ZoneEvacuations(holds, inForce))) {
-      onEvacuations.run();
+    long holds = awaitingRewrites ? revision - 1 : revision;
+    if (upstreams.applyEvacuations(new ZoneEvacuations(holds, effectiveZones))) {
+      evacuationListener.run();
     }
   }
 
-  private void offer(List<TableRow> rows) {
+  private void offerConfigurations(List<TableRow> rows) {
     rows.stream()
-        .filter(row -> orders.isConfiguration(row.key()))
+        .filter(row -> rowReader.isConfiguration(row.key()))
         .forEach(row -> deployments.offer(row.value(), SOURCE));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/PlatformFollowers.java
@@ -5,7 +5,7 @@
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLog;
-import org.gradeledge.follow.FollowPace;
+import org.gradeledge.follow.PollingIntervals;
 import org.gradeledge.follow.TableFollower;
 import org.gradeledge.follow.TableListener;
 import org.gradeledge.mesh.BoxMesh;
@@ -28,29 +28,29 @@
   private static final Duration CONFIGURATION_PAUSE = Duration.ofMillis(60);
 
   /** Parts of the bound within which an upstream that leaves must get no new work. */
-  private static final double PAUSE_OF_FEW = 0.5;
+  private static final double UNSHARED_PAUSE_FACTOR = 0.5;
 
-  private static final double PAUSE_ALONE = 0.2;
-  private static final double PAUSE_OF_READER = 0.35;
+  private static final double FEW_BOXES_PAUSE_FACTOR = 0.2;
+  private static final double READER_PAUSE_FACTOR = 0.35;
 
   /** Only a box that no news reaches any more depends on it. */
-  private static final double PAUSE_OF_OTHERS = 5;
+  private static final double NON_READER_PAUSE_FACTOR = 5;
 
   /**
    * Longest time between calls while the platform is away, of a box that others rely on: it must
    * notice the return within about a second, and judge the list two seconds later, before it counts
    * as in touch again.
    */
-  static final Duration BACKOFF = Duration.ofMillis(300);
+  static final Duration MAX_BACKOFF = Duration.ofMillis(300);
 
   /** The same of a box that hears of the return from others. */
-  private static final Duration BACKOFF_OF_OTHERS = Duration.ofMillis(600);
+  private static final Duration NON_READER_MAX_BACKOFF = Duration.ofMillis(600);
 
   /** So many that some are left where several are cut off, killed or turned away at once. */
-  private static final int READERS = 6;
+  private static final int READER_COUNT = 6;
 
   /** Fewer boxes than this cannot rely on another one's look within half of the bound. */
-  private static final int BOXES_THAT_SHARE = 3;
+  private static final int MIN_BOXES_SHARING_READS = 3;
 
   /** Verdicts seldom change, and boxes tell each other; a lost answer is noticed after this. */
   private static final Duration VERDICT_WAIT = Duration.ofSeconds(25);
@@ -59,9 +59,9 @@
   private static final Duration VERDICT_PAUSE = Duration.ofMinutes(1);
 
   /** No request waits for this table: a box that cannot read it goes by what others tell. */
-  private static final Duration VERDICT_BACKOFF = Duration.ofSeconds(2);
+  private static final Duration VERDICT_MAX_BACKOFF = Duration.ofSeconds(2);
 
-  private final Duration leavingBound;
+  private final Duration maxLeavingDelay;
   private final BoxMesh mesh;
   private final TableFollower configurations;
   private final TableFollower upstreams;
@@ -78,24 +78,24 @@
       MonotonicClock clock,
       EventLog events,
       Runnable onUnreadableRow) {
-    this.leavingBound = leavingBound;
+    this.maxLeavingDelay = leavingBound;
     this.mesh = mesh;
     this.configurations =
         new TableFollower(
             "configuration",
-            adapters.orderTable(),
+            adapters.operatorTable(),
             new OperatorTableListener(
-                adapters.orders(), deployments, registry, loop, mesh::announceNow),
+                adapters.operatorRowReader(), deployments, registry, loop, mesh::announceNow),
             loop,
             clock,
             events,
-            new FollowPace(
-                this::configurationWait, () -> CONFIGURATION_PAUSE, () -> BACKOFF_OF_OTHERS));
+            new PollingIntervals(
+                this::configurationWait, () -> CONFIGURATION_PAUSE, () -> NON_READER_MAX_BACKOFF));
     UpstreamTableListener listener =
         new UpstreamTableListener(
             registry,
-            adapters.upstreamReader(),
-            new UnreadableRows(events, onUnreadableRow),
+            adapters.upstreamRowReader(),
+            new UnreadableRowLog(events, onUnreadableRow),
             mesh::announceNow,
             loop,
             clock,
@@ -108,7 +108,7 @@
             loop,
             clock,
             events,
-            new FollowPace(() -> Duration.ZERO, this::upstreamPause, this::upstreamBackoff));
+            new PollingIntervals(() -> Duration.ZERO, this::upstreamPause, this::upstreamBackoff));
     this.verdicts =
         new TableFollower(
             "verdicts",
@@ -117,10 +117,10 @@
             loop,
             clock,
             events,
-            new FollowPace(this::verdictWait, this::verdictPause, () -> VERDICT_BACKOFF));
-    listener.onLook(upstreams::lookNow);
-    mesh.onNewUpstreamList(upstreams::lookNow);
-    mesh.onListConfirmed(listener::settled);
+            new PollingIntervals(this::verdictWait, this::verdictPause, () -> VERDICT_MAX_BACKOFF));
+    listener.setReadAction(upstreams::pollNow);
+    mesh.onNewUpstreamList(upstreams::pollNow);
+    mesh.onListConfirmed(listener::onListConfirmed);
   }
 
   void start() {
@@ -130,10 +130,10 @@
   }
 
   /** Reads all tables anew after the machine was suspended. */
-  void wokeUp() {
-    configurations.wokeUp();
-    upstreams.wokeUp();
-    verdicts.wokeUp();
+  void readAllAgain() {
+    configurations.onMachineResume();
+    upstreams.onMachineResume();
+    verdicts.onMachineResume();
   }
 
   private Duration verdictWait() {
@@ -150,21 +150,23 @@
 
   /** Boxes that hear each other share the reading, as each tells the others what it learned. */
   private Duration upstreamPause() {
-    return Duration.ofMillis((long) (leavingBound.toMillis() * partOfBound()));
+    return Duration.ofMillis((long) (maxLeavingDelay.toMillis() * upstreamPauseFactor()));
   }
 
   private Duration upstreamBackoff() {
-    return mesh.receivesDigests() && !isReader() ? BACKOFF_OF_OTHERS : BACKOFF;
+    return mesh.receivesDigests() && !isReader() ? NON_READER_MAX_BACKOFF : MAX_BACKOFF;
   }
 
   private boolean isReader() {
-    return mesh.isAssigned("read-upstreams", READERS);
+    return mesh.isAssigned("read-upstreams", READER_COUNT);
   }
 
-  private double partOfBound() {
+  private double upstreamPauseFactor() {
     if (mesh.receivesDigests()) {
-      return isReader() ? PAUSE_OF_READER : PAUSE_OF_OTHERS;
+      return isReader() ? READER_PAUSE_FACTOR : NON_READER_PAUSE_FACTOR;
     }
-    return mesh.aliveCount() < BOXES_THAT_SHARE ? PAUSE_ALONE : PAUSE_OF_FEW;
+    return mesh.aliveCount() < MIN_BOXES_SHARING_READS
+        ? FEW_BOXES_PAUSE_FACTOR
+        : UNSHARED_PAUSE_FACTOR;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictKeeper.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/QuarantineVerdictStore.java
@@ -29,27 +29,27 @@
  *
  * <p>Confined to the event loop.
  */
-final class VerdictKeeper implements TableListener, QuarantineTrials {
+final class QuarantineVerdictStore implements TableListener, QuarantineTrials {
 
   /** The box that reached a verdict writes it at once; others on duty look after so long. */
-  private static final long OTHERS_WRITE_MILLIS = 2_000;
+  private static final long FALLBACK_WRITE_MILLIS = 2_000;
 
-  private static final long TRY_AGAIN_MILLIS = 1_000;
+  private static final long RETRY_MILLIS = 1_000;
 
   private final Quarantine quarantine;
   private final WritableTable table;
   private final EventLoop loop;
   private final LongSupplier timeOfDayMillis;
-  private final BooleanSupplier onDuty;
+  private final BooleanSupplier isWriter;
   private final EventLog events;
   private final VerdictRowKeys keys = new VerdictRowKeys();
-  private final HeldBackTrials trials;
-  private final ReturnedVerdictRows returned;
+  private final TableBackedTrials trials;
+  private final RestoredRowCleaner restoredRowCleaner;
 
   /** Verdicts that hold, to be written again where the table loses them. */
   private final Map<RequestFingerprint, QuarantineVerdict> verdicts = new HashMap<>();
 
-  private boolean olderCopy;
+  private boolean backupRestored;
 
   /**
    * Creates the keeper.
@@ -58,7 +58,7 @@
    *     share, and exact enough for minutes
    * @param onDuty whether this box writes what the box that reached a verdict did not
    */
-  VerdictKeeper(
+  QuarantineVerdictStore(
       Quarantine quarantine,
       WritableTable table,
       EventLoop loop,
@@ -69,72 +69,72 @@
     this.table = table;
     this.loop = loop;
     this.timeOfDayMillis = timeOfDayMillis;
-    this.onDuty = onDuty;
+    this.isWriter = onDuty;
     this.events = events;
-    this.trials = new HeldBackTrials(keys, table, loop, timeOfDayMillis, onDuty, events);
-    this.returned = new ReturnedVerdictRows(table, loop, onDuty, events);
-    quarantine.onVerdict(this::reached);
-    quarantine.onRelease(this::released);
+    this.trials = new TableBackedTrials(keys, table, loop, timeOfDayMillis, onDuty, events);
+    this.restoredRowCleaner = new RestoredRowCleaner(table, loop, onDuty, events);
+    quarantine.onVerdict(this::onVerdict);
+    quarantine.onRelease(this::onRelease);
   }
 
   /** What the copy lacks nobody has lifted, and what it has again may have been lifted since. */
   @Override
-  public void onOlderCopy() {
-    olderCopy = true;
+  public void onBackupRestored() {
+    backupRestored = true;
   }
 
   @Override
   public void onContent(TableContent content) {
-    if (olderCopy) {
-      olderCopy = false;
-      takeCopy(content);
+    if (backupRestored) {
+      backupRestored = false;
+      mergeRestored(content);
       return;
     }
-    Set<String> before = keys.beginReading();
+    Set<String> before = keys.startRead();
     content.rows().forEach(this::take);
-    before.stream().filter(key -> !hasRow(content, key)).forEach(this::gone);
+    before.stream().filter(key -> !containsRow(content, key)).forEach(this::withdrawVerdict);
   }
 
-  private void takeCopy(TableContent content) {
-    Set<String> before = keys.beginCopy();
-    content.rows().stream().filter(row -> !keys.isLifted(row.key())).forEach(this::take);
-    returned.removeAgain(
-        content.rows().stream().map(TableRow::key).filter(keys::isLifted).toList());
-    before.stream().filter(key -> !hasRow(content, key)).forEach(this::keepTrial);
+  private void mergeRestored(TableContent content) {
+    Set<String> before = keys.startRestoredRead();
+    content.rows().stream().filter(row -> !keys.isWithdrawn(row.key())).forEach(this::take);
+    restoredRowCleaner.removeRestored(
+        content.rows().stream().map(TableRow::key).filter(keys::isWithdrawn).toList());
+    before.stream().filter(key -> !containsRow(content, key)).forEach(this::rewriteIfTrial);
     verdicts.values().stream()
-        .filter(verdict -> !hasRow(content, verdict.fingerprint().toString()))
-        .forEach(verdict -> write(verdict, 0));
+        .filter(verdict -> !containsRow(content, verdict.fingerprint().toString()))
+        .forEach(verdict -> scheduleWrite(verdict, 0));
   }
 
-  private static boolean hasRow(TableContent content, String key) {
+  private static boolean containsRow(TableContent content, String key) {
     return content.rows().stream().anyMatch(row -> row.key().equals(key));
   }
 
   /** A trial stays spent here, whoever writes its row again. */
-  private void keepTrial(String key) {
-    if (VerdictRow.trialOf(key).isPresent()) {
-      trials.writeAgain(key);
+  private void rewriteIfTrial(String key) {
+    if (VerdictRow.fingerprintOfTrial(key).isPresent()) {
+      trials.rewriteTrial(key);
     }
   }
 
   @Override
   public void onChanges(TableChanges changes) {
     changes.put().forEach(this::take);
-    changes.removed().forEach(this::removed);
+    changes.removed().forEach(this::onRowRemoved);
   }
 
   /** A row that was never read here may have been lifted too: an older copy has it again. */
-  private void removed(String key) {
-    returned.gone(key);
+  private void onRowRemoved(String key) {
+    restoredRowCleaner.onRowRemoved(key);
     if (keys.isStored(key)) {
-      gone(key);
-    } else if (!isHeldBack(key)) {
+      withdrawVerdict(key);
+    } else if (!isQuarantined(key)) {
       keys.remove(key);
     }
   }
 
-  private boolean isHeldBack(String key) {
-    return VerdictRow.trialOf(key)
+  private boolean isQuarantined(String key) {
+    return VerdictRow.fingerprintOfTrial(key)
         .or(() -> RequestFingerprint.parse(key))
         .filter(quarantine::isQuarantined)
         .isPresent();
@@ -142,9 +142,9 @@
 
   private void take(TableRow row) {
     keys.addRead(row.key());
-    if (VerdictRow.trialOf(row.key()).isEmpty()) {
+    if (VerdictRow.fingerprintOfTrial(row.key()).isEmpty()) {
       VerdictRow.read(row)
-          .peek(this::hold)
+          .peek(this::mergeVerdict)
           .peekLeft(
               why ->
                   events
@@ -155,32 +155,33 @@
     }
   }
 
-  private void hold(VerdictRow row) {
-    trials.since(row.fingerprint(), row.sinceMillis());
+  private void mergeVerdict(VerdictRow row) {
+    trials.setQuarantinedAt(row.fingerprint(), row.quarantinedAtMillis());
     quarantine.merge(
-        new SuspectUpdate(List.of(row.report(timeOfDayMillis.getAsLong())), List.of()));
+        new SuspectUpdate(List.of(row.toReport(timeOfDayMillis.getAsLong())), List.of()));
   }
 
-  private void gone(String key) {
+  private void withdrawVerdict(String key) {
     keys.remove(key);
     RequestFingerprint.parse(key).ifPresent(quarantine::withdrawCrashes);
   }
 
-  private void reached(QuarantineVerdict verdict) {
+  private void onVerdict(QuarantineVerdict verdict) {
     verdicts.put(verdict.fingerprint(), verdict);
-    keys.heldBack(verdict.fingerprint());
-    returned.heldBack(verdict.fingerprint());
-    trials.sinceAtMost(verdict.fingerprint(), timeOfDayMillis.getAsLong() - verdict.ageMillis());
+    keys.onQuarantined(verdict.fingerprint());
+    restoredRowCleaner.onQuarantined(verdict.fingerprint());
+    trials.setQuarantinedAtIfAbsent(
+        verdict.fingerprint(), timeOfDayMillis.getAsLong() - verdict.ageMillis());
     events
         .change("request-held-back")
         .with("fingerprint", verdict.fingerprint().toString())
         .with("upstreams", String.join(",", verdict.incarnationIds()))
         .with("seen", verdict.decidedLocally() ? "here" : "told")
         .write();
-    write(verdict, verdict.decidedLocally() ? 0 : OTHERS_WRITE_MILLIS);
+    scheduleWrite(verdict, verdict.decidedLocally() ? 0 : FALLBACK_WRITE_MILLIS);
   }
 
-  private void write(QuarantineVerdict verdict, long delayMillis) {
+  private void scheduleWrite(QuarantineVerdict verdict, long delayMillis) {
     loop.schedule(() -> writeUnlessStored(verdict), delayMillis, TimeUnit.MILLISECONDS);
   }
 
@@ -190,24 +191,24 @@
     if (keys.isStored(fingerprint.toString()) || !quarantine.isQuarantined(fingerprint)) {
       return;
     }
-    if (!verdict.decidedLocally() && !onDuty.getAsBoolean()) {
-      write(verdict, OTHERS_WRITE_MILLIS);
+    if (!verdict.decidedLocally() && !isWriter.getAsBoolean()) {
+      scheduleWrite(verdict, FALLBACK_WRITE_MILLIS);
       return;
     }
-    long since = trials.sinceOf(fingerprint);
+    long since = trials.quarantinedAt(fingerprint);
     table
-        .create(new VerdictRow(fingerprint, verdict.incarnationIds(), since).write())
+        .create(new VerdictRow(fingerprint, verdict.incarnationIds(), since).toTableRow())
         .subscribe(
             created -> loop.execute(() -> keys.addWritten(fingerprint.toString())),
             failure ->
                 loop.execute(
                     () -> {
-                      notWritten(fingerprint.toString(), failure);
-                      write(verdict, TRY_AGAIN_MILLIS);
+                      logNotWritten(fingerprint.toString(), failure);
+                      scheduleWrite(verdict, RETRY_MILLIS);
                     }));
   }
 
-  private void notWritten(String key, Throwable failure) {
+  private void logNotWritten(String key, Throwable failure) {
     events
         .problem("verdict-not-written")
         .with("fingerprint", key)
@@ -219,7 +220,7 @@
    * Only a request that is cleared loses its row. One whose ends others explain keeps it: boxes may
    * judge differently for a moment, and a row that goes clears the request at all of them.
    */
-  private void released(RequestFingerprint fingerprint) {
+  private void onRelease(RequestFingerprint fingerprint) {
     verdicts.remove(fingerprint);
     events.change("request-let-go").with("fingerprint", fingerprint.toString()).write();
     if (quarantine.crashCount(fingerprint) == 0) {
@@ -228,8 +229,8 @@
   }
 
   private void removeRows(RequestFingerprint fingerprint) {
-    trials.forget(fingerprint);
-    List<String> stored = keys.storedOf(fingerprint, HeldBackTrials.TRIALS.size());
+    trials.remove(fingerprint);
+    List<String> stored = keys.storedKeys(fingerprint, TableBackedTrials.TRIAL_DELAYS.size());
     stored.forEach(keys::remove);
     keys.remove(fingerprint.toString());
     if (!stored.isEmpty()) {
@@ -237,7 +238,7 @@
           .remove(stored)
           .subscribe(
               ignored -> {},
-              failure -> loop.execute(() -> notWritten(fingerprint.toString(), failure)));
+              failure -> loop.execute(() -> logNotWritten(fingerprint.toString(), failure)));
     }
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -47,13 +47,13 @@
  */
 public final class RelayBox {
 
-  private static final int FEWEST_BOXES = 6;
-  private static final double CONNECTION_SHARE = 0.9;
-  private static final int FEWEST_CONNECTIONS = 3;
-  private static final String VERDICT_DUTY = "write-verdicts";
+  private static final int MIN_BOX_COUNT = 6;
+  private static final double USABLE_CONNECTION_SHARE = 0.9;
+  private static final int MIN_CONNECTIONS = 3;
+  private static final String VERDICT_WRITER_ROLE = "write-verdicts";
 
   /** Boxes that write a verdict where the one that reached it is gone: one and a spare. */
-  private static final int VERDICT_WRITERS = 2;
+  private static final int VERDICT_WRITER_COUNT = 2;
 
   private final RelaySettings settings;
   private final LoopResources loops;
@@ -61,15 +61,15 @@
   private final EventLog events;
   private final DeploymentRegistry deployments;
   private final UpstreamRegistry upstreams;
-  private final PendingPieces toCome = new PendingPieces();
+  private final PendingPieces pieces = new PendingPieces();
   private final BoxMesh mesh;
   private final RelayMetrics metrics = new RelayMetrics();
   private final BoxMetrics boxMetrics = new BoxMetrics();
   private final RelayHandler handler;
   private final RelayServer server;
   private final PlatformFollowers followers;
-  private final BoxPages pages;
-  private final PlannedStop stop;
+  private final MonitoringEndpoints endpoints;
+  private final GracefulShutdown stop;
 
   /** Puts the box together; it does not listen yet. */
   public RelayBox(
@@ -78,33 +78,34 @@
     this.loops = loops;
     this.events = events;
     this.loop = loops.onClient(false).next();
-    SuspensionAwareClock clock = SuspensionAwareClock.ofMachine();
-    this.deployments = new DeploymentRegistry(adapters.configurations(), events);
+    SuspensionAwareClock clock = SuspensionAwareClock.systemClock();
+    this.deployments = new DeploymentRegistry(adapters.deploymentReader(), events);
     this.upstreams = new UpstreamRegistry(events);
     UpstreamLoads board = new UpstreamLoads(clock, events);
     Quarantine quarantine = new Quarantine(clock);
-    UpstreamSending sending = new UpstreamSending(clock, events, upstreams, this::service);
+    SendLimiters sending = new SendLimiters(clock, events, upstreams, this::findService);
     this.mesh =
         newMesh(
-            new SharedBoxState(deployments, upstreams, board, toCome, quarantine, sending.limits()),
+            new SharedBoxState(deployments, upstreams, board, pieces, quarantine, sending.limits()),
             clock);
-    VerdictKeeper verdicts = newVerdictKeeper(quarantine, adapters);
+    QuarantineVerdictStore verdicts = newVerdictStore(quarantine, adapters);
     this.followers = newFollowers(adapters, verdicts, clock);
     RetryBudget budget = newRetryBudget(clock);
     PooledUpstreamCaller caller = new PooledUpstreamCaller(loop, this::connectionLimit, clock);
     upstreams.onRetired(caller::retire);
     upstreams.onReplaced(caller::abort);
-    sending.listen(caller, adapters.signals(), mesh);
-    UpstreamRateLimiter limited = sending.limited(mesh);
-    sending.show(metrics, limited);
+    sending.handleSignals(caller, adapters.signalReader(), mesh);
+    UpstreamRateLimiter limited = sending.rateLimit(mesh);
+    sending.registerMetrics(metrics, limited);
     upstreams.onRetired(board::remove);
     BatchCoordinator coordinator =
         BatchCoordinator.builder()
             .box(peerName(settings), loop, clock)
-            .upstreams(upstreams, service -> service(service).flatMap(ServiceDefinition::batch))
-            .calls(caller, adapters.stages())
+            .upstreams(
+                upstreams, service -> findService(service).flatMap(ServiceDefinition::batchLimits))
+            .calls(caller, adapters.stageProtocol())
             .loadAndRetries(board, budget, events)
-            .pendingPieces(toCome)
+            .pendingPieces(pieces)
             .sendingRule(SendLimiter.allOf(limited, sending.backoffs()))
             .build();
     StageWorkClient stageWork = mesh.stageWorkClient(coordinator);
@@ -117,31 +118,31 @@
             upstreams,
             board,
             newChooser(board),
-            SendLimiter.allOf(sending.cold(this::boxes), limited, sending.backoffs()),
+            SendLimiter.allOf(sending.coldStart(this::boxCount), limited, sending.backoffs()),
             budget,
             caller,
             new LivenessChecker(caller, upstreams::hasLeft),
             quarantine,
             verdicts,
-            adapters.relay(),
+            adapters.relayProtocol(),
             stageWork,
             metrics,
             events);
     this.handler = new RelayHandler(services);
-    this.pages = new BoxPages(loops, metrics, boxMetrics);
+    this.endpoints = new MonitoringEndpoints(loops, metrics, boxMetrics);
     this.server = new RelayServer(handler, services, loops);
-    clock.onJump(jump -> loop.execute(() -> clocksParted(jump, caller)));
-    this.stop = new PlannedStop(settings.grace(), server, handler, mesh, loop, events);
+    clock.onJump(jump -> loop.execute(() -> onClockJump(jump, caller)));
+    this.stop = new GracefulShutdown(settings.gracePeriod(), server, handler, mesh, loop, events);
   }
 
   /**
    * What timers would have done meanwhile is done now; peers that are silent go at the next beat.
    * Where it is not sure that time has passed, what costs little and does no harm is done.
    */
-  private void clocksParted(ClockJump jump, PooledUpstreamCaller caller) {
+  private void onClockJump(ClockJump jump, PooledUpstreamCaller caller) {
     events
         .change(jump.isSuspension() ? "suspended" : "time-of-day-set")
-        .with("ms", jump.timeOfDay().toMillis())
+        .with("ms", jump.wallClockShift().toMillis())
         .write();
     if (jump.isSuspension()) {
       metrics.suspended();
@@ -149,22 +150,22 @@
     }
     if (jump.mayBeSuspension()) {
       caller.closeIdle();
-      followers.wokeUp();
+      followers.readAllAgain();
     }
   }
 
   private UpstreamChooser newChooser(UpstreamLoads board) {
     return new PrefixAffinityChooser(
-        board, new LeastLoadedChooser(board, new Random()), this::memoryTokens);
+        board, new LeastLoadedChooser(board, new Random()), this::kvCacheTokens);
   }
 
-  private VerdictKeeper newVerdictKeeper(Quarantine quarantine, RelayAdapters adapters) {
-    return new VerdictKeeper(
+  private QuarantineVerdictStore newVerdictStore(Quarantine quarantine, RelayAdapters adapters) {
+    return new QuarantineVerdictStore(
         quarantine,
         adapters.verdictTable(),
         loop,
         System::currentTimeMillis,
-        () -> mesh.isAssigned(VERDICT_DUTY, VERDICT_WRITERS),
+        () -> mesh.isAssigned(VERDICT_WRITER_ROLE, VERDICT_WRITER_COUNT),
         events);
   }
 
@@ -174,15 +175,15 @@
         settings.retryRatio(),
         settings.retryAllowance(),
         settings.retryWindow(),
-        this::boxes);
+        this::boxCount);
   }
 
   private PlatformFollowers newFollowers(
-      RelayAdapters adapters, VerdictKeeper verdicts, MonotonicClock clock) {
+      RelayAdapters adapters, QuarantineVerdictStore verdicts, MonotonicClock clock) {
     return new PlatformFollowers(
         adapters,
         verdicts,
-        settings.leavingBound(),
+        settings.maxLeavingDelay(),
         mesh,
         deployments,
         upstreams,
@@ -201,7 +202,7 @@
     return new BoxMesh(
         peerName(settings),
         settings.zone(),
-        settings.strength(),
+        settings.weight(),
         settings.seeds(),
         network,
         loop,
@@ -215,13 +216,13 @@
     events
         .change("start")
         .with("zone", settings.zone())
-        .with("caller", settings.caller().toString())
+        .with("caller", settings.callerAddress().toString())
         .write();
     return server
-        .listen(settings.caller())
-        .then(pages.listenReady(settings.ready(), this::ready))
-        .then(mesh.start(settings.peer()))
-        .then(pages.listenMetrics(settings.metrics()))
+        .listen(settings.callerAddress())
+        .then(endpoints.bindReadiness(settings.readinessAddress(), this::isReady))
+        .then(mesh.start(settings.peerAddress()))
+        .then(endpoints.bindMetrics(settings.metricsAddress()))
         .then(Mono.fromRunnable(() -> loop.execute(followers::start)));
   }
 
@@ -229,33 +230,36 @@
   public void stop() throws InterruptedException {
     CountDownLatch stopped = new CountDownLatch(1);
     loop.execute(() -> stop.start(stopped::countDown));
-    stopped.await(settings.grace().toMillis(), TimeUnit.MILLISECONDS);
+    stopped.await(settings.gracePeriod().toMillis(), TimeUnit.MILLISECONDS);
     events.change("stopped").with("active", server.activeRequests()).write();
     events.drain(200);
   }
 
-  private boolean ready() {
-    return deployments.current().isPresent() && upstreams.revision() >= 0 && !stop.hasBegun();
+  private boolean isReady() {
+    return deployments.current().isPresent() && upstreams.revision() >= 0 && !stop.isStarted();
   }
 
-  private int boxes() {
-    return Math.max(FEWEST_BOXES, mesh.aliveCount());
+  private int boxCount() {
+    return Math.max(MIN_BOX_COUNT, mesh.aliveCount());
   }
 
-  private Optional<ServiceDefinition> service(String name) {
+  private Optional<ServiceDefinition> findService(String name) {
     return deployments.current().flatMap((Deployment held) -> held.service(name));
   }
 
   private int connectionLimit(UpstreamRecord upstream) {
-    int most = service(upstream.service()).map(ServiceDefinition::maxConnections).orElse(boxes());
-    return Math.max(FEWEST_CONNECTIONS, (int) (most * CONNECTION_SHARE / boxes()));
+    int most =
+        findService(upstream.service()).map(ServiceDefinition::maxConnections).orElse(boxCount());
+    return Math.max(MIN_CONNECTIONS, (int) (most * USABLE_CONNECTION_SHARE / boxCount()));
   }
 
-  private long memoryTokens(UpstreamRecord upstream) {
-    return service(upstream.service()).flatMap(ServiceDefinition::promptTokens).orElse(0L);
+  private long kvCacheTokens(UpstreamRecord upstream) {
+    return findService(upstream.service()).flatMap(ServiceDefinition::kvCacheTokens).orElse(0L);
   }
 
   private static String peerName(RelaySettings settings) {
-    return settings.peer().getAddress().getHostAddress() + ":" + settings.peer().getPort();
+    return settings.peerAddress().getAddress().getHostAddress()
+        + ":"
+        + settings.peerAddress().getPort();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/ReturnedVerdictRows.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RestoredRowCleaner.java
@@ -17,58 +17,57 @@
  * copy of itself. Boxes on duty remove them at once; one on duty may not know of the lifting, so
  * that the others remove what is still there some seconds later. Confined to the event loop.
  */
-final class ReturnedVerdictRows {
+final class RestoredRowCleaner {
 
-  private static final long OTHERS_REMOVE_MILLIS = 2_000;
+  private static final long FALLBACK_DELAY_MILLIS = 2_000;
 
   /** Boxes that are not on duty are spread over so long, as one of them is enough. */
-  private static final long OTHERS_SPREAD_MILLIS = 8_000;
+  private static final long FALLBACK_JITTER_MILLIS = 8_000;
 
-  private static final long TRY_AGAIN_MILLIS = 1_000;
+  private static final long RETRY_MILLIS = 1_000;
 
   private final WritableTable table;
   private final EventLoop loop;
-  private final BooleanSupplier onDuty;
+  private final BooleanSupplier isWriter;
   private final EventLog events;
   private final Set<String> keys = new HashSet<>();
 
-  ReturnedVerdictRows(
-      WritableTable table, EventLoop loop, BooleanSupplier onDuty, EventLog events) {
+  RestoredRowCleaner(WritableTable table, EventLoop loop, BooleanSupplier onDuty, EventLog events) {
     this.table = table;
     this.loop = loop;
-    this.onDuty = onDuty;
+    this.isWriter = onDuty;
     this.events = events;
   }
 
   /** Removes rows that the table has again. */
-  void removeAgain(Collection<String> returned) {
+  void removeRestored(Collection<String> returned) {
     keys.clear();
     keys.addAll(returned);
-    if (onDuty.getAsBoolean()) {
-      remove();
+    if (isWriter.getAsBoolean()) {
+      removeRows();
     } else {
-      long spread = ThreadLocalRandom.current().nextLong(OTHERS_SPREAD_MILLIS);
-      removeAfter(OTHERS_REMOVE_MILLIS + spread);
+      long spread = ThreadLocalRandom.current().nextLong(FALLBACK_JITTER_MILLIS);
+      scheduleRemoval(FALLBACK_DELAY_MILLIS + spread);
     }
   }
 
   /** Notes that a row is gone. */
-  void gone(String key) {
+  void onRowRemoved(String key) {
     keys.remove(key);
   }
 
   /** Notes that a request is held back, perhaps once more, so that its rows count again. */
-  void heldBack(RequestFingerprint fingerprint) {
+  void onQuarantined(RequestFingerprint fingerprint) {
     keys.removeIf(key -> key.startsWith(fingerprint.toString()));
   }
 
-  private void removeAfter(long millis) {
+  private void scheduleRemoval(long millis) {
     if (!keys.isEmpty()) {
-      loop.schedule(this::remove, millis, TimeUnit.MILLISECONDS);
+      loop.schedule(this::removeRows, millis, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void remove() {
+  private void removeRows() {
     if (keys.isEmpty()) {
       return;
     }
@@ -77,16 +76,16 @@
         .remove(removed)
         .subscribe(
             ignored -> {},
-            failure -> loop.execute(() -> failed(removed, failure)),
+            failure -> loop.execute(() -> retryRemoval(removed, failure)),
             () -> loop.execute(() -> removed.forEach(keys::remove)));
   }
 
-  private void failed(List<String> removed, Throwable failure) {
+  private void retryRemoval(List<String> removed, Throwable failure) {
     events
         .problem("verdict-not-removed")
         .with("keys", String.join(",", removed))
         .with("why", String.valueOf(failure))
         .write();
-    removeAfter(TRY_AGAIN_MILLIS);
+    scheduleRemoval(RETRY_MILLIS);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamSending.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/SendLimiters.java
@@ -26,16 +26,16 @@
  * Puts together what tells which upstreams take one more request of this box now, and hands on what
  * the heads of their answers say.
  */
-final class UpstreamSending {
+final class SendLimiters {
 
   private final MonotonicClock clock;
   private final UpstreamRegistry upstreams;
   private final Function<String, Optional<ServiceDefinition>> services;
   private final UpstreamLimits limits;
   private final UpstreamBackoffs backoffs;
-  private final UnreadableSignalLog unreadableLeaving;
+  private final UnreadableSignalLog unreadableLeavingSignals;
 
-  UpstreamSending(
+  SendLimiters(
       MonotonicClock clock,
       EventLog events,
       UpstreamRegistry upstreams,
@@ -45,7 +45,7 @@
     this.services = services;
     this.limits = new UpstreamLimits(clock, events, upstreams::all);
     this.backoffs = new UpstreamBackoffs(clock, events);
-    this.unreadableLeaving = new UnreadableSignalLog(events, "upstream-leaving-unreadable");
+    this.unreadableLeavingSignals = new UnreadableSignalLog(events, "upstream-leaving-unreadable");
   }
 
   /** Returns the limits that are known. */
@@ -54,21 +54,21 @@
   }
 
   /** Shows what upstreams say of themselves. */
-  void show(RelayMetrics metrics, UpstreamRateLimiter limited) {
+  void registerMetrics(RelayMetrics metrics, UpstreamRateLimiter limited) {
     metrics.registerLimits(limits::limitedCount, limited::skipped);
     metrics.registerSignals(
         () -> upstreams.announcedLeaving().size(), backoffs::activeCount, backoffs::skipped);
   }
 
   /** Reads what all answers say of their upstreams, and has the mesh tell what is new at once. */
-  void listen(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
+  void handleSignals(PooledUpstreamCaller caller, SignalReader reader, BoxMesh mesh) {
     caller.onResponse(
         (upstream, head) -> {
           UpstreamSignals signals =
               reader.read(head.request().uri(), head.status(), head.headers());
           limits.onAnswer(upstream, head.sentAtNanos(), signals.limit());
           backoffs.onAnswer(upstream, signals.backoff());
-          leaving(upstream, signals.leaving());
+          applyLeavingSignal(upstream, signals.leaving());
           if (head.closesConnection()) {
             upstreams.recordConnectionClose(upstream);
           }
@@ -78,10 +78,10 @@
     backoffs.onBackoffStarted(caller::backOff);
   }
 
-  private void leaving(UpstreamRecord upstream, LeavingAnnouncement statement) {
+  private void applyLeavingSignal(UpstreamRecord upstream, LeavingAnnouncement statement) {
     switch (statement.kind()) {
       case LEAVES -> upstreams.recordLeavingAnnouncement(upstream);
-      case UNREADABLE -> unreadableLeaving.report(upstream, statement.text());
+      case UNREADABLE -> unreadableLeavingSignals.report(upstream, statement.text());
       case NOTHING -> {}
       default -> throw new IllegalStateException("unknown statement " + statement.kind());
     }
@@ -93,12 +93,12 @@
   }
 
   /** Returns the rule of limits that upstreams name, for all requests. */
-  UpstreamRateLimiter limited(BoxMesh mesh) {
+  UpstreamRateLimiter rateLimit(BoxMesh mesh) {
     return new UpstreamRateLimiter(
         clock,
         limits,
         mesh::rank,
-        name -> services.apply(name).flatMap(ServiceDefinition::batch).isPresent());
+        name -> services.apply(name).flatMap(ServiceDefinition::batchLimits).isPresent());
   }
 
   /**
@@ -107,7 +107,7 @@
    *
    * @param boxes how many boxes are heard, this one included
    */
-  SendLimiter cold(IntSupplier boxes) {
+  SendLimiter coldStart(IntSupplier boxes) {
     ColdStartLimiter cold =
         new ColdStartLimiter(
             clock,
--- a/gradeledge-core/src/main/java/org/gradeledge/node/HeldBackTrials.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/TableBackedTrials.java
@@ -20,26 +20,26 @@
  * When requests that are held back are tried once more; each trial is a row of the platform's table
  * that one box alone can create. Confined to the event loop.
  */
-final class HeldBackTrials implements QuarantineTrials {
+final class TableBackedTrials implements QuarantineTrials {
 
   /**
    * When a request that is held back is tried once more, counted from the verdict. Upstreams may
    * have been mended by then; each trial may end one, so that there are two, and the deployment
    * allows three in all.
    */
-  static final List<Duration> TRIALS = List.of(Duration.ofMinutes(10), Duration.ofHours(2));
+  static final List<Duration> TRIAL_DELAYS = List.of(Duration.ofMinutes(10), Duration.ofHours(2));
 
-  private static final long TRY_AGAIN_MILLIS = 1_000;
+  private static final long RETRY_MILLIS = 1_000;
 
   private final VerdictRowKeys keys;
   private final WritableTable table;
   private final EventLoop loop;
   private final LongSupplier timeOfDayMillis;
-  private final BooleanSupplier onDuty;
+  private final BooleanSupplier isWriter;
   private final EventLog events;
-  private final Map<RequestFingerprint, Long> sinceMillis = new HashMap<>();
+  private final Map<RequestFingerprint, Long> quarantinedAtMillis = new HashMap<>();
 
-  HeldBackTrials(
+  TableBackedTrials(
       VerdictRowKeys keys,
       WritableTable table,
       EventLoop loop,
@@ -50,50 +50,50 @@
     this.table = table;
     this.loop = loop;
     this.timeOfDayMillis = timeOfDayMillis;
-    this.onDuty = onDuty;
+    this.isWriter = onDuty;
     this.events = events;
   }
 
   /** Notes since when a request is held back, as its row says. */
-  void since(RequestFingerprint fingerprint, long millis) {
-    sinceMillis.put(fingerprint, millis);
+  void setQuarantinedAt(RequestFingerprint fingerprint, long millis) {
+    quarantinedAtMillis.put(fingerprint, millis);
   }
 
   /** Notes since when a request is held back, unless its row has said so. */
-  void sinceAtMost(RequestFingerprint fingerprint, long millis) {
-    sinceMillis.putIfAbsent(fingerprint, millis);
+  void setQuarantinedAtIfAbsent(RequestFingerprint fingerprint, long millis) {
+    quarantinedAtMillis.putIfAbsent(fingerprint, millis);
   }
 
   /** Returns since when a request is held back, now if that is not known. */
-  long sinceOf(RequestFingerprint fingerprint) {
-    return sinceMillis.getOrDefault(fingerprint, timeOfDayMillis.getAsLong());
+  long quarantinedAt(RequestFingerprint fingerprint) {
+    return quarantinedAtMillis.getOrDefault(fingerprint, timeOfDayMillis.getAsLong());
   }
 
-  void forget(RequestFingerprint fingerprint) {
-    sinceMillis.remove(fingerprint);
+  void remove(RequestFingerprint fingerprint) {
+    quarantinedAtMillis.remove(fingerprint);
   }
 
   @Override
   public Optional<Duration> timeUntilNext(RequestFingerprint fingerprint) {
-    Long since = sinceMillis.get(fingerprint);
-    int taken = keys.trialsTaken(fingerprint);
-    if (since == null || taken == TRIALS.size()) {
+    Long since = quarantinedAtMillis.get(fingerprint);
+    int taken = keys.usedTrials(fingerprint);
+    if (since == null || taken == TRIAL_DELAYS.size()) {
       return Optional.empty();
     }
     long age = timeOfDayMillis.getAsLong() - since;
-    return Optional.of(Duration.ofMillis(Math.max(0, TRIALS.get(taken).toMillis() - age)));
+    return Optional.of(Duration.ofMillis(Math.max(0, TRIAL_DELAYS.get(taken).toMillis() - age)));
   }
 
   @Override
   public Mono<Boolean> claim(RequestFingerprint fingerprint) {
-    String key = VerdictRow.trialKey(fingerprint, keys.trialsTaken(fingerprint) + 1);
+    String key = VerdictRow.trialKey(fingerprint, keys.usedTrials(fingerprint) + 1);
     keys.addWritten(key);
     return table
         .create(new TableRow(key, new byte[0]))
-        .doOnNext(granted -> loop.execute(() -> tell(fingerprint, granted)));
+        .doOnNext(granted -> loop.execute(() -> logClaim(fingerprint, granted)));
   }
 
-  private void tell(RequestFingerprint fingerprint, boolean granted) {
+  private void logClaim(RequestFingerprint fingerprint, boolean granted) {
     events
         .change("held-back-request-tried")
         .with("fingerprint", fingerprint.toString())
@@ -102,21 +102,21 @@
   }
 
   /** Keeps a trial spent whose row the table has lost, and writes that again. */
-  void writeAgain(String key) {
+  void rewriteTrial(String key) {
     keys.addWritten(key);
-    if (onDuty.getAsBoolean()) {
+    if (isWriter.getAsBoolean()) {
       table
           .create(new TableRow(key, new byte[0]))
-          .subscribe(created -> {}, failure -> loop.execute(() -> failed(key, failure)));
+          .subscribe(created -> {}, failure -> loop.execute(() -> retryWrite(key, failure)));
     }
   }
 
-  private void failed(String key, Throwable failure) {
+  private void retryWrite(String key, Throwable failure) {
     events
         .problem("trial-not-written")
         .with("key", key)
         .with("why", String.valueOf(failure))
         .write();
-    loop.schedule(() -> writeAgain(key), TRY_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> rewriteTrial(key), RETRY_MILLIS, TimeUnit.MILLISECONDS);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/UpstreamTableListener.java
@@ -22,24 +22,24 @@
 final class UpstreamTableListener implements TableListener {
 
   /** Upstreams that live have renewed their entries by then after the platform's return. */
-  private static final Duration RENEWAL = Duration.ofMillis(2_000);
+  private static final Duration RENEWAL_TIME = Duration.ofMillis(2_000);
 
   /**
    * Part of the bound for upstreams that leave after which the list is judged. The rest is for the
    * look that comes before, and for the way of what was sent a moment earlier.
    */
-  private static final double PART_OF_BOUND = 0.9;
+  private static final double SHARE_OF_LEAVING_DELAY = 0.9;
 
   private final UpstreamRegistry upstreams;
   private final UpstreamRowReader reader;
-  private final UnreadableRows unreadable;
-  private final Runnable onNews;
+  private final UnreadableRowLog unreadableRows;
+  private final Runnable changeListener;
   private final EventLoop loop;
-  private final long graceMillis;
-  private final SteadyReading reading;
-  private Runnable look = () -> {};
-  private boolean judging;
-  private int outages;
+  private final long renewalMillis;
+  private final ReadContinuityTracker readContinuity;
+  private Runnable readAction = () -> {};
+  private boolean awaitingConfirmation;
+  private int outageCount;
 
   /**
    * Creates the listener.
@@ -49,117 +49,118 @@
   UpstreamTableListener(
       UpstreamRegistry upstreams,
       UpstreamRowReader reader,
-      UnreadableRows unreadable,
+      UnreadableRowLog unreadable,
       Runnable onNews,
       EventLoop loop,
       MonotonicClock clock,
       Duration leavingBound) {
     this.upstreams = upstreams;
     this.reader = reader;
-    this.unreadable = unreadable;
-    this.onNews = onNews;
+    this.unreadableRows = unreadable;
+    this.changeListener = onNews;
     this.loop = loop;
-    this.reading = new SteadyReading(clock);
-    upstreams.setTrustSupplier(reading::trust);
-    this.graceMillis =
-        Math.min(RENEWAL.toMillis(), (long) (leavingBound.toMillis() * PART_OF_BOUND));
+    this.readContinuity = new ReadContinuityTracker(clock);
+    upstreams.setTrustSupplier(readContinuity::trust);
+    this.renewalMillis =
+        Math.min(
+            RENEWAL_TIME.toMillis(), (long) (leavingBound.toMillis() * SHARE_OF_LEAVING_DELAY));
   }
 
   /** Sets how the list is read at once. */
-  void onLook(Runnable action) {
-    look = action;
+  void setReadAction(Runnable action) {
+    readAction = action;
   }
 
   @Override
   public void onContent(TableContent content) {
-    upstreams.replaceAll(content.revision(), read(content.rows(), new ArrayList<>()));
+    upstreams.replaceAll(content.revision(), readRows(content.rows(), new ArrayList<>()));
   }
 
   @Override
   public void onChanges(TableChanges changes) {
-    unreadable.forget(changes.removed());
+    unreadableRows.remove(changes.removed());
     List<String> missing = new ArrayList<>(changes.removed());
-    List<UpstreamRecord> whole = read(changes.put(), missing);
-    tellIfNews(() -> upstreams.update(changes.revision(), whole, missing));
+    List<UpstreamRecord> whole = readRows(changes.put(), missing);
+    notifyIfChanged(() -> upstreams.update(changes.revision(), whole, missing));
   }
 
-  private void tellIfNews(Runnable change) {
+  private void notifyIfChanged(Runnable change) {
     long before = upstreams.changedAt();
     change.run();
     if (upstreams.changedAt() > before) {
-      onNews.run();
+      changeListener.run();
     }
   }
 
   @Override
-  public void onAway() {
-    outages++;
-    judging = false;
+  public void onUnavailable() {
+    outageCount++;
+    awaitingConfirmation = false;
     upstreams.distrustRemovals();
-    onNews.run();
+    changeListener.run();
   }
 
   /** Whoever lives has written its entry again by the time that an outage's lapsed ones are. */
   @Override
-  public void onOlderCopy() {
-    onAway();
+  public void onBackupRestored() {
+    onUnavailable();
     upstreams.distrustReappearedEntries();
-    onBack();
+    onAvailableAgain();
   }
 
   @Override
-  public void onBack() {
-    int ended = outages;
-    loop.schedule(() -> judge(ended), graceMillis, TimeUnit.MILLISECONDS);
+  public void onAvailableAgain() {
+    int ended = outageCount;
+    loop.schedule(() -> confirmRemovalsAfter(ended), renewalMillis, TimeUnit.MILLISECONDS);
   }
 
   /**
    * What is missing from the next answer is gone. An answer from before may be as old as the pause
    * between two looks, in which living upstreams have renewed their entries.
    */
-  private void judge(int ended) {
-    if (ended == outages) {
-      judgeNow();
+  private void confirmRemovalsAfter(int ended) {
+    if (ended == outageCount) {
+      confirmRemovals();
     }
   }
 
-  private void judgeNow() {
-    judging = true;
-    look.run();
+  private void confirmRemovals() {
+    awaitingConfirmation = true;
+    readAction.run();
   }
 
   /**
    * Judges what is missing, as no other box doubts the list any more. One that has noticed the
    * outage itself does so in its own time.
    */
-  void settled() {
+  void onListConfirmed() {
     if (upstreams.listTrust() != ListTrust.DOUBTED) {
-      judgeNow();
+      confirmRemovals();
     }
   }
 
   @Override
-  public void onAnswered() {
-    reading.answered();
-    if (judging) {
-      judging = false;
+  public void onAnswerApplied() {
+    readContinuity.recordAnswer();
+    if (awaitingConfirmation) {
+      awaitingConfirmation = false;
       boolean doubted = upstreams.listTrust() == ListTrust.DOUBTED;
-      tellIfNews(upstreams::trustRemovals);
+      notifyIfChanged(upstreams::trustRemovals);
       if (doubted) {
-        onNews.run();
+        changeListener.run();
       }
     }
   }
 
   /** Returns the upstreams that rows name, and adds the keys of the other rows to a list. */
-  private List<UpstreamRecord> read(List<TableRow> rows, List<String> unread) {
+  private List<UpstreamRecord> readRows(List<TableRow> rows, List<String> unread) {
     List<UpstreamRecord> whole = new ArrayList<>();
     for (TableRow row : rows) {
       reader
           .read(row)
           .peek(whole::add)
-          .peek(upstream -> unreadable.forget(List.of(row.key())))
-          .peekLeft(why -> unreadable.add(row, why))
+          .peek(upstream -> unreadableRows.remove(List.of(row.key())))
+          .peekLeft(why -> unreadableRows.logIfChanged(row, why))
           .peekLeft(why -> unread.add(row.key()));
     }
     return whole;
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRow.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRow.java
@@ -20,58 +20,60 @@
  * milliseconds since 1970. Trials are rows of their own, so that one box alone can create each.
  *
  * @param fingerprint which request
- * @param starts the upstreams that ended under it
- * @param sinceMillis when the verdict was reached
+ * @param incarnationIds the upstreams that ended under it
+ * @param quarantinedAtMillis when the verdict was reached
  */
-record VerdictRow(RequestFingerprint fingerprint, List<String> starts, long sinceMillis) {
+record VerdictRow(
+    RequestFingerprint fingerprint, List<String> incarnationIds, long quarantinedAtMillis) {
 
-  private static final String ENDED = "ended";
-  private static final String SINCE = "since";
-  private static final String TRIAL = "/trial-";
+  private static final String INCARNATIONS_FIELD = "ended";
+  private static final String TIME_FIELD = "since";
+  private static final String TRIAL_INFIX = "/trial-";
 
   /** Returns the key of a trial of a request; they are counted from 1. */
   static String trialKey(RequestFingerprint fingerprint, int number) {
-    return fingerprint + TRIAL + number;
+    return fingerprint + TRIAL_INFIX + number;
   }
 
   /** Returns whose trial a key names, empty where it names none. */
-  static Optional<RequestFingerprint> trialOf(String key) {
-    int end = key.indexOf(TRIAL);
+  static Optional<RequestFingerprint> fingerprintOfTrial(String key) {
+    int end = key.indexOf(TRIAL_INFIX);
     return end < 0 ? Optional.empty() : RequestFingerprint.parse(key.substring(0, end));
   }
 
   /** Reads a row, or tells what is wrong with it. */
   static Either<String, VerdictRow> read(TableRow row) {
-    return Try.of(() -> readTree(row.key(), JsonTrees.read(row.value())))
+    return Try.of(() -> parse(row.key(), JsonTrees.read(row.value())))
         .toEither()
         .mapLeft(String::valueOf);
   }
 
-  private static VerdictRow readTree(String key, JsonNode value) {
+  private static VerdictRow parse(String key, JsonNode value) {
     RequestFingerprint fingerprint =
         RequestFingerprint.parse(key)
             .orElseThrow(() -> new IllegalArgumentException("the key is no fingerprint"));
-    if (!value.path(ENDED).isArray() || !value.path(SINCE).isIntegralNumber()) {
-      throw new IllegalArgumentException("/" + ENDED + " and /" + SINCE + " must be given");
+    if (!value.path(INCARNATIONS_FIELD).isArray() || !value.path(TIME_FIELD).isIntegralNumber()) {
+      throw new IllegalArgumentException(
+          "/" + INCARNATIONS_FIELD + " and /" + TIME_FIELD + " must be given");
     }
     List<String> starts = new ArrayList<>();
-    value.path(ENDED).forEach(start -> starts.add(start.asText()));
-    return new VerdictRow(fingerprint, starts, value.path(SINCE).asLong());
+    value.path(INCARNATIONS_FIELD).forEach(start -> starts.add(start.asText()));
+    return new VerdictRow(fingerprint, starts, value.path(TIME_FIELD).asLong());
   }
 
-  TableRow write() {
+  TableRow toTableRow() {
     ObjectNode value = JsonTrees.newObject();
-    ArrayNode ended = value.putArray(ENDED);
-    starts.forEach(ended::add);
-    value.put(SINCE, sinceMillis);
+    ArrayNode ended = value.putArray(INCARNATIONS_FIELD);
+    incarnationIds.forEach(ended::add);
+    value.put(TIME_FIELD, quarantinedAtMillis);
     return new TableRow(fingerprint.toString(), JsonTrees.write(value));
   }
 
   /** Returns what the row tells, at a time of day. */
-  SuspectReport report(long nowMillis) {
-    long age = Math.max(0, nowMillis - sinceMillis);
+  SuspectReport toReport(long nowMillis) {
+    long age = Math.max(0, nowMillis - quarantinedAtMillis);
     List<CrashReport> ends =
-        starts.stream().map(start -> new CrashReport(start, age, false)).toList();
+        incarnationIds.stream().map(start -> new CrashReport(start, age, false)).toList();
     return new SuspectReport(fingerprint, ends, true);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRowKeys.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/VerdictRowKeys.java
@@ -12,67 +12,67 @@
 final class VerdictRowKeys {
 
   /** Many more than an operator lifts in the seconds that a copy may be old. */
-  private static final int MOST_LIFTED = 1_024;
+  private static final int MAX_WITHDRAWN = 1_024;
 
   /**
    * Keys of rows that were read. What this box has written may be missing from an older reading.
    */
-  private final Set<String> read = new HashSet<>();
+  private final Set<String> readKeys = new HashSet<>();
 
-  private final Set<String> written = new HashSet<>();
+  private final Set<String> writtenKeys = new HashSet<>();
 
   /** Keys whose rows were removed, the newest last: an older copy of the table has them again. */
-  private final Set<String> lifted = new LinkedHashSet<>();
+  private final Set<String> withdrawnKeys = new LinkedHashSet<>();
 
   boolean isStored(String key) {
-    return read.contains(key) || written.contains(key);
+    return readKeys.contains(key) || writtenKeys.contains(key);
   }
 
-  boolean isLifted(String key) {
-    return lifted.contains(key);
+  boolean isWithdrawn(String key) {
+    return withdrawnKeys.contains(key);
   }
 
   void addRead(String key) {
-    read.add(key);
+    readKeys.add(key);
   }
 
   void addWritten(String key) {
-    written.add(key);
+    writtenKeys.add(key);
   }
 
   /** Begins a whole reading; returns the keys that were read before. */
-  Set<String> beginReading() {
-    Set<String> before = Set.copyOf(read);
-    read.clear();
+  Set<String> startRead() {
+    Set<String> before = Set.copyOf(readKeys);
+    readKeys.clear();
     return before;
   }
 
   /** Begins the reading of an older copy of the table; returns all keys that were there before. */
-  Set<String> beginCopy() {
-    Set<String> before = new HashSet<>(read);
-    before.addAll(written);
-    read.clear();
-    written.clear();
+  Set<String> startRestoredRead() {
+    Set<String> before = new HashSet<>(readKeys);
+    before.addAll(writtenKeys);
+    readKeys.clear();
+    writtenKeys.clear();
     return before;
   }
 
   /** Notes that a row was removed. */
   void remove(String key) {
-    read.remove(key);
-    written.remove(key);
-    lifted.add(key);
-    if (lifted.size() > MOST_LIFTED) {
-      lifted.remove(lifted.iterator().next());
+    readKeys.remove(key);
+    writtenKeys.remove(key);
+    withdrawnKeys.add(key);
+    if (withdrawnKeys.size() > MAX_WITHDRAWN) {
+      withdrawnKeys.remove(withdrawnKeys.iterator().next());
     }
   }
 
   /** Notes that a request is held back, perhaps once more. */
-  void heldBack(RequestFingerprint fingerprint) {
-    lifted.removeIf(key -> key.startsWith(fingerprint.toString()));
+  void onQuarantined(RequestFingerprint fingerprint) {
+    withdrawnKeys.removeIf(key -> key.startsWith(fingerprint.toString()));
   }
 
   /** Returns the keys of all rows that a request has. */
-  List<String> storedOf(RequestFingerprint fingerprint, int mostTrials) {
+  List<String> storedKeys(RequestFingerprint fingerprint, int mostTrials) {
     Stream<String> trials =
         IntStream.rangeClosed(1, mostTrials)
             .mapToObj(number -> VerdictRow.trialKey(fingerprint, number));
@@ -80,7 +80,7 @@
   }
 
   /** Returns how many trials of a request were granted. */
-  int trialsTaken(RequestFingerprint fingerprint) {
+  int usedTrials(RequestFingerprint fingerprint) {
     int taken = 0;
     while (isStored(VerdictRow.trialKey(fingerprint, taken + 1))) {
       taken++;
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorTokens.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorAuthenticator.java
@@ -9,16 +9,16 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /** Tells operators by their bearer tokens, in a time that does not depend on the token. */
-final class OperatorTokens {
+final class OperatorAuthenticator {
 
   private final List<OperatorSettings> operators;
 
-  OperatorTokens(List<OperatorSettings> operators) {
+  OperatorAuthenticator(List<OperatorSettings> operators) {
     this.operators = List.copyOf(operators);
   }
 
   /** Returns the name of the operator who makes a request, or refuses. */
-  String operator(HttpServerRequest request) {
+  String authenticate(HttpServerRequest request) {
     String digest = BearerTokens.digest(request);
     String found = "";
     for (OperatorSettings operator : operators) {
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorRoutes.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/OperatorRoutes.java
@@ -42,9 +42,9 @@
   private static final int UNPROCESSABLE = 422;
   private static final int NOT_FOUND = 404;
 
-  private record NoSuchThing(String title) {}
+  private record NotFoundReply(String title) {}
 
-  private final OperatorTokens tokens;
+  private final OperatorAuthenticator authenticator;
   private final ChangeCoordinator changes;
   private final AuditTrail audit;
   private final ConfigurationRegistry registry;
@@ -52,7 +52,7 @@
   private final HeartbeatService heartbeats;
   private final BoxMetrics metrics;
   private final Runnable drain;
-  private final SubmissionRequestReader submissions = new SubmissionRequestReader();
+  private final SubmissionRequestReader submissionReader = new SubmissionRequestReader();
 
   /**
    * Creates the routes.
@@ -68,7 +68,7 @@
       HeartbeatService heartbeats,
       BoxMetrics metrics,
       Runnable drain) {
-    this.tokens = new OperatorTokens(operators);
+    this.authenticator = new OperatorAuthenticator(operators);
     this.changes = changes;
     this.audit = audit;
     this.registry = registry;
@@ -81,31 +81,31 @@
   /** Adds the routes to a port. */
   public void addTo(HttpServerRoutes routes) {
     routes
-        .put("/v1/pipelines/{pipeline}", guarded(this::submit))
-        .get("/v1/pipelines", guarded((request, response) -> pipelines(response)))
-        .get("/v1/pipelines/{pipeline}", guarded(this::pipeline))
-        .get("/v1/boxes", guarded((request, response) -> boxes(response)))
-        .get("/v1/submissions/{id}", guarded(this::submission))
-        .get("/v1/audit", guarded((request, response) -> auditTrail(response)))
+        .put("/v1/pipelines/{pipeline}", authenticated(this::submit))
+        .get("/v1/pipelines", authenticated((request, response) -> pipelines(response)))
+        .get("/v1/pipelines/{pipeline}", authenticated(this::pipeline))
+        .get("/v1/boxes", authenticated((request, response) -> boxes(response)))
+        .get("/v1/submissions/{id}", authenticated(this::submission))
+        .get("/v1/audit", authenticated((request, response) -> auditTrail(response)))
         .get(
             "/v1/costs",
-            guarded(
+            authenticated(
                 (request, response) -> HttpReplies.json(response, OK, metrics.costs().totals())))
-        .post("/v1/drain", guarded((request, response) -> drain(response)))
+        .post("/v1/drain", authenticated((request, response) -> drain(response)))
         .get(
             "/metrics",
-            guarded(
+            authenticated(
                 (request, response) ->
                     HttpReplies.send(
                         response, OK, "text/plain; version=0.0.4", metrics.exposition())));
   }
 
-  private BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> guarded(
+  private BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> authenticated(
       BiFunction<HttpServerRequest, HttpServerResponse, Mono<Void>> handler) {
     return (request, response) ->
         Mono.defer(
                 () -> {
-                  tokens.operator(request);
+                  authenticator.authenticate(request);
                   return handler.apply(request, response);
                 })
             .onErrorResume(e -> refuse(e, response));
@@ -129,16 +129,16 @@
   }
 
   private Mono<Void> submit(HttpServerRequest request, HttpServerResponse response) {
-    String operator = tokens.operator(request);
+    String operator = authenticator.authenticate(request);
     return RequestBodies.read(request, MAX_FILE_BYTES)
         .flatMap(
             body ->
-                submissions
+                submissionReader
                     .read(request, operator, body)
                     .fold(
                         faults ->
                             HttpReplies.json(
-                                response, UNPROCESSABLE, SubmissionReply.faulty(faults)),
+                                response, UNPROCESSABLE, SubmissionReply.invalid(faults)),
                         submission ->
                             changes
                                 .submit(submission)
@@ -185,12 +185,12 @@
         response,
         OK,
         membership.members().members().values().stream()
-            .map(member -> status(member, heard))
+            .map(member -> statusOf(member, heard))
             .sorted(Comparator.comparing(BoxStatus::boxId))
             .collect(Collectors.toList()));
   }
 
-  private BoxStatus status(MemberRow member, Map<String, Heartbeat> heard) {
+  private BoxStatus statusOf(MemberRow member, Map<String, Heartbeat> heard) {
     boolean self = member.boxId().equals(membership.boxId());
     Optional<Heartbeat> heartbeat = Optional.ofNullable(heard.get(member.boxId()));
     return new BoxStatus(
@@ -223,6 +223,6 @@
   }
 
   private static Mono<Void> notFound(HttpServerResponse response, String what) {
-    return HttpReplies.json(response, NOT_FOUND, new NoSuchThing(what));
+    return HttpReplies.json(response, NOT_FOUND, new NotFoundReply(what));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionReply.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionReply.java
@@ -40,7 +40,7 @@
         result.faults());
   }
 
-  static SubmissionReply faulty(List<Fault> faults) {
+  static SubmissionReply invalid(List<Fault> faults) {
     return new SubmissionReply(
         Optional.empty(),
         SubmissionState.REFUSED,
--- a/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionRequestReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/operator/SubmissionRequestReader.java
@@ -22,10 +22,11 @@
         .flatMap(file -> checkName(request, file))
         .flatMap(
             file ->
-                base(request)
+                baseVersion(request)
                     .flatMap(
                         base ->
-                            id(request).map(id -> new Submission(id, operator, base, body, file))));
+                            submissionId(request)
+                                .map(id -> new Submission(id, operator, base, body, file))));
   }
 
   private static Either<List<Fault>, PipelineFile> checkName(
@@ -35,7 +36,7 @@
         : fault("/pipeline", "must be the name in the address");
   }
 
-  private static Either<List<Fault>, Long> base(HttpServerRequest request) {
+  private static Either<List<Fault>, Long> baseVersion(HttpServerRequest request) {
     String ifNoneMatch = request.requestHeaders().get("If-None-Match");
     String ifMatch = request.requestHeaders().get("If-Match");
     if (ANY.equals(ifNoneMatch) && ifMatch == null) {
@@ -51,7 +52,7 @@
     }
   }
 
-  private static Either<List<Fault>, String> id(HttpServerRequest request) {
+  private static Either<List<Fault>, String> submissionId(HttpServerRequest request) {
     String header = request.requestHeaders().get("Gradeledge-Submission-Id");
     if (header == null) {
       return Either.right(UUID.randomUUID().toString());
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/BytesFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/BytesFormat.java
@@ -13,6 +13,6 @@
 
   @Override
   public byte[] read(MessageReader reader) throws IOException {
-    return reader.bytes();
+    return reader.readBytes();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/KeyedHash.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/HmacSha256.java
@@ -10,25 +10,25 @@
  * the framework for ciphers with its policies first, which is a fourteenth of the time that the
  * start of a box takes on its threads (by samples). Thread-safe.
  */
-final class KeyedHash {
+final class HmacSha256 {
 
   private static final String ALGORITHM = "SHA-256";
   private static final int BLOCK_BYTES = 64;
-  private static final byte INNER = 0x36;
-  private static final byte OUTER = 0x5c;
+  private static final byte INNER_PAD_BYTE = 0x36;
+  private static final byte OUTER_PAD_BYTE = 0x5c;
 
   private final byte[] innerPad;
   private final byte[] outerPad;
 
-  KeyedHash(String key) {
+  HmacSha256(String key) {
     byte[] bytes = key.getBytes(StandardCharsets.UTF_8);
     byte[] block =
         Arrays.copyOf(bytes.length > BLOCK_BYTES ? newDigest().digest(bytes) : bytes, BLOCK_BYTES);
-    this.innerPad = padded(block, INNER);
-    this.outerPad = padded(block, OUTER);
+    this.innerPad = xorWithPad(block, INNER_PAD_BYTE);
+    this.outerPad = xorWithPad(block, OUTER_PAD_BYTE);
   }
 
-  private static byte[] padded(byte[] block, byte pad) {
+  private static byte[] xorWithPad(byte[] block, byte pad) {
     byte[] padded = new byte[BLOCK_BYTES];
     for (int index = 0; index < BLOCK_BYTES; index++) {
       padded[index] = (byte) (block[index] ^ pad);
@@ -37,7 +37,7 @@
   }
 
   /** Returns the hash of parts that follow each other. */
-  byte[] of(byte[]... parts) {
+  byte[] compute(byte[]... parts) {
     MessageDigest digest = newDigest();
     digest.update(innerPad);
     for (byte[] part : parts) {
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/MessageFields.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/MessageFields.java
@@ -20,28 +20,28 @@
   }
 
   /** Returns a text. */
-  public String text(String name) {
-    return required(name, String.class);
+  public String getString(String name) {
+    return getRequired(name, String.class);
   }
 
   /** Returns a text that may be missing. */
-  public Optional<String> optionalText(String name) {
-    return values.containsKey(name) ? Optional.of(text(name)) : Optional.empty();
+  public Optional<String> getOptionalString(String name) {
+    return values.containsKey(name) ? Optional.of(getString(name)) : Optional.empty();
   }
 
   /** Returns a number. */
-  public long number(String name) {
-    return required(name, Long.class);
+  public long getLong(String name) {
+    return getRequired(name, Long.class);
   }
 
   /** Returns a number, or another one where the field is missing, as in messages of older boxes. */
-  public long numberOr(String name, long missing) {
-    return values.containsKey(name) ? number(name) : missing;
+  public long getLongOrDefault(String name, long missing) {
+    return values.containsKey(name) ? getLong(name) : missing;
   }
 
   /** Returns a number of 32 bits. */
-  public int integer(String name) {
-    long number = number(name);
+  public int getInt(String name) {
+    long number = getLong(name);
     if (number != (int) number) {
       throw new IllegalArgumentException("field " + name + " must be a number of 32 bits");
     }
@@ -49,39 +49,39 @@
   }
 
   /** Returns true or false. */
-  public boolean flag(String name) {
-    return required(name, Boolean.class);
+  public boolean getBoolean(String name) {
+    return getRequired(name, Boolean.class);
   }
 
   /**
    * Returns true or false, the latter where the field is missing, as in messages of older boxes.
    */
-  public boolean flagIfGiven(String name) {
-    return values.containsKey(name) && flag(name);
+  public boolean getBooleanOrFalse(String name) {
+    return values.containsKey(name) && getBoolean(name);
   }
 
   /** Returns bytes. */
-  public byte[] bytes(String name) {
-    return required(name, byte[].class);
+  public byte[] getBytes(String name) {
+    return getRequired(name, byte[].class);
   }
 
   /** Returns a list of texts. */
-  public List<String> texts(String name) {
-    return list(name, String.class);
+  public List<String> getStrings(String name) {
+    return getList(name, String.class);
   }
 
   /** Returns a list of texts, empty where the field is missing, as in messages of older boxes. */
-  public List<String> textsIfGiven(String name) {
-    return values.containsKey(name) ? texts(name) : List.of();
+  public List<String> getStringsOrEmpty(String name) {
+    return values.containsKey(name) ? getStrings(name) : List.of();
   }
 
   /** Returns a list of records that are written as maps. */
-  public List<MessageFields> records(String name) {
-    return list(name, MessageFields.class);
+  public List<MessageFields> getRecords(String name) {
+    return getList(name, MessageFields.class);
   }
 
-  private <T> List<T> list(String name, Class<T> type) {
-    List<?> list = required(name, List.class);
+  private <T> List<T> getList(String name, Class<T> type) {
+    List<?> list = getRequired(name, List.class);
     for (Object element : list) {
       checkType(name, element, type);
     }
@@ -90,7 +90,7 @@
     return checked;
   }
 
-  private <T> T required(String name, Class<T> type) {
+  private <T> T getRequired(String name, Class<T> type) {
     return checkType(name, values.get(name), type);
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/MessageReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/MessageReader.java
@@ -29,7 +29,7 @@
   }
 
   /** Deeper than any message is; bounds the depth of calls. */
-  private static final int DEEPEST = 16;
+  private static final int MAX_DEPTH = 16;
 
   private final MessageUnpacker unpacker;
   private final int length;
@@ -41,35 +41,35 @@
   }
 
   /** Returns a text. */
-  public String text() throws IOException {
-    byte[] bytes = unpacker.readPayload(checked(unpacker.unpackRawStringHeader()));
+  public String readString() throws IOException {
+    byte[] bytes = unpacker.readPayload(checkSize(unpacker.unpackRawStringHeader()));
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
   /** Returns a number. */
-  public long number() throws IOException {
+  public long readLong() throws IOException {
     return unpacker.unpackLong();
   }
 
   /** Returns a number of 32 bits. */
-  public int integer() throws IOException {
+  public int readInt() throws IOException {
     return unpacker.unpackInt();
   }
 
   /** Returns true or false. */
-  public boolean flag() throws IOException {
+  public boolean readBoolean() throws IOException {
     return unpacker.unpackBoolean();
   }
 
   /** Returns bytes. */
-  public byte[] bytes() throws IOException {
-    return unpacker.readPayload(checked(unpacker.unpackBinaryHeader()));
+  public byte[] readBytes() throws IOException {
+    return unpacker.readPayload(checkSize(unpacker.unpackBinaryHeader()));
   }
 
   /** Returns a list, each element read alike. */
-  public <T> List<T> list(ElementReader<T> element) throws IOException {
+  public <T> List<T> readList(ElementReader<T> element) throws IOException {
     int size = unpacker.unpackArrayHeader();
-    List<T> list = new ArrayList<>(checked(size));
+    List<T> list = new ArrayList<>(checkSize(size));
     for (int index = 0; index < size; index++) {
       list.add(element.read(this));
     }
@@ -77,11 +77,11 @@
   }
 
   /** Returns a map by texts, each value read alike. */
-  public <T> Map<String, T> map(ElementReader<T> value) throws IOException {
+  public <T> Map<String, T> readMap(ElementReader<T> value) throws IOException {
     int size = unpacker.unpackMapHeader();
-    Map<String, T> map = new HashMap<>(checked(size));
+    Map<String, T> map = new HashMap<>(checkSize(size));
     for (int index = 0; index < size; index++) {
-      map.put(text(), value.read(this));
+      map.put(readString(), value.read(this));
     }
     return map;
   }
@@ -106,12 +106,12 @@
   }
 
   /** Returns a record that is written as a map; its fields may come in any order. */
-  public MessageFields fields() throws IOException {
-    int size = checked(unpacker.unpackMapHeader());
+  public MessageFields readFields() throws IOException {
+    int size = checkSize(unpacker.unpackMapHeader());
     Map<String, Object> fields = new HashMap<>();
     for (int index = 0; index < size; index++) {
-      String name = text();
-      Object value = plainValue();
+      String name = readString();
+      Object value = readValue();
       if (value != null) {
         fields.put(name, value);
       }
@@ -120,11 +120,11 @@
   }
 
   /** Returns the only field that matters of a record that is written as a map. */
-  public <T> T onlyField(String name, ElementReader<T> value) throws IOException {
+  public <T> T readField(String name, ElementReader<T> value) throws IOException {
     int size = unpacker.unpackMapHeader();
     Optional<T> found = Optional.empty();
     for (int index = 0; index < size; index++) {
-      if (name.equals(text())) {
+      if (name.equals(readString())) {
         found = Optional.of(value.read(this));
       } else {
         skip(1);
@@ -134,30 +134,30 @@
   }
 
   /** Returns a value as Java has it; null for what no message holds, which is passed over. */
-  private @Nullable Object plainValue() throws IOException {
+  private @Nullable Object readValue() throws IOException {
     ValueType type = unpacker.getNextFormat().getValueType();
     switch (type) {
       case STRING:
-        return text();
+        return readString();
       case INTEGER:
-        return number();
+        return readLong();
       case BOOLEAN:
-        return flag();
+        return readBoolean();
       case BINARY:
-        return bytes();
+        return readBytes();
       case ARRAY:
-        return nested(MessageReader::plainList);
+        return readNested(MessageReader::readValueList);
       case MAP:
-        return nested(MessageReader::fields);
+        return readNested(MessageReader::readFields);
       default:
         skip(1);
         return null;
     }
   }
 
-  private <T> T nested(ElementReader<T> value) throws IOException {
-    if (depth == DEEPEST) {
-      throw new IOException("a message must not be nested deeper than " + DEEPEST);
+  private <T> T readNested(ElementReader<T> value) throws IOException {
+    if (depth == MAX_DEPTH) {
+      throw new IOException("a message must not be nested deeper than " + MAX_DEPTH);
     }
     depth++;
     T read = value.read(this);
@@ -165,22 +165,22 @@
     return read;
   }
 
-  private List<@Nullable Object> plainList() throws IOException {
+  private List<@Nullable Object> readValueList() throws IOException {
     int size = unpacker.unpackArrayHeader();
-    List<@Nullable Object> list = new ArrayList<>(checked(size));
+    List<@Nullable Object> list = new ArrayList<>(checkSize(size));
     for (int index = 0; index < size; index++) {
-      list.add(plainValue());
+      list.add(readValue());
     }
     return list;
   }
 
-  void checkEnded() throws IOException {
+  void checkFullyRead() throws IOException {
     if (unpacker.hasNext()) {
       throw new IOException("a frame must hold one message");
     }
   }
 
-  private int checked(int size) throws IOException {
+  private int checkSize(int size) throws IOException {
     if (size > length - unpacker.getTotalReadBytes()) {
       throw new IOException("a length of " + size + " is more than what is left");
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerCodec.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerCodec.java
@@ -15,7 +15,7 @@
   /** Most messages are smaller, in bytes; larger ones take more buffers. */
   private static final int BUFFER_BYTES = 1_024;
 
-  private static final MessagePack.PackerConfig PACKER =
+  private static final MessagePack.PackerConfig PACKER_CONFIG =
       new MessagePack.PackerConfig().withBufferSize(BUFFER_BYTES);
 
   private final Map<Class<?>, MessageFormat<?>> formats = new ConcurrentHashMap<>();
@@ -35,14 +35,14 @@
     @SuppressWarnings("unchecked")
     MessageFormat<T> format = (MessageFormat<T>) formats.get(message.getClass());
     try {
-      return format == null ? BoundFormat.write(message) : write(format, message);
+      return format == null ? ReflectiveCodec.write(message) : write(format, message);
     } catch (IOException e) {
       throw new IllegalArgumentException("message must be writable as MessagePack", e);
     }
   }
 
   static <T> byte[] write(MessageFormat<T> format, T message) throws IOException {
-    try (MessageBufferPacker packer = PACKER.newBufferPacker()) {
+    try (MessageBufferPacker packer = PACKER_CONFIG.newBufferPacker()) {
       format.write(packer, message);
       return packer.toByteArray();
     }
@@ -52,7 +52,7 @@
     @SuppressWarnings("unchecked")
     MessageFormat<T> format = (MessageFormat<T>) formats.get(type);
     try {
-      return format == null ? BoundFormat.read(bytes, type) : read(format, bytes);
+      return format == null ? ReflectiveCodec.read(bytes, type) : read(format, bytes);
     } catch (IOException | RuntimeException e) {
       throw new PeerException("a frame must hold a valid " + type.getSimpleName(), e);
     }
@@ -61,7 +61,7 @@
   static <T> T read(MessageFormat<T> format, byte[] bytes) throws IOException {
     MessageReader reader = new MessageReader(bytes);
     T message = format.read(reader);
-    reader.checkEnded();
+    reader.checkFullyRead();
     return message;
   }
 }
