--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerConnection.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerConnection.java
@@ -28,26 +28,26 @@
 
   private static final String HELLO = "hello";
   private static final String PROOF = "proof";
-  private static final Duration GREETING_LIMIT = Duration.ofSeconds(2);
-  private static final int HANDLED_AT_A_TIME = 4096;
-  private static final int QUEUED_FRAMES = 1024;
+  private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(2);
+  private static final int MAX_CONCURRENT_MESSAGES = 4096;
+  private static final int SEND_QUEUE_CAPACITY = 1024;
 
   /** Questions count from 1, so the answer to a probe is nobody else's. */
-  private static final long PROBE_CORRELATION = -1;
+  private static final long PROBE_CORRELATION_ID = -1;
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY_BODY = {};
 
   private final PeerContext context;
   private final boolean dialed;
   private final Connection connection;
   private final PeerHello ownHello;
   private final Sinks.Many<PeerFrame> outgoing =
-      Sinks.many().unicast().onBackpressureBuffer(new ArrayBlockingQueue<>(QUEUED_FRAMES));
-  private final Map<Long, Sinks.One<byte[]>> awaited = new ConcurrentHashMap<>();
-  private final AtomicLong correlations = new AtomicLong();
-  private volatile @Nullable PeerHello otherHello;
-  private final Disposable.Composite handling = Disposables.composite();
-  private final Sinks.Empty<Void> ended = Sinks.empty();
+      Sinks.many().unicast().onBackpressureBuffer(new ArrayBlockingQueue<>(SEND_QUEUE_CAPACITY));
+  private final Map<Long, Sinks.One<byte[]>> pendingResponses = new ConcurrentHashMap<>();
+  private final AtomicLong lastCorrelationId = new AtomicLong();
+  private volatile @Nullable PeerHello peerHello;
+  private final Disposable.Composite messagesInFlight = Disposables.composite();
+  private final Sinks.Empty<Void> closed = Sinks.empty();
   private final PeerProbe probe;
   private volatile boolean open;
 
@@ -58,7 +58,7 @@
     this.ownHello = context.newHello();
     this.probe =
         new PeerProbe(
-            context.scheduler(), MonotonicClock.system(), this::sendProbe, this::closeSilent);
+            context.scheduler(), MonotonicClock.system(), this::sendProbe, this::closeUnresponsive);
   }
 
   /** Greets, then handles frames until either side closes. */
@@ -74,8 +74,8 @@
             .concatMap(frame -> receive(frame.getT1(), frame.getT2()))
             .then();
     Mono<Void> greetingLimit =
-        Mono.delay(GREETING_LIMIT, context.scheduler())
-            .flatMap(tick -> open ? Mono.<Void>never() : Mono.error(refused("greeting too slow")));
+        Mono.delay(HANDSHAKE_TIMEOUT, context.scheduler())
+            .flatMap(tick -> open ? Mono.<Void>never() : Mono.error(failure("greeting too slow")));
     return Mono.firstWithSignal(sending, receiving, greetingLimit)
         .doOnError(e -> Logger.debug(e, "peer connection ended"))
         .onErrorComplete()
@@ -87,39 +87,39 @@
   }
 
   /** Returns what completes once the connection has been closed. */
-  Mono<Void> ended() {
-    return ended.asMono();
+  Mono<Void> onClosed() {
+    return closed.asMono();
   }
 
-  boolean dialedBySmaller() {
+  boolean isDialedByLowerId() {
     String other = identity().boxId();
     return dialed == (ownHello.boxId().compareTo(other) < 0);
   }
 
   PeerIdentity identity() {
-    PeerHello hello = otherHello;
+    PeerHello hello = peerHello;
     return hello == null
         ? new PeerIdentity("", 0)
         : new PeerIdentity(hello.boxId(), hello.incarnation());
   }
 
-  void tell(String type, byte[] body) {
+  void send(String type, byte[] body) {
     enqueue(new PeerFrame(type, 0, false, body));
-    probe.sent();
+    probe.recordSent();
   }
 
-  Mono<byte[]> ask(String type, byte[] body, Duration limit) {
+  Mono<byte[]> request(String type, byte[] body, Duration limit) {
     return Mono.defer(
         () -> {
-          long correlation = correlations.incrementAndGet();
+          long correlation = lastCorrelationId.incrementAndGet();
           Sinks.One<byte[]> answer = Sinks.one();
-          awaited.put(correlation, answer);
+          pendingResponses.put(correlation, answer);
           enqueue(new PeerFrame(type, correlation, false, body));
-          probe.sent();
+          probe.recordSent();
           return answer
               .asMono()
               .timeout(limit, context.scheduler())
-              .doFinally(signal -> awaited.remove(correlation));
+              .doFinally(signal -> pendingResponses.remove(correlation));
         });
   }
 
@@ -127,61 +127,61 @@
     boolean wasOpen = open;
     open = false;
     outgoing.tryEmitComplete();
-    awaited.values().forEach(sink -> sink.tryEmitError(refused("connection closed")));
+    pendingResponses.values().forEach(sink -> sink.tryEmitError(failure("connection closed")));
     connection.dispose();
-    handling.dispose();
+    messagesInFlight.dispose();
     probe.dispose();
     if (wasOpen) {
-      context.closed(this);
+      context.connectionClosed(this);
     }
-    ended.tryEmitEmpty();
+    closed.tryEmitEmpty();
   }
 
   private Mono<Void> receive(long index, byte[] bytes) {
     PeerFrame frame = context.codec().decode(bytes, PeerFrame.class);
     if (index == 0) {
-      return greet(frame);
+      return receiveHello(frame);
     }
     if (index == 1) {
-      return checkProof(frame);
+      return receiveProof(frame);
     }
     count(frame.type(), "in", bytes.length);
-    probe.received();
-    return frame.answer() ? completeAwaited(frame) : startHandling(frame);
+    probe.recordReceived();
+    return frame.answer() ? completePending(frame) : startHandling(frame);
   }
 
   private void sendProbe() {
-    byte[] body = context.codec().encode(NOTHING);
-    enqueue(new PeerFrame(PeerProbe.MESSAGE.name(), PROBE_CORRELATION, false, body));
+    byte[] body = context.codec().encode(EMPTY_BODY);
+    enqueue(new PeerFrame(PeerProbe.MESSAGE_TYPE.name(), PROBE_CORRELATION_ID, false, body));
   }
 
-  private void closeSilent() {
+  private void closeUnresponsive() {
     context.metrics().stateChange("peer-silent");
     Logger.info("peer silent, connection closed: box={}", identity().boxId());
     close();
   }
 
-  private Mono<Void> greet(PeerFrame frame) {
+  private Mono<Void> receiveHello(PeerFrame frame) {
     PeerHello hello = context.codec().decode(expect(HELLO, frame).body(), PeerHello.class);
     if (hello.protocolVersion() != PeerHello.PROTOCOL_VERSION) {
-      return Mono.error(refused("protocol version " + hello.protocolVersion() + " is not spoken"));
+      return Mono.error(failure("protocol version " + hello.protocolVersion() + " is not spoken"));
     }
-    otherHello = hello;
+    peerHello = hello;
     byte[] proof = context.secret().proof(hello.nonce(), ownHello, dialed);
     enqueue(new PeerFrame(PROOF, 0, false, context.codec().encode(proof)));
     return Mono.empty();
   }
 
-  private Mono<Void> checkProof(PeerFrame frame) {
+  private Mono<Void> receiveProof(PeerFrame frame) {
     byte[] proof = context.codec().decode(expect(PROOF, frame).body(), byte[].class);
-    PeerHello hello = Optional.ofNullable(otherHello).orElseThrow();
-    if (!context.secret().accepts(proof, ownHello.nonce(), hello, !dialed)) {
+    PeerHello hello = Optional.ofNullable(peerHello).orElseThrow();
+    if (!context.secret().isValidProof(proof, ownHello.nonce(), hello, !dialed)) {
       context.metrics().stateChange("peer-refused");
-      return Mono.error(refused("the secret is not the same"));
+      return Mono.error(failure("the secret is not the same"));
     }
     open = true;
-    if (!context.opened(this)) {
-      return Mono.error(refused("another connection to the same peer is kept"));
+    if (!context.connectionOpened(this)) {
+      return Mono.error(failure("another connection to the same peer is kept"));
     }
     return Mono.empty();
   }
@@ -191,12 +191,12 @@
    * after it, such as a heartbeat, must not wait for that.
    */
   private Mono<Void> startHandling(PeerFrame frame) {
-    if (handling.size() >= HANDLED_AT_A_TIME) {
-      return Mono.error(refused("too many messages at a time"));
+    if (messagesInFlight.size() >= MAX_CONCURRENT_MESSAGES) {
+      return Mono.error(failure("too many messages at a time"));
     }
     Disposable.Swap running = Disposables.swap();
-    handling.add(running);
-    running.update(handle(frame).doFinally(signal -> handling.remove(running)).subscribe());
+    messagesInFlight.add(running);
+    running.update(handle(frame).doFinally(signal -> messagesInFlight.remove(running)).subscribe());
     return Mono.empty();
   }
 
@@ -210,8 +210,8 @@
         .then();
   }
 
-  private Mono<Void> completeAwaited(PeerFrame frame) {
-    Optional.ofNullable(awaited.get(frame.correlation()))
+  private Mono<Void> completePending(PeerFrame frame) {
+    Optional.ofNullable(pendingResponses.get(frame.correlation()))
         .ifPresent(sink -> sink.tryEmitValue(frame.body()));
     return Mono.empty();
   }
@@ -229,23 +229,23 @@
   private ByteBuf encodeAndCount(PeerFrame frame) {
     byte[] bytes = context.codec().encode(frame);
     count(frame.type(), "out", bytes.length);
-    ByteBuf framed = Unpooled.buffer(PeerTransport.LENGTH_BYTES + bytes.length);
+    ByteBuf framed = Unpooled.buffer(PeerTransport.LENGTH_FIELD_BYTES + bytes.length);
     return framed.writeInt(bytes.length).writeBytes(bytes);
   }
 
   private void count(String type, String direction, int bytes) {
-    String known = context.handlers().knows(type) ? type : "other";
-    context.metrics().peerMessage(known, direction, bytes + PeerTransport.LENGTH_BYTES);
+    String known = context.handlers().isRegistered(type) ? type : "other";
+    context.metrics().peerMessage(known, direction, bytes + PeerTransport.LENGTH_FIELD_BYTES);
   }
 
   private static PeerFrame expect(String type, PeerFrame frame) {
     if (!type.equals(frame.type())) {
-      throw refused("expected " + type + " but got another frame");
+      throw failure("expected " + type + " but got another frame");
     }
     return frame;
   }
 
-  private static PeerException refused(String why) {
+  private static PeerException failure(String why) {
     return new PeerException(why, null);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerContext.java
@@ -21,8 +21,8 @@
   PeerHello newHello();
 
   /** Called once the other side is proved; returns whether the connection is to be kept. */
-  boolean opened(PeerConnection connection);
+  boolean connectionOpened(PeerConnection connection);
 
   /** Called once an opened connection is closed. */
-  void closed(PeerConnection connection);
+  void connectionClosed(PeerConnection connection);
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerDialer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerDialer.java
@@ -18,19 +18,19 @@
 final class PeerDialer implements Disposable {
 
   /** A peer that has just started answers within a few tens of milliseconds. */
-  private static final Duration FIRST_BACKOFF = Duration.ofMillis(50);
+  private static final Duration MIN_BACKOFF = Duration.ofMillis(50);
 
   /** Bounds both the dials to a peer that is away and the time until one that is back is met. */
-  private static final Duration LONGEST_BACKOFF = Duration.ofMillis(400);
+  private static final Duration MAX_BACKOFF = Duration.ofMillis(400);
 
   /** Spreads the dials of many boxes to one that comes back. */
   private static final double JITTER = 0.5;
 
-  private final Supplier<Optional<PeerConnection>> open;
+  private final Supplier<Optional<PeerConnection>> openConnection;
   private final Supplier<Mono<Void>> dial;
   private final AtomicBoolean dialing = new AtomicBoolean();
   private volatile boolean failed;
-  private final Runnable onDialEnd;
+  private final Runnable dialEndListener;
   private final Disposable task;
 
   /**
@@ -46,15 +46,15 @@
       Supplier<Mono<Void>> dial,
       Scheduler scheduler,
       Runnable onDialEnd) {
-    this.open = open;
+    this.openConnection = open;
     this.dial = dial;
-    this.onDialEnd = onDialEnd;
+    this.dialEndListener = onDialEnd;
     this.task =
-        Mono.defer(this::connection)
+        Mono.defer(this::awaitConnectionEnd)
             .then(Mono.error(() -> PeerException.notConnected(peer.boxId())))
             .retryWhen(
-                Retry.backoff(Long.MAX_VALUE, FIRST_BACKOFF)
-                    .maxBackoff(LONGEST_BACKOFF)
+                Retry.backoff(Long.MAX_VALUE, MIN_BACKOFF)
+                    .maxBackoff(MAX_BACKOFF)
                     .jitter(JITTER)
                     .scheduler(scheduler))
             .subscribe(
@@ -68,27 +68,27 @@
 
   /** Returns whether the last dial came to nothing and no connection was opened since. */
   boolean hasFailed() {
-    return failed && open.get().isEmpty();
+    return failed && openConnection.get().isEmpty();
   }
 
-  private Mono<Void> connection() {
-    return open.get().map(PeerConnection::ended).orElseGet(this::dialOnce);
+  private Mono<Void> awaitConnectionEnd() {
+    return openConnection.get().map(PeerConnection::onClosed).orElseGet(this::dialOnce);
   }
 
   private Mono<Void> dialOnce() {
     dialing.set(true);
-    return dial.get().doFinally(signal -> dialEnded());
+    return dial.get().doFinally(signal -> onDialEnd());
   }
 
-  private void dialEnded() {
+  private void onDialEnd() {
     if (dialing.getAndSet(false)) {
       failed = true;
     }
-    onDialEnd.run();
+    dialEndListener.run();
   }
 
   /** Notes that a connection to the peer is open. */
-  void opened() {
+  void connectionOpened() {
     dialing.set(false);
     failed = false;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerDialers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerDialers.java
@@ -15,11 +15,11 @@
 /** The peers that a box keeps up connections with, and who waits for one to open. Thread-safe. */
 final class PeerDialers {
 
-  private final Function<PeerAddress, Optional<PeerConnection>> open;
+  private final Function<PeerAddress, Optional<PeerConnection>> openConnection;
   private final Function<PeerAddress, Mono<Void>> dial;
   private final Scheduler scheduler;
-  private final Map<PeerAddress, PeerDialer> byPeer = new ConcurrentHashMap<>();
-  private final Map<String, Sinks.Empty<Void>> awaitingOpen = new ConcurrentHashMap<>();
+  private final Map<PeerAddress, PeerDialer> dialersByPeer = new ConcurrentHashMap<>();
+  private final Map<String, Sinks.Empty<Void>> pendingConnections = new ConcurrentHashMap<>();
   private volatile boolean stopped;
 
   /**
@@ -33,40 +33,42 @@
       Function<PeerAddress, Optional<PeerConnection>> open,
       Function<PeerAddress, Mono<Void>> dial,
       Scheduler scheduler) {
-    this.open = open;
+    this.openConnection = open;
     this.dial = dial;
     this.scheduler = scheduler;
   }
 
   /** Keeps up connections with some peers; returns those that none is kept up with any more. */
-  synchronized List<PeerAddress> keepUp(Collection<PeerAddress> peers) {
+  synchronized List<PeerAddress> maintainConnections(Collection<PeerAddress> peers) {
     Set<PeerAddress> wanted = stopped ? Set.of() : Set.copyOf(peers);
     List<PeerAddress> unwanted =
-        byPeer.keySet().stream().filter(address -> !wanted.contains(address)).toList();
-    unwanted.forEach(address -> byPeer.remove(address).dispose());
-    wanted.forEach(this::dialer);
+        dialersByPeer.keySet().stream().filter(address -> !wanted.contains(address)).toList();
+    unwanted.forEach(address -> dialersByPeer.remove(address).dispose());
+    wanted.forEach(this::getOrCreateDialer);
     return unwanted;
   }
 
   /** Keeps up no connection and dials nobody from now on. */
   synchronized void stop() {
     stopped = true;
-    byPeer.values().forEach(PeerDialer::dispose);
-    byPeer.clear();
+    dialersByPeer.values().forEach(PeerDialer::dispose);
+    dialersByPeer.clear();
   }
 
   /** Completes once a peer is connected; see {@link PeerNetwork#connect}. */
   Mono<Void> connect(PeerAddress peer, Duration limit) {
-    return Mono.defer(() -> open.apply(peer).isPresent() ? Mono.empty() : opening(peer, limit));
+    return Mono.defer(
+        () -> openConnection.apply(peer).isPresent() ? Mono.empty() : awaitConnection(peer, limit));
   }
 
-  private Mono<Void> opening(PeerAddress peer, Duration limit) {
+  private Mono<Void> awaitConnection(PeerAddress peer, Duration limit) {
     if (stopped) {
       return Mono.error(PeerException.notConnected(peer.boxId()));
     }
-    Sinks.Empty<Void> opening = awaitingOpen.computeIfAbsent(peer.boxId(), id -> Sinks.empty());
-    if (!dialer(peer).isDialing()) {
-      dialEnded(peer);
+    Sinks.Empty<Void> opening =
+        pendingConnections.computeIfAbsent(peer.boxId(), id -> Sinks.empty());
+    if (!getOrCreateDialer(peer).isDialing()) {
+      failIfNotConnected(peer);
     }
     return opening
         .asMono()
@@ -75,36 +77,40 @@
 
   /** Returns whether the last dial of a peer came to nothing; it is dialed again meanwhile. */
   boolean isUnreachable(PeerAddress peer) {
-    return Optional.ofNullable(byPeer.get(peer)).filter(PeerDialer::hasFailed).isPresent();
+    return Optional.ofNullable(dialersByPeer.get(peer)).filter(PeerDialer::hasFailed).isPresent();
   }
 
   /** Notes that a connection to a peer is open, whichever side has dialed it. */
-  synchronized void opened(String boxId) {
-    byPeer.forEach((peer, dialer) -> noteOpened(peer, dialer, boxId));
-    Optional.ofNullable(awaitingOpen.remove(boxId)).ifPresent(Sinks.Empty::tryEmitEmpty);
+  synchronized void connectionOpened(String boxId) {
+    dialersByPeer.forEach((peer, dialer) -> markOpened(peer, dialer, boxId));
+    Optional.ofNullable(pendingConnections.remove(boxId)).ifPresent(Sinks.Empty::tryEmitEmpty);
   }
 
-  private static void noteOpened(PeerAddress peer, PeerDialer dialer, String boxId) {
+  private static void markOpened(PeerAddress peer, PeerDialer dialer, String boxId) {
     if (peer.boxId().equals(boxId)) {
-      dialer.opened();
+      dialer.connectionOpened();
     }
   }
 
-  private synchronized PeerDialer dialer(PeerAddress peer) {
-    PeerDialer existing = byPeer.get(peer);
+  private synchronized PeerDialer getOrCreateDialer(PeerAddress peer) {
+    PeerDialer existing = dialersByPeer.get(peer);
     if (existing != null) {
       return existing;
     }
     PeerDialer dialer =
         new PeerDialer(
-            peer, () -> open.apply(peer), () -> dial.apply(peer), scheduler, () -> dialEnded(peer));
-    byPeer.put(peer, dialer);
+            peer,
+            () -> openConnection.apply(peer),
+            () -> dial.apply(peer),
+            scheduler,
+            () -> failIfNotConnected(peer));
+    dialersByPeer.put(peer, dialer);
     return dialer;
   }
 
-  private void dialEnded(PeerAddress peer) {
-    if (open.apply(peer).isEmpty()) {
-      Optional.ofNullable(awaitingOpen.remove(peer.boxId()))
+  private void failIfNotConnected(PeerAddress peer) {
+    if (openConnection.apply(peer).isEmpty()) {
+      Optional.ofNullable(pendingConnections.remove(peer.boxId()))
           .ifPresent(opening -> opening.tryEmitError(PeerException.notConnected(peer.boxId())));
     }
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerFrameFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerFrameFormat.java
@@ -21,7 +21,9 @@
   @Override
   public PeerFrame read(MessageReader reader) throws IOException {
     int more = reader.beginRecord(FIELDS);
-    PeerFrame frame = new PeerFrame(reader.text(), reader.number(), reader.flag(), reader.bytes());
+    PeerFrame frame =
+        new PeerFrame(
+            reader.readString(), reader.readLong(), reader.readBoolean(), reader.readBytes());
     reader.skip(more);
     return frame;
   }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHandlers.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHandlers.java
@@ -15,7 +15,7 @@
     }
   }
 
-  private final Map<String, Registration<?>> byName = new ConcurrentHashMap<>();
+  private final Map<String, Registration<?>> registrationsByType = new ConcurrentHashMap<>();
   private final PeerCodec codec;
 
   PeerHandlers(PeerCodec codec) {
@@ -23,16 +23,16 @@
   }
 
   <T> void register(PeerMessageType<T> type, PeerHandler<T> handler) {
-    byName.put(type.name(), new Registration<>(type, handler));
+    registrationsByType.put(type.name(), new Registration<>(type, handler));
   }
 
-  boolean knows(String type) {
-    return byName.containsKey(type);
+  boolean isRegistered(String type) {
+    return registrationsByType.containsKey(type);
   }
 
   /** Returns the answer in MessagePack; unknown messages are passed over, for newer peers' sake. */
   Mono<byte[]> handle(PeerIdentity from, PeerFrame frame) {
-    return Optional.<Registration<?>>ofNullable(byName.get(frame.type()))
+    return Optional.<Registration<?>>ofNullable(registrationsByType.get(frame.type()))
         .<Mono<byte[]>>map(
             registration -> registration.handle(codec, from, frame.body()).map(codec::encode))
         .orElseGet(Mono::empty);
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHelloFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerHelloFormat.java
@@ -23,11 +23,11 @@
 
   @Override
   public PeerHello read(MessageReader reader) throws IOException {
-    MessageFields fields = reader.fields();
+    MessageFields fields = reader.readFields();
     return new PeerHello(
-        fields.integer(PROTOCOL_VERSION),
-        fields.text(BOX_ID),
-        fields.number(INCARNATION),
-        fields.bytes(NONCE));
+        fields.getInt(PROTOCOL_VERSION),
+        fields.getString(BOX_ID),
+        fields.getLong(INCARNATION),
+        fields.getBytes(NONCE));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerNetwork.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerNetwork.java
@@ -31,7 +31,7 @@
   private final BoxMetrics metrics;
   private final PeerCodec codec = new PeerCodec();
   private final PeerHandlers handlers = new PeerHandlers(codec);
-  private final Map<String, PeerConnection> open = new ConcurrentHashMap<>();
+  private final Map<String, PeerConnection> connections = new ConcurrentHashMap<>();
   private final PeerDialers dialers;
   private boolean closed;
   private volatile long incarnation;
@@ -44,10 +44,10 @@
     this.metrics = metrics;
     this.dialers =
         new PeerDialers(
-            this::openTo,
+            this::findOpenConnection,
             peer -> transport.dial(peer.socketAddress(), this),
             transport.scheduler());
-    handlers.register(PeerProbe.MESSAGE, (from, probe) -> Mono.just(probe));
+    handlers.register(PeerProbe.MESSAGE_TYPE, (from, probe) -> Mono.just(probe));
   }
 
   /** Handles messages of a type from now on. */
@@ -68,20 +68,20 @@
   /** Sets the incarnation that greetings name; connections made under an older one are closed. */
   public void setIncarnation(long value) {
     incarnation = value;
-    open.values().forEach(PeerConnection::close);
+    connections.values().forEach(PeerConnection::close);
   }
 
   /** Sets which peers to be connected with; connections with all others are closed. */
   public void setPeers(Collection<PeerAddress> peers) {
-    dialers.keepUp(peers).forEach(this::close);
+    dialers.maintainConnections(peers).forEach(this::close);
   }
 
   /**
    * Sets which peers to keep up connections with. Unlike {@link #setPeers}, a connection that the
    * other side has dialed stays open, as the other side may still want it.
    */
-  public void keepUp(Collection<PeerAddress> peers) {
-    dialers.keepUp(peers);
+  public void maintainConnections(Collection<PeerAddress> peers) {
+    dialers.maintainConnections(peers);
   }
 
   /**
@@ -99,52 +99,52 @@
   }
 
   /** Returns the peers whose connections are up. */
-  public Set<PeerIdentity> connected() {
-    return open.values().stream().map(PeerConnection::identity).collect(Collectors.toSet());
+  public Set<PeerIdentity> connectedPeers() {
+    return connections.values().stream().map(PeerConnection::identity).collect(Collectors.toSet());
   }
 
   /** Sends a message if the peer is connected, else does nothing. */
-  public <T> void tell(String peerId, PeerMessageType<T> type, T message) {
-    PeerConnection connection = open.get(peerId);
+  public <T> void send(String peerId, PeerMessageType<T> type, T message) {
+    PeerConnection connection = connections.get(peerId);
     if (connection != null) {
-      connection.tell(type.name(), codec.encode(message));
+      connection.send(type.name(), codec.encode(message));
     }
   }
 
   /** Sends a message to those of some peers that are connected. */
-  public <T> void tellEach(Collection<String> peerIds, PeerMessageType<T> type, T message) {
+  public <T> void sendToEach(Collection<String> peerIds, PeerMessageType<T> type, T message) {
     if (peerIds.isEmpty()) {
       return;
     }
     byte[] body = codec.encode(message);
     peerIds.stream()
-        .flatMap(peerId -> Optional.ofNullable(open.get(peerId)).stream())
-        .forEach(connection -> connection.tell(type.name(), body));
+        .flatMap(peerId -> Optional.ofNullable(connections.get(peerId)).stream())
+        .forEach(connection -> connection.send(type.name(), body));
   }
 
   /** Returns the names of the peers whose connections are up. */
   public Set<String> connectedIds() {
-    return Set.copyOf(open.keySet());
+    return Set.copyOf(connections.keySet());
   }
 
   /** Sends a message to all connected peers. */
-  public <T> void tellAll(PeerMessageType<T> type, T message) {
+  public <T> void sendToAll(PeerMessageType<T> type, T message) {
     byte[] body = codec.encode(message);
-    open.values().forEach(connection -> connection.tell(type.name(), body));
+    connections.values().forEach(connection -> connection.send(type.name(), body));
   }
 
   /**
    * Sends a message and returns the peer's answer; fails with {@link PeerException} where the peer
    * is not connected or does not answer within the limit.
    */
-  public <T, A> Mono<A> ask(
+  public <T, A> Mono<A> request(
       String peerId, PeerMessageType<T> type, T message, Class<A> answerType, Duration limit) {
     return Mono.defer(
             () -> {
-              PeerConnection connection = open.get(peerId);
+              PeerConnection connection = connections.get(peerId);
               return connection == null
                   ? Mono.<byte[]>error(PeerException.notConnected(peerId))
-                  : connection.ask(type.name(), codec.encode(message), limit);
+                  : connection.request(type.name(), codec.encode(message), limit);
             })
         .map(body -> codec.decode(body, answerType))
         .onErrorMap(
@@ -154,7 +154,7 @@
 
   /** Closes the connection to a peer that is not heard on it any more; it is dialed again. */
   public void disconnect(String peerId) {
-    PeerConnection connection = open.get(peerId);
+    PeerConnection connection = connections.get(peerId);
     if (connection != null) {
       connection.close();
     }
@@ -166,35 +166,35 @@
       closed = true;
     }
     dialers.stop();
-    open.values().forEach(PeerConnection::close);
+    connections.values().forEach(PeerConnection::close);
   }
 
-  private Optional<PeerConnection> openTo(PeerAddress peer) {
-    return Optional.ofNullable(open.get(peer.boxId()))
+  private Optional<PeerConnection> findOpenConnection(PeerAddress peer) {
+    return Optional.ofNullable(connections.get(peer.boxId()))
         .filter(PeerConnection::isOpen)
         .filter(connection -> connection.identity().incarnation() >= peer.incarnation());
   }
 
   private void close(PeerAddress address) {
-    PeerConnection connection = open.get(address.boxId());
+    PeerConnection connection = connections.get(address.boxId());
     if (connection != null && connection.identity().incarnation() <= address.incarnation()) {
       connection.close();
     }
   }
 
   @Override
-  public synchronized boolean opened(PeerConnection connection) {
+  public synchronized boolean connectionOpened(PeerConnection connection) {
     if (closed) {
       // Its greeting was under way when the network was closed; nothing would end it later.
       return false;
     }
     PeerIdentity identity = connection.identity();
-    PeerConnection existing = open.get(identity.boxId());
-    if (existing != null && existing.isOpen() && prefers(existing, connection)) {
+    PeerConnection existing = connections.get(identity.boxId());
+    if (existing != null && existing.isOpen() && isPreferred(existing, connection)) {
       return false;
     }
-    open.put(identity.boxId(), connection);
-    dialers.opened(identity.boxId());
+    connections.put(identity.boxId(), connection);
+    dialers.connectionOpened(identity.boxId());
     if (existing != null) {
       existing.close();
     }
@@ -203,17 +203,17 @@
     return true;
   }
 
-  private static boolean prefers(PeerConnection existing, PeerConnection other) {
+  private static boolean isPreferred(PeerConnection existing, PeerConnection other) {
     long existingIncarnation = existing.identity().incarnation();
     long otherIncarnation = other.identity().incarnation();
     return existingIncarnation == otherIncarnation
-        ? existing.dialedBySmaller() && !other.dialedBySmaller()
+        ? existing.isDialedByLowerId() && !other.isDialedByLowerId()
         : existingIncarnation > otherIncarnation;
   }
 
   @Override
-  public void closed(PeerConnection connection) {
-    if (open.remove(connection.identity().boxId(), connection)) {
+  public void connectionClosed(PeerConnection connection) {
+    if (connections.remove(connection.identity().boxId(), connection)) {
       metrics.stateChange("peer-lost");
       Logger.info("peer lost: box={}", connection.identity().boxId());
     }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerProbe.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerProbe.java
@@ -18,20 +18,20 @@
 final class PeerProbe implements Disposable {
 
   /** The probe; the peer answers with the same. */
-  static final PeerMessageType<byte[]> MESSAGE = new PeerMessageType<>("probe", byte[].class);
+  static final PeerMessageType<byte[]> MESSAGE_TYPE = new PeerMessageType<>("probe", byte[].class);
 
   /** Longer than the time between two digests of a relay, so that relays are not probed. */
-  private static final Duration QUIET = Duration.ofMillis(1_500);
+  private static final Duration IDLE_THRESHOLD = Duration.ofMillis(1_500);
 
   /** Well above what a busy box takes to answer, well below the time after which it is lost. */
-  private static final Duration ANSWER_LIMIT = Duration.ofMillis(1_500);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_500);
 
   private final Scheduler scheduler;
   private final MonotonicClock clock;
-  private final Runnable send;
-  private final Runnable onSilent;
-  private final Disposable.Swap waiting = Disposables.swap();
-  private long receivedNanos;
+  private final Runnable sendProbe;
+  private final Runnable onTimeout;
+  private final Disposable.Swap timeoutTask = Disposables.swap();
+  private long lastReceivedNanos;
   private boolean probing;
 
   /**
@@ -43,48 +43,48 @@
   PeerProbe(Scheduler scheduler, MonotonicClock clock, Runnable send, Runnable onSilent) {
     this.scheduler = scheduler;
     this.clock = clock;
-    this.send = send;
-    this.onSilent = onSilent;
-    this.receivedNanos = clock.nanos();
+    this.sendProbe = send;
+    this.onTimeout = onSilent;
+    this.lastReceivedNanos = clock.nanos();
   }
 
   /** Notes that something came. */
-  synchronized void received() {
-    receivedNanos = clock.nanos();
+  synchronized void recordReceived() {
+    lastReceivedNanos = clock.nanos();
   }
 
   /** Notes that something was sent; probes if nothing came for a while. */
-  void sent() {
-    if (begins()) {
+  void recordSent() {
+    if (tryStartProbe()) {
       long sentNanos = clock.nanos();
-      send.run();
-      waiting.update(
+      sendProbe.run();
+      timeoutTask.update(
           scheduler.schedule(
-              () -> look(sentNanos), ANSWER_LIMIT.toMillis(), TimeUnit.MILLISECONDS));
+              () -> checkResponse(sentNanos), RESPONSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS));
     }
   }
 
-  private synchronized boolean begins() {
-    if (probing || clock.nanos() - receivedNanos < QUIET.toNanos()) {
+  private synchronized boolean tryStartProbe() {
+    if (probing || clock.nanos() - lastReceivedNanos < IDLE_THRESHOLD.toNanos()) {
       return false;
     }
     probing = true;
     return true;
   }
 
-  private void look(long sentNanos) {
-    if (!heardSince(sentNanos)) {
-      onSilent.run();
+  private void checkResponse(long sentNanos) {
+    if (!finishProbe(sentNanos)) {
+      onTimeout.run();
     }
   }
 
-  private synchronized boolean heardSince(long sentNanos) {
+  private synchronized boolean finishProbe(long sentNanos) {
     probing = false;
-    return receivedNanos - sentNanos >= 0;
+    return lastReceivedNanos - sentNanos >= 0;
   }
 
   @Override
   public void dispose() {
-    waiting.dispose();
+    timeoutTask.dispose();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerSecret.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerSecret.java
@@ -15,12 +15,12 @@
 
   private static final int NONCE_BYTES = 16;
 
-  private final KeyedHash hash;
+  private final HmacSha256 hmac;
   private final SecureRandom random = new SecureRandom();
 
   /** Creates the secret from its text. */
   public PeerSecret(String text) {
-    this.hash = new KeyedHash(text);
+    this.hmac = new HmacSha256(text);
   }
 
   byte[] newNonce() {
@@ -31,14 +31,14 @@
 
   /** Returns the proof that a side owes: over the nonce it was sent, its name and its direction. */
   byte[] proof(byte[] nonce, PeerHello prover, boolean dialer) {
-    return hash.of(
+    return hmac.compute(
         nonce,
         new byte[] {(byte) (dialer ? 1 : 0)},
         ByteBuffer.allocate(Long.BYTES).putLong(0, prover.incarnation()).array(),
         prover.boxId().getBytes(StandardCharsets.UTF_8));
   }
 
-  boolean accepts(byte[] given, byte[] nonce, PeerHello prover, boolean dialer) {
+  boolean isValidProof(byte[] given, byte[] nonce, PeerHello prover, boolean dialer) {
     return MessageDigest.isEqual(given, proof(nonce, prover, dialer));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/PeerTransport.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/PeerTransport.java
@@ -23,7 +23,7 @@
  */
 public final class PeerTransport {
 
-  static final int LENGTH_BYTES = 4;
+  static final int LENGTH_FIELD_BYTES = 4;
   private static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
   private static final int CONNECT_MILLIS = 1_000;
 
@@ -97,7 +97,8 @@
 
   private static void addFraming(Connection connection) {
     ChannelHandler decoder =
-        new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
+        new LengthFieldBasedFrameDecoder(
+            MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES);
     connection.addHandlerLast("frame-decoder", decoder);
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/peer/BoundFormat.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/peer/ReflectiveCodec.java
@@ -13,7 +13,7 @@
  * Binds types of messages that have no format of their own to fields by reflection. It is loaded
  * when the first of them is written or read, as a young box pays for what it loads.
  */
-final class BoundFormat {
+final class ReflectiveCodec {
 
   private static final ObjectMapper MAPPER =
       new ObjectMapper(new MessagePackFactory())
@@ -22,14 +22,14 @@
           .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
           .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-  private BoundFormat() {}
+  private ReflectiveCodec() {}
 
   static byte[] write(Object message) throws IOException {
     return MAPPER.writeValueAsBytes(message);
   }
 
   static <T> T read(byte[] bytes, Class<T> type) throws IOException {
-    checkLengths(bytes);
+    checkStructure(bytes);
     T message = MAPPER.readValue(bytes, type);
     if (message == null) {
       throw new IOException("a frame must hold a message of " + type.getSimpleName());
@@ -41,7 +41,7 @@
    * A value may claim a length of gigabytes in five bytes, and the mapper would allocate it before
    * it found the rest missing; skipping finds it without allocating.
    */
-  private static void checkLengths(byte[] bytes) throws IOException {
+  private static void checkStructure(byte[] bytes) throws IOException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       unpacker.skipValue();
       if (unpacker.hasNext()) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/AdmittedRequest.java
@@ -22,7 +22,7 @@
 
   /** Returns the service that the request is routed to. */
   String service() {
-    return route.serviceFor(request.id().hashCode());
+    return route.selectService(request.id().hashCode());
   }
 
   /**
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeContext.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/ExchangeContext.java
@@ -38,7 +38,7 @@
     String service = admitted.service();
     RequestClock clock =
         new RequestClock(
-            services.clock(), admitted.timeoutMillis(), admitted.route().targetMillis());
+            services.clock(), admitted.timeoutMillis(), admitted.route().targetLatencyMillis());
     StageTimeline timeline = new StageTimeline(clock);
     UpstreamCandidates candidates = new UpstreamCandidates(services, service, admitted.request());
     StagePlan plan =
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayHandler.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayHandler.java
@@ -77,10 +77,10 @@
     }
     Optional<ClientAccount> account =
         request.accountKey().flatMap(key -> Optional.ofNullable(deployment.accounts().get(key)));
-    if (deployment.keysRequired() && !route.get().open() && account.isEmpty()) {
+    if (deployment.keysRequired() && !route.get().publicAccess() && account.isEmpty()) {
       return refuse(request, Refusal.UNKNOWN_KEY, response);
     }
-    if (request.body().length > deployment.bounds().bodyBytes()) {
+    if (request.body().length > deployment.callerLimits().maxBodyBytes()) {
       return refuse(request, Refusal.BODY_TOO_LARGE, response);
     }
     AdmittedRequest admitted = new AdmittedRequest(request, deployment, route.get(), account);
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServer.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServer.java
@@ -9,7 +9,7 @@
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.time.Duration;
-import org.gradeledge.deployment.CallerBounds;
+import org.gradeledge.deployment.CallerLimits;
 import org.gradeledge.deployment.Deployment;
 import org.gradeledge.deployment.DeploymentRegistry;
 import org.reactivestreams.Publisher;
@@ -109,8 +109,8 @@
     long limit =
         deployments
             .current()
-            .map(Deployment::bounds)
-            .map(CallerBounds::bodyBytes)
+            .map(Deployment::callerLimits)
+            .map(CallerLimits::maxBodyBytes)
             .orElse(DEFAULT_MAX_BODY_BYTES);
     return request
         .receive()
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageEstimator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageEstimator.java
@@ -47,7 +47,7 @@
   private double completionMillis(int stage, double[] completionMillis) {
     StageWork work = stages.get(stage);
     double inputsReady =
-        work.after().stream()
+        work.dependencies().stream()
             .mapToDouble(predecessor -> completionMillis[predecessor])
             .max()
             .orElse(0);
@@ -65,7 +65,7 @@
   double downstreamMillis(int stage) {
     double longest = 0;
     for (int next = stage + 1; next < stages.size(); next++) {
-      if (hasPieces(next) && stages.get(next).after().contains(stage)) {
+      if (hasPieces(next) && stages.get(next).dependencies().contains(stage)) {
         longest = Math.max(longest, callMillis(next, 0) + downstreamMillis(next));
       }
     }
@@ -84,13 +84,13 @@
   private double callMillis(int stage, int otherPieces) {
     return deployment
         .service(stages.get(stage).service())
-        .flatMap(ServiceDefinition::batch)
+        .flatMap(ServiceDefinition::batchLimits)
         .map(batch -> batch.expectedMillis(itemsInCall(stage, otherPieces, batch)))
         .orElse(0.0);
   }
 
   private int itemsInCall(int stage, int otherPieces, BatchLimits batch) {
-    return (int) Math.min((long) pieceCounts.get(stage) + otherPieces, batch.itemsPerCall());
+    return (int) Math.min((long) pieceCounts.get(stage) + otherPieces, batch.maxItemsPerCall());
   }
 
   private boolean hasPieces(int stage) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StagePlan.java
@@ -166,7 +166,7 @@
   }
 
   private long inputBytes(int stage) {
-    return stages.get(stage).after().stream()
+    return stages.get(stage).dependencies().stream()
         .mapToLong(
             predecessor -> results.pieceCount(predecessor) * stages.get(predecessor).resultBytes())
         .sum();
@@ -181,7 +181,7 @@
     timeline.stageStarted(stage);
     withdraw(stage);
     List<String> inputs = new ArrayList<>();
-    work.after().forEach(predecessor -> inputs.addAll(results.handlesOf(predecessor)));
+    work.dependencies().forEach(predecessor -> inputs.addAll(results.handlesOf(predecessor)));
     long dueMillis =
         clock.targetRemainingMillis()
             - (long) (estimator.downstreamMillis(stage) + firstEventMillis);
@@ -191,7 +191,7 @@
             request.id(),
             stage,
             results.pieceCount(stage),
-            work.after().isEmpty() ? request.pieceKey() : Optional.empty(),
+            work.dependencies().isEmpty() ? request.pieceKey() : Optional.empty(),
             inputs,
             inputBytes(stage),
             work.resultBytes(),
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/StageResults.java
@@ -46,7 +46,7 @@
 
   /** Returns whether all predecessors of a stage are complete. */
   boolean isReady(int stage) {
-    return stages.get(stage).after().stream()
+    return stages.get(stage).dependencies().stream()
         .allMatch(predecessor -> !hasPieces(predecessor) || hasResults(predecessor));
   }
 
@@ -81,11 +81,11 @@
   /** Discards the inputs of a stage, so that they are computed again. */
   void discardInputs(int stage) {
     stagesWithFetchedInputs.remove(stage);
-    for (int predecessor : stages.get(stage).after()) {
+    for (int predecessor : stages.get(stage).dependencies()) {
       client.release(stages.get(predecessor).service(), handlesOf(predecessor));
       handlesByStage.remove(predecessor);
       stagesWithFetchedInputs.remove(predecessor);
-      if (stages.get(predecessor).after().stream().anyMatch(this::isReleased)) {
+      if (stages.get(predecessor).dependencies().stream().anyMatch(this::isReleased)) {
         discardInputs(predecessor);
       }
     }
@@ -125,7 +125,7 @@
 
   private IntStream consumers(int stage) {
     return IntStream.range(0, stages.size())
-        .filter(later -> hasPieces(later) && stages.get(later).after().contains(stage));
+        .filter(later -> hasPieces(later) && stages.get(later).dependencies().contains(stage));
   }
 
   private void release(int stage) {
--- a/gradeledge-core/src/main/java/org/gradeledge/request/AtMostOnceRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/AtMostOnceRunner.java
@@ -20,7 +20,7 @@
  */
 final class AtMostOnceRunner {
 
-  private static final Duration RECORD_LIMIT = Duration.ofMillis(500);
+  private static final Duration RECORD_TIMEOUT = Duration.ofMillis(500);
 
   private final ClaimService claims;
   private final BoxMetrics metrics;
@@ -38,20 +38,20 @@
             request.pipeline(), context.account().name(), request.idempotencyKey().orElse(""));
     return claims
         .claim(key, request.bodyDigest(), context.file().retention())
-        .timeout(context.deadline().left())
-        .onErrorMap(TimeoutException.class, e -> tooLate(e))
-        .flatMapMany(outcome -> afterClaim(outcome, work));
+        .timeout(context.deadline().remaining())
+        .onErrorMap(TimeoutException.class, e -> claimTimedOut(e))
+        .flatMapMany(outcome -> handleOutcome(outcome, work));
   }
 
-  private Flux<AnswerEvent> afterClaim(ClaimOutcome outcome, Supplier<Flux<AnswerEvent>> work) {
-    if (outcome instanceof ClaimOutcome.Won won) {
+  private Flux<AnswerEvent> handleOutcome(ClaimOutcome outcome, Supplier<Flux<AnswerEvent>> work) {
+    if (outcome instanceof ClaimOutcome.Acquired won) {
       return runUnderClaim(won.claim(), work);
     }
     if (outcome instanceof ClaimOutcome.Answered answered) {
       return Flux.just(RecordedAnswer.read(answered.result()));
     }
     RefusalReason reason =
-        outcome instanceof ClaimOutcome.OtherBody
+        outcome instanceof ClaimOutcome.BodyMismatch
             ? RefusalReason.KEY_USED_WITH_ANOTHER_BODY
             : RefusalReason.KEY_IN_USE;
     Verdict verdict = reason == RefusalReason.KEY_IN_USE ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
@@ -75,7 +75,7 @@
   private Mono<Void> record(Claim claim, AnswerEvent.Result result) {
     return claims
         .complete(claim, RecordedAnswer.write(result))
-        .timeout(RECORD_LIMIT)
+        .timeout(RECORD_TIMEOUT)
         .onErrorResume(
             e -> {
               metrics.stateChange("answer-not-recorded");
@@ -86,12 +86,12 @@
   private Flux<AnswerEvent> releaseIfNotRun(Claim claim, RefusalException e) {
     Mono<Void> release =
         e.verdict().allowsRetry()
-            ? claims.release(claim).timeout(RECORD_LIMIT).onErrorComplete()
+            ? claims.release(claim).timeout(RECORD_TIMEOUT).onErrorComplete()
             : Mono.empty();
     return release.thenMany(Flux.error(e));
   }
 
-  private static RefusalException tooLate(TimeoutException e) {
+  private static RefusalException claimTimedOut(TimeoutException e) {
     return RefusalException.forReason(RefusalReason.DEADLINE_PASSED)
         .detail("the claim of the idempotency key was not written in time")
         .cause(e)
--- a/gradeledge-core/src/main/java/org/gradeledge/request/PipelineRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/PipelineRunner.java
@@ -31,7 +31,7 @@
     }
     StageDefinition stage = context.file().stages().get(index);
     boolean last = index == context.file().stages().size() - 1;
-    context.progress().reached(stage.name());
+    context.progress().enterStage(stage.name());
     StringBuilder text = new StringBuilder();
     ObjectNode input = StageInput.of(context.file(), index, context.request().input(), outputs);
     return stages
@@ -44,13 +44,13 @@
                     ? Flux.<AnswerEvent>just(new AnswerEvent.Token(token.offset(), token.text()))
                     : Flux.<AnswerEvent>empty();
               }
-              outputs.put(stage.name(), output(stage, (UpstreamEvent.Answer) event, text));
+              outputs.put(stage.name(), outputOf(stage, (UpstreamEvent.Answer) event, text));
               return Flux.<AnswerEvent>empty();
             })
         .concatWith(Flux.defer(() -> runFrom(context, index + 1, outputs)));
   }
 
-  private static JsonNode output(
+  private static JsonNode outputOf(
       StageDefinition stage, UpstreamEvent.Answer answer, StringBuilder text) {
     if (!stage.kind().streams()) {
       return answer.output();
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestLimits.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestLimits.java
@@ -16,10 +16,10 @@
  */
 public final class RequestLimits {
 
-  private record AccountOf(String pipeline, String account) {}
+  private record AccountKey(String pipeline, String account) {}
 
   private final Map<String, PipelineLimits> pipelines = new ConcurrentHashMap<>();
-  private final Map<AccountOf, AccountLimiter> accounts = new ConcurrentHashMap<>();
+  private final Map<AccountKey, AccountLimiter> accounts = new ConcurrentHashMap<>();
   private final AdmissionPolicy policy;
   private final int requestsPerAccount;
   private final MonotonicClock clock;
@@ -33,7 +33,7 @@
 
   /** Takes over the limits of a version that comes into force; drops accounts it no longer has. */
   public void update(PipelineFile file) {
-    pipeline(file).update(file);
+    limitsOf(file).update(file);
     accounts
         .keySet()
         .removeIf(
@@ -43,13 +43,13 @@
                         .noneMatch(account -> account.name().equals(key.account())));
   }
 
-  PipelineLimits pipeline(PipelineFile file) {
+  PipelineLimits limitsOf(PipelineFile file) {
     return pipelines.computeIfAbsent(file.pipeline(), name -> new PipelineLimits(policy, clock));
   }
 
-  AccountLimiter account(PipelineFile file, AccountDefinition account) {
+  AccountLimiter limiterOf(PipelineFile file, AccountDefinition account) {
     return accounts.computeIfAbsent(
-        new AccountOf(file.pipeline(), account.name()),
+        new AccountKey(file.pipeline(), account.name()),
         key -> new AccountLimiter(account, requestsPerAccount, clock));
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestService.java
@@ -69,14 +69,16 @@
           AtomicReference<String> account = new AtomicReference<>(UNKNOWN);
           return admitAndRun(request, account)
               .doOnComplete(
-                  () -> count(request, account.get(), Verdict.COMPLETED, "none", startNanos))
+                  () ->
+                      recordMetrics(request, account.get(), Verdict.COMPLETED, "none", startNanos))
               .doOnError(
                   RefusalException.class,
                   e ->
-                      count(request, account.get(), e.verdict(), e.reason().wireName(), startNanos))
+                      recordMetrics(
+                          request, account.get(), e.verdict(), e.reason().wireName(), startNanos))
               .doOnCancel(
                   () ->
-                      count(
+                      recordMetrics(
                           request,
                           account.get(),
                           Verdict.MAY_HAVE_RUN,
@@ -89,11 +91,11 @@
       CallerRequest request, AtomicReference<String> accountName) {
     gate.checkOpen();
     PipelineVersion version = configuration.serving(request.pipeline());
-    AccountDefinition account = CallerChecks.account(version, request);
+    AccountDefinition account = RequestValidator.authenticate(version, request);
     accountName.set(account.name());
-    Duration limit = CallerChecks.deadline(account, request);
-    CallerChecks.idempotencyKey(version.file(), request);
-    PipelineLimits stageLimits = limits.pipeline(version.file());
+    Duration limit = RequestValidator.resolveDeadline(account, request);
+    RequestValidator.requireIdempotencyKey(version.file(), request);
+    PipelineLimits stageLimits = limits.limitsOf(version.file());
     stageLimits.checkDeadline(version.file(), account, limit);
     RequestContext context =
         new RequestContext(
@@ -103,23 +105,23 @@
             Deadline.after(clock, limit),
             stageLimits,
             new RequestProgress());
-    var accountLimiter = limits.account(version.file(), account);
+    var accountLimiter = limits.limiterOf(version.file(), account);
     accountLimiter.acquire(account);
-    gate.started();
+    gate.requestStarted();
     Flux<AnswerEvent> answer =
         (request.idempotencyKey().isPresent()
-                ? atMostOnce.run(context, () -> runBounded(context))
-                : runBounded(context))
+                ? atMostOnce.run(context, () -> runUntilDeadline(context))
+                : runUntilDeadline(context))
             .doFinally(
                 signal -> {
                   accountLimiter.release();
-                  gate.ended();
+                  gate.requestEnded();
                 });
-    return request.idempotencyKey().isPresent() ? detached(answer) : answer;
+    return request.idempotencyKey().isPresent() ? continueWithoutCaller(answer) : answer;
   }
 
   /** Lets the work go on to its end although its caller has left. */
-  private static Flux<AnswerEvent> detached(Flux<AnswerEvent> answer) {
+  private static Flux<AnswerEvent> continueWithoutCaller(Flux<AnswerEvent> answer) {
     return Flux.defer(
         () -> {
           var shared = answer.replay();
@@ -128,21 +130,21 @@
         });
   }
 
-  private Flux<AnswerEvent> runBounded(RequestContext context) {
+  private Flux<AnswerEvent> runUntilDeadline(RequestContext context) {
     return runner
         .run(context)
         .mergeWith(Flux.defer(() -> failAtDeadline(context)))
         .takeUntil(AnswerEvent.Result.class::isInstance)
-        .onErrorMap(e -> explain(context, e));
+        .onErrorMap(e -> toRefusal(context, e));
   }
 
   private static Flux<AnswerEvent> failAtDeadline(RequestContext context) {
-    return Mono.delay(context.deadline().left())
+    return Mono.delay(context.deadline().remaining())
         .<AnswerEvent>flatMap(tick -> Mono.error(new TimeoutException()))
         .flux();
   }
 
-  private static RefusalException explain(RequestContext context, Throwable e) {
+  private static RefusalException toRefusal(RequestContext context, Throwable e) {
     RequestProgress progress = context.progress();
     if (e instanceof RefusalException refusal) {
       return refusal.withEarlierVerdict(progress.verdict());
@@ -158,7 +160,7 @@
         .build();
   }
 
-  private void count(
+  private void recordMetrics(
       CallerRequest request, String account, Verdict verdict, String reason, long startNanos) {
     boolean known = configuration.inForce(request.pipeline()).isPresent();
     metrics.request(
--- a/gradeledge-core/src/main/java/org/gradeledge/request/CallerChecks.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/RequestValidator.java
@@ -9,12 +9,12 @@
 import org.gradeledge.verdict.RefusalReason;
 
 /** What must hold of a request against the pipeline file; each refuses "not run". */
-abstract class CallerChecks {
+abstract class RequestValidator {
 
-  private CallerChecks() {}
+  private RequestValidator() {}
 
   /** Returns the account whose token the caller gave; all are compared, in constant time each. */
-  static AccountDefinition account(PipelineVersion version, CallerRequest request) {
+  static AccountDefinition authenticate(PipelineVersion version, CallerRequest request) {
     AccountDefinition found = null;
     for (AccountDefinition account : version.file().accounts()) {
       if (TextDigest.matches(account.tokenSha256(), request.tokenSha256())) {
@@ -30,7 +30,7 @@
   }
 
   /** Returns the deadline asked for, the account's where none is. */
-  static Duration deadline(AccountDefinition account, CallerRequest request) {
+  static Duration resolveDeadline(AccountDefinition account, CallerRequest request) {
     long asked = request.deadlineMs().orElse(account.deadlineMs());
     if (asked < 1 || asked > account.deadlineMs()) {
       throw RefusalException.forReason(RefusalReason.DEADLINE_INVALID)
@@ -41,7 +41,7 @@
   }
 
   /** Requires a key where a stage must not be repeated. */
-  static void idempotencyKey(PipelineFile file, CallerRequest request) {
+  static void requireIdempotencyKey(PipelineFile file, CallerRequest request) {
     if (file.runsAtMostOnce() && request.idempotencyKey().isEmpty()) {
       throw RefusalException.forReason(RefusalReason.IDEMPOTENCY_KEY_MISSING)
           .detail("a stage of this pipeline runs at most once: Idempotency-Key must be given")
--- a/gradeledge-core/src/main/java/org/gradeledge/request/ServingGate.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/ServingGate.java
@@ -26,7 +26,7 @@
 
   private final Condition membership;
   private final AtomicLong inProgress = new AtomicLong();
-  private volatile @Nullable RefusalReason closedBecause;
+  private volatile @Nullable RefusalReason closeReason;
 
   /** Creates an open gate; {@code membership} is asked at each request. */
   public ServingGate(Condition membership) {
@@ -35,7 +35,7 @@
 
   /** Refuses "not run" where the box may take in nothing. */
   public void checkOpen() {
-    RefusalReason reason = closedBecause;
+    RefusalReason reason = closeReason;
     if (reason != null) {
       throw RefusalException.forReason(reason).detail("this box is stopping").build();
     }
@@ -48,7 +48,7 @@
 
   /** Refuses all new work from now on. */
   public void close(RefusalReason reason) {
-    closedBecause = reason;
+    closeReason = reason;
   }
 
   /** Returns the requests in progress. */
@@ -56,11 +56,11 @@
     return inProgress.get();
   }
 
-  void started() {
+  void requestStarted() {
     inProgress.incrementAndGet();
   }
 
-  void ended() {
+  void requestEnded() {
     inProgress.decrementAndGet();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/request/StageRunner.java
@@ -36,15 +36,15 @@
  */
 final class StageRunner {
 
-  private static final int MOST_ATTEMPTS = 3;
-  private static final int ATTEMPT_LIMIT_OVER_SLOW = 2;
-  private static final Duration ATTEMPT_LIMIT_BASE = Duration.ofMillis(50);
+  private static final int MAX_ATTEMPTS = 3;
+  private static final int ATTEMPT_TIMEOUT_FACTOR = 2;
+  private static final Duration ATTEMPT_TIMEOUT_EXTRA = Duration.ofMillis(50);
 
   private final Router router;
   private final UpstreamProtocol protocol;
   private final BoxMetrics metrics;
   private final MonotonicClock clock;
-  private final RetryTokenBucket budget = new RetryTokenBucket();
+  private final RetryTokenBucket retryBudget = new RetryTokenBucket();
 
   StageRunner(Router router, UpstreamProtocol protocol, BoxMetrics metrics, MonotonicClock clock) {
     this.router = router;
@@ -57,23 +57,23 @@
   Flux<UpstreamEvent> run(RequestContext context, int stageIndex, JsonNode input) {
     return Flux.defer(
         () -> {
-          budget.recordFirstAttempt(context.file().retryShare());
-          return new Run(context, stageIndex, input).attempt();
+          retryBudget.recordFirstAttempt(context.file().retryShare());
+          return new StageExecution(context, stageIndex, input).attempt();
         });
   }
 
   /** The attempts of one stage of one request; used by one subscriber. */
-  private final class Run {
+  private final class StageExecution {
 
     private final RequestContext context;
     private final StageDefinition stage;
     private final int stageIndex;
     private final JsonNode input;
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedUpstreamIds = new HashSet<>();
     private int attempts;
     private long lastOffset = -1;
 
-    Run(RequestContext context, int stageIndex, JsonNode input) {
+    StageExecution(RequestContext context, int stageIndex, JsonNode input) {
       this.context = context;
       this.stageIndex = stageIndex;
       this.stage = context.file().stages().get(stageIndex);
@@ -86,7 +86,7 @@
           .limiter(stage)
           .acquire(ticket())
           .flatMapMany(release -> dispatch().doFinally(signal -> release.run()))
-          .onErrorResume(UpstreamException.class, this::againOrRefuse);
+          .onErrorResume(UpstreamException.class, this::retryOrRefuse);
     }
 
     private StageTicket ticket() {
@@ -98,23 +98,23 @@
     }
 
     private Flux<UpstreamEvent> dispatch() {
-      if (context.deadline().passed()) {
+      if (context.deadline().hasPassed()) {
         return Flux.error(refusal(RefusalReason.DEADLINE_PASSED, Verdict.NOT_RUN, null));
       }
       return router
-          .route(context.file(), stage, tried)
+          .route(context.file(), stage, triedUpstreamIds)
           .map(this::call)
           .orElseGet(() -> Flux.error(refusal(RefusalReason.NO_UPSTREAM, Verdict.NOT_RUN, null)));
     }
 
     private Flux<UpstreamEvent> call(UpstreamState upstream) {
       attempts++;
-      tried.add(upstream.definition().id());
+      triedUpstreamIds.add(upstream.definition().id());
       upstream.recordCallStarted();
       context.progress().callStarted();
-      CallEnd end = new CallEnd(upstream, clock.nanos());
-      return withinAttemptLimit(protocol.call(upstreamCall(upstream)))
-          .doOnNext(end::note)
+      CallRecorder end = new CallRecorder(upstream, clock.nanos());
+      return withAttemptTimeout(protocol.call(upstreamCall(upstream)))
+          .doOnNext(end::recordEvent)
           .doOnComplete(() -> end.finish(AttemptResult.USED, Verdict.MAY_HAVE_RUN))
           .doOnError(UpstreamException.class, e -> end.finish(AttemptResult.FAILED, e.verdict()))
           .doOnCancel(() -> end.finish(AttemptResult.CANCELLED, Verdict.MAY_HAVE_RUN));
@@ -124,12 +124,12 @@
      * Ends an attempt of a repeatable stage that takes far longer than calls of the stage do, so
      * that a frozen upstream is found out and another one asked while there is time.
      */
-    private Flux<UpstreamEvent> withinAttemptLimit(Flux<UpstreamEvent> events) {
+    private Flux<UpstreamEvent> withAttemptTimeout(Flux<UpstreamEvent> events) {
       Duration slow = context.limits().latencies(stage).percentile99();
       if (!stage.repeatable() || slow.isZero()) {
         return events;
       }
-      Duration limit = slow.multipliedBy(ATTEMPT_LIMIT_OVER_SLOW).plus(ATTEMPT_LIMIT_BASE);
+      Duration limit = slow.multipliedBy(ATTEMPT_TIMEOUT_FACTOR).plus(ATTEMPT_TIMEOUT_EXTRA);
       return events
           .timeout(Mono.delay(limit))
           .onErrorMap(
@@ -149,18 +149,18 @@
           attempts,
           upstream.definition(),
           input,
-          context.deadline().left(),
+          context.deadline().remaining(),
           stage.repeatable() ? "" : context.request().idempotencyKey().orElse(""),
           lastOffset < 0 ? OptionalLong.empty() : OptionalLong.of(lastOffset));
     }
 
-    private Flux<UpstreamEvent> againOrRefuse(UpstreamException e) {
+    private Flux<UpstreamEvent> retryOrRefuse(UpstreamException e) {
       boolean harmless = stage.repeatable() || e.verdict().allowsRetry();
       boolean again =
           harmless
-              && attempts < MOST_ATTEMPTS
-              && !context.deadline().passed()
-              && budget.tryAcquire();
+              && attempts < MAX_ATTEMPTS
+              && !context.deadline().hasPassed()
+              && retryBudget.tryAcquire();
       return again ? attempt() : Flux.error(refusal(e.reason(), e.verdict(), e));
     }
 
@@ -175,20 +175,20 @@
     }
 
     /** What one call came to; tells the upstream's state, the times and the metrics once. */
-    private final class CallEnd {
+    private final class CallRecorder {
 
       private final UpstreamState upstream;
       private final long startNanos;
       private long tokensIn;
       private long tokensOut;
-      private boolean ended;
+      private boolean finished;
 
-      CallEnd(UpstreamState upstream, long startNanos) {
+      CallRecorder(UpstreamState upstream, long startNanos) {
         this.upstream = upstream;
         this.startNanos = startNanos;
       }
 
-      void note(UpstreamEvent event) {
+      void recordEvent(UpstreamEvent event) {
         if (event instanceof UpstreamEvent.Token token) {
           lastOffset = token.offset();
           tokensOut++;
@@ -199,10 +199,10 @@
       }
 
       synchronized void finish(AttemptResult result, Verdict verdict) {
-        if (ended) {
+        if (finished) {
           return;
         }
-        ended = true;
+        finished = true;
         context.progress().callEnded(verdict);
         long nanos = clock.nanos() - startNanos;
         switch (result) {
--- a/gradeledge-core/src/main/java/org/gradeledge/selection/ColdStartLimiter.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/selection/ColdStartLimiter.java
@@ -89,7 +89,7 @@
         upstream ->
             coldStartLimits
                 .apply(upstream.service())
-                .ifPresent(limit -> extend(upstream.incarnationId(), limit.lasts())));
+                .ifPresent(limit -> extend(upstream.incarnationId(), limit.duration())));
   }
 
   /** Removes an upstream that is gone. */
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/HeartbeatService.java
@@ -31,7 +31,7 @@
   private final VersionFetcher fetcher;
   private final UpstreamDirectory upstreams;
   private final MonotonicClock clock;
-  private final Map<String, Heartbeat> last = new ConcurrentHashMap<>();
+  private final Map<String, Heartbeat> lastHeartbeats = new ConcurrentHashMap<>();
 
   /** Creates the service; it takes heartbeats in from now on. */
   public HeartbeatService(
@@ -56,41 +56,41 @@
     Map<String, Long> versions = registry.versions();
     List<Heartbeat.LeavingUpstream> leaving = leavingUpstreams();
     peers
-        .connected()
+        .connectedPeers()
         .forEach(
             peer -> {
               boolean confirms =
-                  serving && membership.members().confirms(peer.boxId(), peer.incarnation());
+                  serving && membership.members().isActiveMember(peer.boxId(), peer.incarnation());
               Heartbeat heartbeat =
                   new Heartbeat(
                       new Heartbeat.Stamp(membership.incarnation(), clock.nanos()),
-                      Optional.ofNullable(last.get(peer.boxId())).map(Heartbeat::sent),
+                      Optional.ofNullable(lastHeartbeats.get(peer.boxId())).map(Heartbeat::sent),
                       serving,
                       confirms,
                       versions,
                       leaving);
-              peers.tell(peer.boxId(), Heartbeat.TYPE, heartbeat);
+              peers.send(peer.boxId(), Heartbeat.TYPE, heartbeat);
             });
   }
 
   /** Returns the last heartbeat of each peer that is connected. */
   public Map<String, Heartbeat> lastByPeer() {
-    List<String> connected = peers.connected().stream().map(PeerIdentity::boxId).toList();
-    last.keySet().retainAll(connected);
-    return Map.copyOf(last);
+    List<String> connected = peers.connectedPeers().stream().map(PeerIdentity::boxId).toList();
+    lastHeartbeats.keySet().retainAll(connected);
+    return Map.copyOf(lastHeartbeats);
   }
 
   private Mono<Void> receive(PeerIdentity from, Heartbeat heartbeat) {
-    last.put(from.boxId(), heartbeat);
-    heartbeat.leaving().forEach(this::noteLeaving);
+    lastHeartbeats.put(from.boxId(), heartbeat);
+    heartbeat.leaving().forEach(this::markLeaving);
     return Flux.fromIterable(heartbeat.versions().entrySet())
         .concatMap(
-            version -> fetcher.bringInForceFrom(from.boxId(), version.getKey(), version.getValue()))
+            version -> fetcher.installFromPeer(from.boxId(), version.getKey(), version.getValue()))
         .then(
             Mono.fromRunnable(
                 () -> {
                   if (heartbeat.confirms()) {
-                    heartbeat.echo().ifPresent(this::confirmedAsOf);
+                    heartbeat.echo().ifPresent(this::confirmMembership);
                   }
                 }));
   }
@@ -99,11 +99,11 @@
    * A heartbeat says nothing of when it was sent: a box that was frozen finds old ones waiting. The
    * stamp that it brings back does, since the peer had it before it sent.
    */
-  private void confirmedAsOf(Heartbeat.Stamp echo) {
-    membership.confirmed(echo.incarnation(), echo.nanos());
+  private void confirmMembership(Heartbeat.Stamp echo) {
+    membership.recordConfirmation(echo.incarnation(), echo.nanos());
   }
 
-  private void noteLeaving(Heartbeat.LeavingUpstream leaving) {
+  private void markLeaving(Heartbeat.LeavingUpstream leaving) {
     upstreams
         .findByAddress(leaving.host(), leaving.port())
         .ifPresent(state -> state.markLeaving(leaving.incarnation()));
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/LoadReportReader.java
@@ -13,7 +13,7 @@
  */
 public final class LoadReportReader {
 
-  private static final int AT_A_TIME = 16;
+  private static final int MAX_CONCURRENT_READS = 16;
 
   private final UpstreamDirectory upstreams;
   private final UpstreamProtocol protocol;
@@ -26,7 +26,7 @@
 
   /** Asks all upstreams; those that do not answer keep their last report. */
   public Mono<Void> readAll() {
-    return Flux.fromIterable(upstreams.all()).flatMap(this::readOne, AT_A_TIME).then();
+    return Flux.fromIterable(upstreams.all()).flatMap(this::readOne, MAX_CONCURRENT_READS).then();
   }
 
   private Mono<Void> readOne(UpstreamState state) {
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/PeriodicTask.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/PeriodicTask.java
@@ -24,7 +24,7 @@
             .doOnSuccess(done -> failing = false)
             .onErrorResume(
                 e -> {
-                  noteFailure(name, metrics, e);
+                  recordFailure(name, metrics, e);
                   return Mono.empty();
                 })
             .repeatWhen(rounds -> rounds.delayElements(period))
@@ -47,7 +47,7 @@
     return running.isDisposed();
   }
 
-  private void noteFailure(String name, BoxMetrics metrics, Throwable e) {
+  private void recordFailure(String name, BoxMetrics metrics, Throwable e) {
     if (!failing) {
       failing = true;
       metrics.stateChange(name + "-failing");
--- a/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/synchronization/PlatformReader.java
@@ -7,11 +7,11 @@
 import org.gradeledge.change.ChangeHeads;
 import org.gradeledge.change.ChangeService;
 import org.gradeledge.configuration.PipelineVersion;
-import org.gradeledge.membership.GoneMembers;
 import org.gradeledge.membership.MemberRow;
 import org.gradeledge.membership.MemberSet;
 import org.gradeledge.membership.Membership;
 import org.gradeledge.membership.MembershipService;
+import org.gradeledge.membership.UnlistedMemberTracker;
 import org.gradeledge.peer.PeerNetwork;
 import org.gradeledge.platform.BoxList;
 import org.gradeledge.platform.BoxState;
@@ -33,7 +33,7 @@
  */
 public final class PlatformReader {
 
-  private static final List<String> HEADS = List.of("head/");
+  private static final List<String> HEAD_KEY_PREFIXES = List.of("head/");
 
   private final TableService table;
   private final BoxList boxList;
@@ -42,7 +42,7 @@
   private final ChangeService changes;
   private final PeerNetwork peers;
   private final UpstreamDirectory upstreams;
-  private final GoneMembers gone;
+  private final UnlistedMemberTracker goneMembers;
   private final MonotonicClock clock;
   private final Supplier<Mono<Void>> rejoin;
 
@@ -58,7 +58,7 @@
       ChangeService changes,
       PeerNetwork peers,
       UpstreamDirectory upstreams,
-      GoneMembers gone,
+      UnlistedMemberTracker gone,
       MonotonicClock clock,
       Supplier<Mono<Void>> rejoin) {
     this.table = table;
@@ -68,7 +68,7 @@
     this.changes = changes;
     this.peers = peers;
     this.upstreams = upstreams;
-    this.gone = gone;
+    this.goneMembers = gone;
     this.clock = clock;
     this.rejoin = rejoin;
   }
@@ -79,13 +79,13 @@
         () -> {
           long startNanos = clock.nanos();
           long incarnation = membership.incarnation();
-          List<PipelineVersion> open = changes.learner().openBeforeRead();
+          List<PipelineVersion> open = changes.verdictApplier().preparedBeforeRead();
           return table
-              .read(HEADS)
+              .read(HEAD_KEY_PREFIXES)
               .flatMap(
                   rows ->
                       readMembersIfChanged(rows)
-                          .then(learn(ChangeHeads.of(rows), open))
+                          .then(applyHeads(ChangeHeads.of(rows), open))
                           .then(confirmOrRejoin(incarnation, startNanos)));
         });
   }
@@ -94,14 +94,14 @@
   public Mono<Void> readList() {
     return boxList
         .list()
-        .doOnError(e -> gone.listUnknown())
+        .doOnError(e -> goneMembers.listUnavailable())
         .flatMap(
             boxes -> {
-              noteLeavingUpstreams(boxes);
+              markLeavingUpstreams(boxes);
               Set<String> listed = boxes.stream().map(ListedBox::id).collect(Collectors.toSet());
               MemberSet members = membership.members();
-              gone.observe(members, listed);
-              return removeGone(members);
+              goneMembers.observe(members, listed);
+              return removeGoneMembers(members);
             });
   }
 
@@ -120,15 +120,18 @@
         .then();
   }
 
-  private Mono<Void> learn(ChangeHeads heads, List<PipelineVersion> open) {
-    return changes.learner().learn(heads, open).then(changes.abandoned().observe(heads));
+  private Mono<Void> applyHeads(ChangeHeads heads, List<PipelineVersion> open) {
+    return changes
+        .verdictApplier()
+        .apply(heads, open)
+        .then(changes.abandonedSubmissionCleaner().refuseExpired(heads));
   }
 
   private Mono<Void> confirmOrRejoin(long incarnation, long startNanos) {
     return Mono.defer(
         () -> {
-          if (membership.members().confirms(membership.boxId(), incarnation)) {
-            membership.confirmed(incarnation, startNanos);
+          if (membership.members().isActiveMember(membership.boxId(), incarnation)) {
+            membership.recordConfirmation(incarnation, startNanos);
             return Mono.empty();
           }
           return rejoin.get();
@@ -146,20 +149,20 @@
             .toList());
   }
 
-  private Mono<Void> removeGone(MemberSet members) {
+  private Mono<Void> removeGoneMembers(MemberSet members) {
     Mono<Void> marking =
-        Flux.fromIterable(gone.toMark(members))
+        Flux.fromIterable(goneMembers.membersToMark(members))
             .filter(member -> !member.boxId().equals(membership.boxId()))
             .concatMap(member -> membershipService.markRemoving(members, member))
             .then();
     Mono<Void> removing =
-        Flux.fromIterable(gone.toRemove(members))
+        Flux.fromIterable(goneMembers.membersToRemove(members))
             .concatMap(member -> membershipService.delete(members, member.boxId()))
             .then();
     return marking.then(removing);
   }
 
-  private void noteLeavingUpstreams(List<ListedBox> boxes) {
+  private void markLeavingUpstreams(List<ListedBox> boxes) {
     Set<String> leaving =
         boxes.stream()
             .filter(box -> box.state() == BoxState.LEAVING)
--- a/gradeledge-core/src/main/java/org/gradeledge/time/Deadline.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/Deadline.java
@@ -25,12 +25,12 @@
   }
 
   /** Returns the time left, zero once passed. */
-  public Duration left() {
+  public Duration remaining() {
     return Duration.ofNanos(Math.max(0, limitNanos - elapsedNanos()));
   }
 
   /** Returns whether it has passed. */
-  public boolean passed() {
+  public boolean hasPassed() {
     return elapsedNanos() >= limitNanos;
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/time/MonotonicClock.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/MonotonicClock.java
@@ -14,6 +14,6 @@
 
   /** Returns the clock of the machine. */
   static MonotonicClock system() {
-    return SuspensionAwareClock.ofMachine();
+    return SuspensionAwareClock.systemClock();
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/time/SuspensionAwareClock.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/SuspensionAwareClock.java
@@ -24,23 +24,23 @@
 public final class SuspensionAwareClock implements MonotonicClock {
 
   /** Shorter suspensions are not looked for; no bound that boxes keep is as short as this. */
-  static final Duration SIGN = Duration.ofMillis(200);
+  static final Duration JUMP_THRESHOLD = Duration.ofMillis(200);
 
   /**
    * Two jumps are the same if they differ by no more: steps of the time of day below the sign go
    * unnoticed, and the boot clock tells hundredths of a second a moment before it is compared.
    */
-  static final Duration AGREEING = Duration.ofMillis(250);
+  static final Duration JUMP_TOLERANCE = Duration.ofMillis(250);
 
-  private static final SuspensionAwareClock MACHINE =
-      new SuspensionAwareClock(System::nanoTime, System::currentTimeMillis, new UptimeFile());
+  private static final SuspensionAwareClock SYSTEM =
+      new SuspensionAwareClock(System::nanoTime, System::currentTimeMillis, new UptimeFileClock());
 
-  private final LongSupplier steadyNanos;
-  private final LongSupplier timeOfDayMillis;
+  private final LongSupplier nanoTime;
+  private final LongSupplier wallClockMillis;
   private final BootClock bootClock;
-  private OptionalLong bootAhead;
+  private OptionalLong bootClockOffset;
   private final List<Consumer<ClockJump>> listeners = new CopyOnWriteArrayList<>();
-  private volatile long dayAhead;
+  private volatile long wallClockOffset;
   private volatile long suspendedNanos;
 
   /**
@@ -52,16 +52,16 @@
    */
   public SuspensionAwareClock(
       LongSupplier steadyNanos, LongSupplier timeOfDayMillis, BootClock bootClock) {
-    this.steadyNanos = steadyNanos;
-    this.timeOfDayMillis = timeOfDayMillis;
+    this.nanoTime = steadyNanos;
+    this.wallClockMillis = timeOfDayMillis;
     this.bootClock = bootClock;
-    this.bootAhead = bootAhead();
-    this.dayAhead = dayAhead(steadyNanos.getAsLong());
+    this.bootClockOffset = readBootClockOffset();
+    this.wallClockOffset = readWallClockOffset(steadyNanos.getAsLong());
   }
 
   /** Returns the clock of this machine. */
-  public static SuspensionAwareClock ofMachine() {
-    return MACHINE;
+  public static SuspensionAwareClock systemClock() {
+    return SYSTEM;
   }
 
   /** Tells a listener whenever the clocks have parted, on the thread that notices it. */
@@ -71,31 +71,31 @@
 
   @Override
   public long nanos() {
-    long steady = steadyNanos.getAsLong();
-    long ahead = dayAhead(steady);
-    if (Math.abs(ahead - dayAhead) > SIGN.toNanos()) {
-      parted(ahead);
+    long steady = nanoTime.getAsLong();
+    long ahead = readWallClockOffset(steady);
+    if (Math.abs(ahead - wallClockOffset) > JUMP_THRESHOLD.toNanos()) {
+      handleJump(ahead);
     }
     return steady + suspendedNanos;
   }
 
-  private long dayAhead(long steady) {
-    return TimeUnit.MILLISECONDS.toNanos(timeOfDayMillis.getAsLong()) - steady;
+  private long readWallClockOffset(long steady) {
+    return TimeUnit.MILLISECONDS.toNanos(wallClockMillis.getAsLong()) - steady;
   }
 
   /** The boot clock is read first, so that a pause between the two is never taken for more. */
-  private OptionalLong bootAhead() {
+  private OptionalLong readBootClockOffset() {
     OptionalLong boot = bootClock.nanos();
-    long steady = steadyNanos.getAsLong();
+    long steady = nanoTime.getAsLong();
     return boot.isPresent() ? OptionalLong.of(boot.getAsLong() - steady) : boot;
   }
 
-  private void parted(long ahead) {
+  private void handleJump(long ahead) {
     ClockJump jump;
     synchronized (this) {
-      long dayJump = ahead - dayAhead;
-      dayAhead = ahead;
-      long suspended = judged(dayJump);
+      long dayJump = ahead - wallClockOffset;
+      wallClockOffset = ahead;
+      long suspended = suspendedNanosOf(dayJump);
       suspendedNanos += suspended;
       jump = new ClockJump(Duration.ofNanos(dayJump), Duration.ofNanos(suspended));
     }
@@ -103,14 +103,14 @@
   }
 
   /** Returns how much of a jump of the time of day was a suspension: all of it, or nothing. */
-  private long judged(long dayJump) {
-    OptionalLong before = bootAhead;
-    bootAhead = bootAhead();
-    if (before.isEmpty() || bootAhead.isEmpty()) {
+  private long suspendedNanosOf(long dayJump) {
+    OptionalLong before = bootClockOffset;
+    bootClockOffset = readBootClockOffset();
+    if (before.isEmpty() || bootClockOffset.isEmpty()) {
       return 0;
     }
-    long bootJump = bootAhead.getAsLong() - before.getAsLong();
-    boolean agree = Math.abs(bootJump - dayJump) <= AGREEING.toNanos();
+    long bootJump = bootClockOffset.getAsLong() - before.getAsLong();
+    boolean agree = Math.abs(bootJump - dayJump) <= JUMP_TOLERANCE.toNanos();
     return agree ? Math.max(0, bootJump) : 0;
   }
 }
--- a/gradeledge-core/src/main/java/org/gradeledge/time/UptimeFile.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/time/UptimeFileClock.java
@@ -11,26 +11,26 @@
  * library of its own into every start. A reading takes some microseconds and never waits for a
  * disk.
  */
-final class UptimeFile implements BootClock {
+final class UptimeFileClock implements BootClock {
 
   private static final String FILE = "/proc/uptime";
-  private static final int MOST_BYTES = 64;
-  private static final long NANOS_OF_HUNDREDTH = 10_000_000;
+  private static final int MAX_BYTES = 64;
+  private static final long NANOS_PER_HUNDREDTH = 10_000_000;
 
   private final String file;
 
-  UptimeFile() {
+  UptimeFileClock() {
     this(FILE);
   }
 
-  UptimeFile(String file) {
+  UptimeFileClock(String file) {
     this.file = file;
   }
 
   @Override
   public OptionalLong nanos() {
     try (FileInputStream in = new FileInputStream(file)) {
-      return parse(new String(in.readNBytes(MOST_BYTES), StandardCharsets.US_ASCII));
+      return parse(new String(in.readNBytes(MAX_BYTES), StandardCharsets.US_ASCII));
     } catch (IOException e) {
       return OptionalLong.empty();
     }
@@ -41,14 +41,14 @@
     int blank = text.indexOf(' ');
     String figure = blank < 0 ? text.strip() : text.substring(0, blank);
     int point = figure.indexOf('.');
-    if (point < 1 || point != figure.length() - 3 || !isNumber(figure, point)) {
+    if (point < 1 || point != figure.length() - 3 || !isDecimal(figure, point)) {
       return OptionalLong.empty();
     }
     long hundredths = Long.parseLong(figure.substring(0, point) + figure.substring(point + 1));
-    return OptionalLong.of(hundredths * NANOS_OF_HUNDREDTH);
+    return OptionalLong.of(hundredths * NANOS_PER_HUNDREDTH);
   }
 
-  private static boolean isNumber(String figure, int point) {
+  private static boolean isDecimal(String figure, int point) {
     for (int index = 0; index < figure.length(); index++) {
       if (index != point && (figure.charAt(index) < '0' || figure.charAt(index) > '9')) {
         return false;
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/RestartedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/RestartedBatchUpstreamTests.java
@@ -49,7 +49,7 @@
     onLoop(() -> upstreams.update(2, List.of(incarnation(2)), List.of()));
 
     FakeUpstreamCaller.Call call = caller.nextCall();
-    assertThat(call.target().startedAtMillis()).isEqualTo(2);
+    assertThat(call.target().born()).isEqualTo(2);
     assertThat(call.body()).isEqualTo("waits-for-memory:0");
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/claim/GroupCommitTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/claim/GroupCommitTests.java
@@ -20,24 +20,24 @@
   /** A table in which some keys are taken; notes each transaction. */
   private static final class FakeTable implements TableService {
 
-    private final List<TableTransaction> seen = new CopyOnWriteArrayList<>();
-    private final List<String> taken = new ArrayList<>();
-    private volatile boolean down;
+    private final List<TableTransaction> transactions = new CopyOnWriteArrayList<>();
+    private final List<String> existingKeys = new ArrayList<>();
+    private volatile boolean unavailable;
 
     @Override
     public Mono<CommitResult> commit(TableTransaction transaction) {
-      seen.add(transaction);
-      if (down) {
+      transactions.add(transaction);
+      if (unavailable) {
         return Mono.error(new PlatformException("down", null));
       }
-      synchronized (taken) {
+      synchronized (existingKeys) {
         List<String> conflicts =
             transaction.conditions().stream()
                 .map(condition -> condition.key())
-                .filter(taken::contains)
+                .filter(existingKeys::contains)
                 .toList();
         if (conflicts.isEmpty()) {
-          transaction.writes().forEach(write -> taken.add(write.key()));
+          transaction.writes().forEach(write -> existingKeys.add(write.key()));
         }
         return Mono.just(new CommitResult(conflicts.isEmpty(), 1, conflicts));
       }
@@ -55,12 +55,12 @@
   @Test
   void mergesManyClaimsIntoFewTransactions() {
     Flux.range(0, 500).flatMap(i -> groupCommit.commit(claim("k" + i)), 500).blockLast();
-    assertThat(table.seen.size()).isLessThan(100);
+    assertThat(table.transactions.size()).isLessThan(100);
   }
 
   @Test
-  void oneTakenKeyDoesNotKeepTheOthersFromTheirs() {
-    table.taken.add("k7");
+  void conflictOnOneKeyDoesNotAffectOtherClaims() {
+    table.existingKeys.add("k7");
     List<CommitResult> results =
         Flux.range(0, 20)
             .flatMapSequential(i -> groupCommit.commit(claim("k" + i)), 20)
@@ -72,18 +72,18 @@
   }
 
   @Test
-  void oneOfTwoClaimsOfOneKeyIsCommitted() {
+  void commitsOnlyOneOfConcurrentClaimsOfSameKey() {
     List<CommitResult> results =
         Flux.range(0, 10).flatMap(i -> groupCommit.commit(claim("k")), 10).collectList().block();
     assertThat(results).filteredOn(CommitResult::committed).hasSize(1);
   }
 
   @Test
-  void tellsEveryWaitingClaimOfAFailedCommitAndGoesOn() {
-    table.down = true;
+  void propagatesCommitFailureAndContinues() {
+    table.unavailable = true;
     assertThatThrownBy(() -> groupCommit.commit(claim("k")).block())
         .isInstanceOf(PlatformException.class);
-    table.down = false;
+    table.unavailable = false;
     assertThat(groupCommit.commit(claim("k")).block().committed()).isTrue();
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/deployment/DeploymentRegistryTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/deployment/DeploymentRegistryTests.java
@@ -17,11 +17,11 @@
           document ->
               document[0] == UNREADABLE
                   ? Either.left("bad")
-                  : Either.right(Deployments.of(document[0])),
+                  : Either.right(TestDeployments.of(document[0])),
           EventLogs.silent());
 
   @Test
-  void neverGoesBack() {
+  void ignoresOlderRevisions() {
     List<Long> taken = new ArrayList<>();
     registry.onChange(next -> taken.add(next.revision()));
 
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void keepsTheLastGoodOneWhereADocumentCannotBeRead() {
+  void keepsLastReadableConfiguration() {
     registry.offer(new byte[] {3}, "platform");
     registry.offer(new byte[] {UNREADABLE}, "platform");
 
--- a/gradeledge-core/src/test/java/org/gradeledge/deployment/RouteTableTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/deployment/RouteTableTests.java
@@ -10,36 +10,36 @@
   private final RouteTable table =
       new RouteTable(
           List.of(
-              Deployments.route("one.example", "/a/", Repeatability.ONCE),
-              Deployments.route("one.example", "/a/b/", Repeatability.REPEATABLE),
-              Deployments.route("two.example", "/a/", Repeatability.STREAM)));
+              TestDeployments.route("one.example", "/a/", Repeatability.ONCE),
+              TestDeployments.route("one.example", "/a/b/", Repeatability.REPEATABLE),
+              TestDeployments.route("two.example", "/a/", Repeatability.STREAM)));
 
   @Test
-  void theLongestPrefixOfTheHostWins() {
+  void findsLongestPrefix() {
     assertThat(table.find("one.example", "/a/b/c").map(RouteDefinition::pathPrefix))
         .contains("/a/b/");
     assertThat(table.find("one.example", "/a/bc").map(RouteDefinition::pathPrefix)).contains("/a/");
   }
 
   @Test
-  void hostsThatShareAPrefixAreToldApart() {
+  void distinguishesHostsWithSamePrefix() {
     assertThat(table.find("two.example", "/a/b/c").map(RouteDefinition::host))
         .contains("two.example");
   }
 
   @Test
-  void caseAndPortOfTheHostAreIgnored() {
+  void ignoresCaseAndPortOfHost() {
     assertThat(table.find("ONE.example:8080", "/a/x")).isPresent();
   }
 
   @Test
-  void whatNoRouteTakesHasNone() {
+  void findsNoRouteForUnknownPathOrHost() {
     assertThat(table.find("one.example", "/b/")).isEmpty();
     assertThat(table.find("three.example", "/a/")).isEmpty();
   }
 
   @Test
-  void requestsAreSpreadByWeight() {
+  void distributesRequestsByWeight() {
     RouteDefinition route =
         new RouteDefinition(
             "r",
@@ -56,7 +56,7 @@
 
     long few =
         java.util.stream.IntStream.range(0, 1_000)
-            .filter(draw -> route.serviceFor(draw).equals("few"))
+            .filter(draw -> route.selectService(draw).equals("few"))
             .count();
 
     assertThat(few).isEqualTo(100);
--- a/gradeledge-core/src/test/java/org/gradeledge/deployment/Deployments.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/deployment/TestDeployments.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /** Configurations for tests. */
-public final class Deployments {
+public final class TestDeployments {
 
-  private Deployments() {}
+  private TestDeployments() {}
 
   /** Returns a route with usual bounds. */
   public static RouteDefinition route(String host, String prefix, Repeatability repeatability) {
@@ -39,7 +39,7 @@
         Map.of("service", new ServiceDefinition("service", 64, Optional.empty(), Optional.empty())),
         Map.of("known-key", new ClientAccount("account", Optional.of(0))),
         true,
-        new CallerBounds(16_384, 1_000_000, 3_000, 15_000),
+        new CallerLimits(16_384, 1_000_000, 3_000, 15_000),
         new byte[] {(byte) revision});
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/deployment/UrgencyTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/deployment/UrgencyTests.java
@@ -11,30 +11,29 @@
 class UrgencyTests {
 
   @Test
-  void amongEquallyUrgentAccountsTheRoutesDecide() {
+  void routePriorityDecidesBetweenEqualAccounts() {
     assertThat(rank(1, 0)).isLessThan(rank(1, 1));
     assertThat(rank(1, 1)).isLessThan(rank(1, 2));
   }
 
   @Test
-  void aMoreUrgentAccountGoesBeforeAMoreUrgentRoute() {
+  void accountPriorityPrecedesRoutePriority() {
     assertThat(rank(0, 2)).isLessThan(rank(1, 0));
   }
 
   @Test
-  void withoutAccountsTheRoutesDecide() {
+  void routePriorityDecidesWithoutAccount() {
     assertThat(Urgency.of(Optional.empty(), 0).rank())
         .isLessThan(Urgency.of(Optional.empty(), 1).rank());
   }
 
   @Property
-  void ranksAreWithinTheLevelsWhateverTheConfigurationSays(
-      @ForAll Optional<Integer> account, @ForAll int route) {
+  void rankIsWithinLevels(@ForAll Optional<Integer> account, @ForAll int route) {
     assertThat(Urgency.of(account, route).rank()).isBetween(0, Urgency.LEVELS - 1);
   }
 
   @Property
-  void aLessUrgentRouteOfTheSameAccountNeverRanksBefore(
+  void rankIsMonotonicInRoutePriority(
       @ForAll @IntRange(max = 5) int account, @ForAll @IntRange(max = 5) int route) {
     assertThat(rank(account, route)).isLessThanOrEqualTo(rank(account, route + 1));
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/AnnouncedLeavingTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/AnnouncedLeavingTests.java
@@ -202,9 +202,7 @@
             .isEqualTo(!announced.contains(startedAtMillis));
       }
       assertThat(tested.usable("service"))
-          .noneMatch(
-              upstream ->
-                  upstream.id().equals("id") && announced.contains(upstream.startedAtMillis()))
+          .noneMatch(upstream -> upstream.id().equals("id") && announced.contains(upstream.born()))
           .contains(otherUpstream());
     }
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/discovery/RestartedUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/discovery/RestartedUpstreamTests.java
@@ -96,21 +96,15 @@
       tested.update(i, List.of(reports.get(i)), List.of());
     }
 
-    long latestStart =
-        reports.stream().mapToLong(UpstreamRecord::startedAtMillis).max().orElseThrow();
+    long latestStart = reports.stream().mapToLong(UpstreamRecord::born).max().orElseThrow();
     boolean left =
-        reports.stream()
-            .anyMatch(report -> report.startedAtMillis() == latestStart && report.leaving());
+        reports.stream().anyMatch(report -> report.born() == latestStart && report.leaving());
     assertThat(tested.usable("service")).hasSize(left ? 0 : 1);
-    assertThat(tested.usable("service"))
-        .allMatch(upstream -> upstream.startedAtMillis() == latestStart);
+    assertThat(tested.usable("service")).allMatch(upstream -> upstream.born() == latestStart);
     assertThat(tested.all())
-        .extracting(UpstreamRecord::startedAtMillis)
+        .extracting(UpstreamRecord::born)
         .containsExactly(
-            reports.stream()
-                .max(Comparator.comparing(UpstreamRecord::startedAtMillis))
-                .get()
-                .startedAtMillis());
+            reports.stream().max(Comparator.comparing(UpstreamRecord::born)).get().born());
   }
 
   private static UpstreamRecord report(int number) {
--- a/gradeledge-core/src/test/java/org/gradeledge/follow/TableFollowerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/follow/TableFollowerTests.java
@@ -21,17 +21,17 @@
 class TableFollowerTests {
 
   private final EventLoop loop = new DefaultEventLoop();
-  private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
   @AfterEach
   void stop() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  private static final Duration WAIT = Duration.ofSeconds(10);
+  private static final Duration MAX_WAIT = Duration.ofSeconds(10);
 
   /** Key of a row that the listener cannot bear. */
-  private static final String POISON = "poison";
+  private static final String FAILING_KEY = "poison";
 
   @Test
   void readsOnceAndThenFollowsChanges() throws Exception {
@@ -41,10 +41,10 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 [a]");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [b] [a]");
-    assertThat(table.askedAfter.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
-    assertThat(table.askedAfter.poll(5, TimeUnit.SECONDS)).isEqualTo(6);
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 [a]");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [b] [a]");
+    assertThat(table.requestedRevisions.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
+    assertThat(table.requestedRevisions.poll(5, TimeUnit.SECONDS)).isEqualTo(6);
   }
 
   @Test
@@ -56,8 +56,8 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 9 [c]");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 9 [c]");
   }
 
   @Test
@@ -70,12 +70,12 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
   }
 
   @Test
@@ -88,12 +88,12 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
   }
 
   @Test
@@ -109,13 +109,13 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [] [d]");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("away");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("back");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 6 [] [d]");
   }
 
   @Test
@@ -127,21 +127,21 @@
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 9 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 9 []");
   }
 
   @Test
   void anAnswerThatCannotBeTakenInDoesNotEndTheFollowing() throws Exception {
     ScriptedTable table = new ScriptedTable();
     table.reads.add(Mono.just(new TableContent(4, List.of())));
-    table.changes.add(Mono.just(new TableChanges(5, List.of(row(POISON)), List.of())));
+    table.changes.add(Mono.just(new TableChanges(5, List.of(row(FAILING_KEY)), List.of())));
     table.reads.add(Mono.just(new TableContent(6, List.of(row("e")))));
 
     follow(table);
 
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 6 [e]");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 6 [e]");
   }
 
   @Test
@@ -154,10 +154,10 @@
 
     follow(table);
 
-    assertThat(table.waits.poll(5, TimeUnit.SECONDS)).isEqualTo(WAIT);
-    assertThat(table.waits.poll(5, TimeUnit.SECONDS)).isZero();
-    assertThat(table.waits.poll(5, TimeUnit.SECONDS)).isZero();
-    assertThat(table.waits.poll(5, TimeUnit.SECONDS)).isEqualTo(WAIT);
+    assertThat(table.requestedWaits.poll(5, TimeUnit.SECONDS)).isEqualTo(MAX_WAIT);
+    assertThat(table.requestedWaits.poll(5, TimeUnit.SECONDS)).isZero();
+    assertThat(table.requestedWaits.poll(5, TimeUnit.SECONDS)).isZero();
+    assertThat(table.requestedWaits.poll(5, TimeUnit.SECONDS)).isEqualTo(MAX_WAIT);
   }
 
   /**
@@ -171,13 +171,13 @@
     table.changes.add(Mono.never());
     table.changes.add(Mono.just(new TableChanges(5, List.of(row("d")), List.of())));
     TableFollower follower = follow(table);
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
-    assertThat(table.askedAfter.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("content 4 []");
+    assertThat(table.requestedRevisions.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
 
-    loop.execute(follower::wokeUp);
+    loop.execute(follower::onMachineResume);
 
-    assertThat(table.askedAfter.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
-    assertThat(heard.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
+    assertThat(table.requestedRevisions.poll(5, TimeUnit.SECONDS)).isEqualTo(4);
+    assertThat(events.poll(5, TimeUnit.SECONDS)).isEqualTo("changes 5 [d] []");
   }
 
   private TableFollower follow(ScriptedTable table) {
@@ -189,7 +189,8 @@
             loop,
             MonotonicClock.system(),
             EventLogs.silent(),
-            new FollowPace(() -> WAIT, () -> Duration.ZERO, () -> Duration.ofMillis(300)));
+            new PollingIntervals(
+                () -> MAX_WAIT, () -> Duration.ZERO, () -> Duration.ofMillis(300)));
     loop.execute(follower::start);
     return follower;
   }
@@ -202,26 +203,26 @@
 
     @Override
     public void onContent(TableContent content) {
-      heard.add("content " + content.revision() + " " + keys(content.rows()));
+      events.add("content " + content.revision() + " " + keys(content.rows()));
     }
 
     @Override
     public void onChanges(TableChanges changes) {
-      if (keys(changes.put()).contains(POISON)) {
+      if (keys(changes.put()).contains(FAILING_KEY)) {
         throw new IllegalStateException("a listener that fails");
       }
-      heard.add(
+      events.add(
           "changes " + changes.revision() + " " + keys(changes.put()) + " " + changes.removed());
     }
 
     @Override
-    public void onAway() {
-      heard.add("away");
+    public void onUnavailable() {
+      events.add("away");
     }
 
     @Override
-    public void onBack() {
-      heard.add("back");
+    public void onAvailableAgain() {
+      events.add("back");
     }
 
     private List<String> keys(List<TableRow> rows) {
@@ -234,8 +235,8 @@
 
     private final Queue<Mono<TableContent>> reads = new ArrayDeque<>();
     private final Queue<Mono<TableChanges>> changes = new ArrayDeque<>();
-    private final BlockingQueue<Long> askedAfter = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Duration> waits = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> requestedRevisions = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Duration> requestedWaits = new LinkedBlockingQueue<>();
 
     @Override
     public Mono<TableContent> read() {
@@ -244,8 +245,8 @@
 
     @Override
     public Mono<TableChanges> changes(long afterRevision, Duration wait) {
-      askedAfter.add(afterRevision);
-      waits.add(wait);
+      requestedRevisions.add(afterRevision);
+      requestedWaits.add(wait);
       return changes.isEmpty() ? Mono.never() : changes.remove();
     }
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/membership/MembershipTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/membership/MembershipTests.java
@@ -17,9 +17,9 @@
       new Membership("box-1", BOUND, () -> nanos, new BoxMetrics());
 
   @Test
-  void aConfirmationLastsForTheBound() {
-    membership.joined(3);
-    membership.confirmed(3, 0);
+  void confirmationExpiresAfterMembershipBound() {
+    membership.recordJoin(3);
+    membership.recordConfirmation(3, 0);
     nanos = 99;
     assertThat(membership.isConfirmed()).isTrue();
     nanos = 100;
@@ -27,40 +27,41 @@
   }
 
   @Test
-  void aConfirmationOfAnEarlierIncarnationCountsForNothing() {
-    membership.joined(3);
-    membership.confirmed(2, 0);
+  void ignoresConfirmationOfEarlierIncarnation() {
+    membership.recordJoin(3);
+    membership.recordConfirmation(2, 0);
     assertThat(membership.isConfirmed()).isFalse();
   }
 
   @Test
-  void anOlderConfirmationDoesNotShortenANewerOne() {
-    membership.joined(1);
-    membership.confirmed(1, 50);
-    membership.confirmed(1, 10);
+  void olderConfirmationDoesNotReplaceNewerOne() {
+    membership.recordJoin(1);
+    membership.recordConfirmation(1, 50);
+    membership.recordConfirmation(1, 10);
     nanos = 140;
     assertThat(membership.isConfirmed()).isTrue();
   }
 
   @Test
-  void aMemberIsMarkedAndThenRemovedOnlyAfterTheBounds() {
-    GoneMembers gone = new GoneMembers(BOUND, Duration.ofNanos(10), () -> nanos);
+  void marksAndRemovesUnlistedMemberOnlyAfterBounds() {
+    UnlistedMemberTracker gone =
+        new UnlistedMemberTracker(BOUND, Duration.ofNanos(10), () -> nanos);
     MemberSet members = members(false);
     gone.observe(members, Set.of());
     nanos = 99;
-    assertThat(gone.toMark(members)).isEmpty();
+    assertThat(gone.membersToMark(members)).isEmpty();
     nanos = 100;
-    assertThat(gone.toMark(members)).hasSize(1);
-    gone.listUnknown();
-    assertThat(gone.toMark(members)).isEmpty();
+    assertThat(gone.membersToMark(members)).hasSize(1);
+    gone.listUnavailable();
+    assertThat(gone.membersToMark(members)).isEmpty();
 
     MemberSet marked = members(true);
     gone.observe(marked, Set.of());
     nanos += 119;
-    assertThat(gone.toRemove(marked)).isEmpty();
+    assertThat(gone.membersToRemove(marked)).isEmpty();
     nanos += 1;
-    assertThat(gone.toRemove(marked)).hasSize(1);
-    assertThat(marked.confirms("box-2", 7)).isFalse();
+    assertThat(gone.membersToRemove(marked)).hasSize(1);
+    assertThat(marked.isActiveMember("box-2", 7)).isFalse();
   }
 
   private static MemberSet members(boolean removing) {
--- a/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/mesh/MeshFormatsTests.java
@@ -161,7 +161,7 @@
   void documentFormatMatchesBinding(@ForAll byte[] document) throws IOException {
     DocumentAnswerFormat format = new DocumentAnswerFormat();
     byte[] bytes = MessageFormats.write(format, new DocumentAnswer(document));
-    assertThat(bytes).isEqualTo(MessageFormats.writeBound(new DocumentAnswer(document)));
+    assertThat(bytes).isEqualTo(MessageFormats.writeReflectively(new DocumentAnswer(document)));
     assertThat(MessageFormats.read(format, bytes).document()).isEqualTo(document);
   }
 
@@ -196,7 +196,7 @@
 
   @Test
   void namesAMissingField() throws IOException {
-    byte[] bytes = MessageFormats.writeBound(Map.of("service", "encode"));
+    byte[] bytes = MessageFormats.writeReflectively(Map.of("service", "encode"));
     assertThatThrownBy(() -> MessageFormats.read(new StageCancelFormat(), bytes))
         .hasMessageContaining("requestId");
   }
@@ -204,7 +204,7 @@
   @Test
   void skipsUnknownFields() throws IOException {
     byte[] bytes =
-        MessageFormats.writeBound(
+        MessageFormats.writeReflectively(
             Map.of("service", "encode", "requestId", "r1", "newer", List.of(1.5, "x")));
     assertThat(MessageFormats.read(new StageCancelFormat(), bytes))
         .isEqualTo(new StageCancel("encode", "r1"));
@@ -254,8 +254,8 @@
   private static <T> void assertMatchesBinding(MessageFormat<T> format, T message, Class<T> type)
       throws IOException {
     byte[] bytes = MessageFormats.write(format, message);
-    assertThat(bytes).isEqualTo(MessageFormats.writeBound(message));
+    assertThat(bytes).isEqualTo(MessageFormats.writeReflectively(message));
     assertThat(MessageFormats.read(format, bytes)).isEqualTo(message);
-    assertThat(MessageFormats.readBound(bytes, type)).isEqualTo(message);
+    assertThat(MessageFormats.readReflectively(bytes, type)).isEqualTo(message);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/TableInMemory.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/FakeWritableTable.java
@@ -12,16 +12,16 @@
 import reactor.core.publisher.Mono;
 
 /** A table that several boxes of a test share; it answers at once, or not at all. */
-final class TableInMemory implements WritableTable {
+final class FakeWritableTable implements WritableTable {
 
-  boolean away;
-  int creations;
-  int removals;
+  boolean unavailable;
+  int creationCount;
+  int removalCount;
   private final TreeMap<String, TableRow> rows = new TreeMap<>();
   private long revision;
 
   /** Comes back as a copy of some rows. */
-  void comeBackAs(List<TableRow> copy) {
+  void restoreBackup(List<TableRow> copy) {
     rows.clear();
     copy.forEach(row -> rows.put(row.key(), row));
   }
@@ -38,11 +38,11 @@
   public Mono<Boolean> create(TableRow row) {
     return Mono.fromCallable(
         () -> {
-          if (away) {
+          if (unavailable) {
             throw new IOException("the table is away");
           }
           boolean created = rows.putIfAbsent(row.key(), row) == null;
-          creations += created ? 1 : 0;
+          creationCount += created ? 1 : 0;
           revision++;
           return created;
         });
@@ -52,11 +52,11 @@
   public Mono<Void> remove(List<String> keys) {
     return Mono.fromCallable(
             () -> {
-              if (away) {
+              if (unavailable) {
                 throw new IOException("the table is away");
               }
               keys.forEach(rows::remove);
-              removals++;
+              removalCount++;
               return revision++;
             })
         .then();
--- a/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/OperatorTableListenerTests.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.deployment.DeploymentRegistry;
-import org.gradeledge.deployment.Deployments;
+import org.gradeledge.deployment.TestDeployments;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.discovery.ZoneEvacuations;
 import org.gradeledge.event.EventLogs;
@@ -22,10 +22,10 @@
 
 class OperatorTableListenerTests {
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
 
   /** Keys are {@code document} and {@code empty:ZONE}. */
-  private static final class Orders implements OperatorOrderReader {
+  private static final class FakeRowReader implements OperatorRowReader {
 
     @Override
     public boolean isConfiguration(String key) {
@@ -40,94 +40,100 @@
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final List<Integer> readDocuments = new ArrayList<>();
-  private final List<String> told = new ArrayList<>();
+  private final List<String> notifications = new ArrayList<>();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
   private final DeploymentRegistry deployments =
       new DeploymentRegistry(
           document -> {
             readDocuments.add((int) document[0]);
-            return Either.right(Deployments.of(document[0]));
+            return Either.right(TestDeployments.of(document[0]));
           },
           EventLogs.silent());
   private final OperatorTableListener listener =
       new OperatorTableListener(
-          new Orders(), deployments, upstreams, channel.eventLoop(), () -> told.add("told"));
+          new FakeRowReader(),
+          deployments,
+          upstreams,
+          channel.eventLoop(),
+          () -> notifications.add("told"));
 
-  private static final long COPY = TableRevision.of(1, 4);
+  private static final long BACKUP_REVISION = TableRevision.of(1, 4);
 
   @Test
-  void anOrderThatAnOlderCopyLacksHoldsUntilItIsWrittenAgain() {
+  void keepsEvacuationMissingFromBackupUntilRewritten() {
     channel.freezeTime();
     listener.onContent(new TableContent(7, List.of(document(3), zone("east"))));
 
-    comeBack(document(3));
-    pass(1_900);
+    restoreBackup(document(3));
+    advance(1_900);
     assertThat(upstreams.evacuations().zones()).containsExactly("east");
-    listener.onChanges(new TableChanges(COPY + 1, List.of(zone("east")), List.of()));
-    pass(200);
+    listener.onChanges(new TableChanges(BACKUP_REVISION + 1, List.of(zone("east")), List.of()));
+    advance(200);
 
-    assertThat(upstreams.evacuations()).isEqualTo(new ZoneEvacuations(COPY + 1, Set.of("east")));
+    assertThat(upstreams.evacuations())
+        .isEqualTo(new ZoneEvacuations(BACKUP_REVISION + 1, Set.of("east")));
   }
 
   @Test
-  void oneThatWasLiftedSinceTheCopyWasTakenStaysLifted() {
+  void ignoresEvacuationOfBackupThatHadEnded() {
     channel.freezeTime();
     listener.onContent(new TableContent(7, List.of(document(3))));
 
-    comeBack(document(3), zone("east"));
+    restoreBackup(document(3), zone("east"));
     assertThat(upstreams.evacuations().zones()).isEmpty();
-    listener.onChanges(new TableChanges(COPY + 1, List.of(), List.of("empty:east")));
-    pass(2_100);
+    listener.onChanges(new TableChanges(BACKUP_REVISION + 1, List.of(), List.of("empty:east")));
+    advance(2_100);
 
     assertThat(upstreams.evacuations().zones()).isEmpty();
   }
 
   @Test
-  void whatIsOrderedAfterADrillHoldsAtOnceThoughItsVersionIsLower() {
+  void appliesNewEvacuationAfterRestoreAtOnce() {
     channel.freezeTime();
     listener.onContent(new TableContent(700, List.of(document(3), zone("east"))));
 
-    comeBack(document(3));
-    listener.onChanges(new TableChanges(COPY + 1, List.of(zone("west")), List.of()));
+    restoreBackup(document(3));
+    listener.onChanges(new TableChanges(BACKUP_REVISION + 1, List.of(zone("west")), List.of()));
 
     assertThat(upstreams.evacuations().zones()).containsExactly("east", "west");
   }
 
   @Test
-  void whatIsNotWrittenAgainByThenIsAsTheTableSays() {
+  void appliesTableContentAfterRewriteTime() {
     channel.freezeTime();
     listener.onContent(new TableContent(7, List.of(document(3), zone("east"))));
 
-    comeBack(document(3), zone("west"));
-    pass(2_100);
+    restoreBackup(document(3), zone("west"));
+    advance(2_100);
 
-    assertThat(upstreams.evacuations()).isEqualTo(new ZoneEvacuations(COPY, Set.of("west")));
-    listener.onChanges(new TableChanges(COPY + 1, List.of(), List.of("empty:west")));
+    assertThat(upstreams.evacuations())
+        .isEqualTo(new ZoneEvacuations(BACKUP_REVISION, Set.of("west")));
+    listener.onChanges(new TableChanges(BACKUP_REVISION + 1, List.of(), List.of("empty:west")));
     assertThat(upstreams.evacuations().zones()).isEmpty();
   }
 
-  private void comeBack(TableRow... rows) {
-    listener.onOlderCopy();
-    listener.onContent(new TableContent(COPY, List.of(rows)));
+  private void restoreBackup(TableRow... rows) {
+    listener.onBackupRestored();
+    listener.onContent(new TableContent(BACKUP_REVISION, List.of(rows)));
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
     channel.runPendingTasks();
   }
 
   @Test
-  void anEvacuationIsReadBesideTheConfiguration() {
+  void readsEvacuationAndConfiguration() {
     listener.onContent(new TableContent(7, List.of(document(3), zone("east"))));
 
     assertThat(upstreams.evacuations()).isEqualTo(new ZoneEvacuations(7, Set.of("east")));
     assertThat(deployments.revision()).isEqualTo(3);
     assertThat(readDocuments).containsExactly(3);
-    assertThat(told).hasSize(1);
+    assertThat(notifications).hasSize(1);
   }
 
   @Test
-  void zonesComeAndGoOneByOne() {
+  void addsAndRemovesZones() {
     listener.onContent(new TableContent(7, List.of(document(3))));
     listener.onChanges(new TableChanges(8, List.of(zone("east")), List.of()));
     listener.onChanges(new TableChanges(9, List.of(zone("west")), List.of()));
@@ -136,22 +142,22 @@
     listener.onChanges(new TableChanges(10, List.of(), List.of("empty:east")));
 
     assertThat(upstreams.evacuations()).isEqualTo(new ZoneEvacuations(10, Set.of("west")));
-    assertThat(told).hasSize(3);
+    assertThat(notifications).hasSize(3);
   }
 
   @Test
-  void aConfigurationAloneTellsNobodyOfEvacuations() {
+  void doesNotNotifyWhenOnlyConfigurationChanges() {
     listener.onContent(new TableContent(7, List.of(zone("east"))));
-    told.clear();
+    notifications.clear();
 
     listener.onChanges(new TableChanges(9, List.of(document(4)), List.of()));
 
-    assertThat(told).isEmpty();
+    assertThat(notifications).isEmpty();
     assertThat(upstreams.evacuations().zones()).containsExactly("east");
   }
 
   @Test
-  void whatIsReadAnewAfterLostHistoryReplacesAllThatWasKnown() {
+  void replacesEvacuationsOnFullRead() {
     listener.onContent(new TableContent(7, List.of(zone("east"))));
 
     listener.onContent(new TableContent(30, List.of(document(3))));
@@ -160,7 +166,7 @@
   }
 
   @Test
-  void anOlderReadingDoesNotUndoWhatAnotherBoxTold() {
+  void ignoresReadOlderThanReportOfAnotherBox() {
     upstreams.applyEvacuations(new ZoneEvacuations(20, Set.of("east")));
 
     listener.onContent(new TableContent(7, List.of(document(3))));
@@ -173,6 +179,6 @@
   }
 
   private static TableRow zone(String zone) {
-    return new TableRow("empty:" + zone, NOTHING);
+    return new TableRow("empty:" + zone, EMPTY);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/OlderCopyOfVerdictsTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/RestoredVerdictTableTests.java
@@ -15,99 +15,99 @@
 import org.junit.jupiter.api.Test;
 
 /** The table of verdicts comes back as an older copy of itself, in virtual time. */
-class OlderCopyOfVerdictsTests {
+class RestoredVerdictTableTests {
 
-  private static final RequestFingerprint GUILTY = new RequestFingerprint(1, 2, 3);
-  private static final String KEY = GUILTY.toString();
-  private static final String FIRST_TRIAL = VerdictRow.trialKey(GUILTY, 1);
+  private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 2, 3);
+  private static final String KEY = CRASHING.toString();
+  private static final String FIRST_TRIAL = VerdictRow.trialKey(CRASHING, 1);
 
-  private final TableInMemory table = new TableInMemory();
+  private final FakeWritableTable table = new FakeWritableTable();
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowMillis = TimeUnit.DAYS.toMillis(20_000);
   private final Quarantine quarantine =
       new Quarantine(() -> TimeUnit.MILLISECONDS.toNanos(nowMillis));
-  private boolean onDuty = true;
-  private final VerdictKeeper keeper =
-      new VerdictKeeper(
+  private boolean isWriter = true;
+  private final QuarantineVerdictStore store =
+      new QuarantineVerdictStore(
           quarantine,
           table,
           channel.eventLoop(),
           () -> nowMillis,
-          () -> onDuty,
+          () -> isWriter,
           EventLogs.silent());
 
   @BeforeEach
-  void hold() {
+  void reachVerdict() {
     channel.freezeTime();
     for (String start : List.of("a", "b", "c")) {
-      quarantine.recordCrash(GUILTY, start);
+      quarantine.recordCrash(CRASHING, start);
     }
-    pass(10);
+    advance(10);
     read();
     assertThat(table.keys()).containsExactly(KEY);
   }
 
   @Test
-  void aVerdictThatTheCopyLacksHoldsAndIsWrittenAgainOnce() {
-    drill(List.of());
+  void rewritesVerdictMissingFromBackup() {
+    restoreBackup(List.of());
 
-    assertThat(quarantine.isQuarantined(GUILTY)).isTrue();
-    pass(10);
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
+    advance(10);
     assertThat(table.keys()).containsExactly(KEY);
-    assertThat(table.creations).isEqualTo(2);
+    assertThat(table.creationCount).isEqualTo(2);
   }
 
   @Test
-  void alsoOneThatWasWrittenAndNotReadYet() {
+  void rewritesVerdictThatWasNotReadBeforeRestore() {
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
     for (String start : List.of("d", "e", "f")) {
       quarantine.recordCrash(other, start);
     }
-    pass(10);
-    pass(1);
+    advance(10);
+    advance(1);
 
-    drill(List.of());
-    pass(10);
+    restoreBackup(List.of());
+    advance(10);
 
     assertThat(table.keys()).containsExactlyInAnyOrder(KEY, other.toString());
   }
 
   @Test
-  void aTrialThatWasSpentStaysSpentAndIsWrittenAgain() {
-    keeper.claim(GUILTY).block();
+  void rewritesUsedTrialMissingFromBackup() {
+    store.claim(CRASHING).block();
     read();
     List<TableRow> copy =
         table.content().rows().stream().filter(row -> row.key().equals(KEY)).toList();
 
-    drill(copy);
-    pass(10);
+    restoreBackup(copy);
+    advance(10);
 
-    assertThat(keeper.timeUntilNext(GUILTY).orElseThrow().toMinutes()).isGreaterThan(100);
+    assertThat(store.timeUntilNext(CRASHING).orElseThrow().toMinutes()).isGreaterThan(100);
     assertThat(table.keys()).containsExactlyInAnyOrder(KEY, FIRST_TRIAL);
   }
 
   @Test
-  void oneThatAnOperatorLiftedStaysLiftedThoughTheCopyHasIt() {
+  void removesRestoredRowThatOperatorHadRemoved() {
     List<TableRow> copy = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
-    assertThat(quarantine.isQuarantined(GUILTY)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isFalse();
 
-    drill(copy);
+    restoreBackup(copy);
 
-    assertThat(quarantine.isQuarantined(GUILTY)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isFalse();
     assertThat(table.keys()).isEmpty();
   }
 
   // Guards against a lifted verdict whose row comes back and stays, as its row was never read here.
   @Test
-  void oneThatWasLiftedBeforeItsRowWasReadHereStaysLifted() {
+  void removesRestoredRowThatWasNeverReadHere() {
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
     String key = other.toString();
-    TableRow row = new VerdictRow(other, List.of("d", "e", "f"), nowMillis).write();
+    TableRow row = new VerdictRow(other, List.of("d", "e", "f"), nowMillis).toTableRow();
 
-    keeper.onChanges(new TableChanges(9, List.of(), List.of(key)));
-    drill(List.of(table.content().rows().get(0), row));
+    store.onChanges(new TableChanges(9, List.of(), List.of(key)));
+    restoreBackup(List.of(table.content().rows().get(0), row));
 
     assertThat(quarantine.isQuarantined(other)).isFalse();
     assertThat(table.keys()).containsExactly(KEY);
@@ -115,125 +115,125 @@
 
   // Guards against the same where other boxes have told of the lifting before the table did.
   @Test
-  void oneThatOthersToldIsLiftedBeforeItsRowWasReadHereStaysLifted() {
+  void removesRestoredRowWithdrawnByOtherBoxes() {
     RequestFingerprint other = new RequestFingerprint(4, 5, 6);
-    onDuty = false;
+    isWriter = false;
     quarantine.merge(
         new SuspectUpdate(
-            List.of(new VerdictRow(other, List.of("d", "e", "f"), nowMillis).report(nowMillis)),
+            List.of(new VerdictRow(other, List.of("d", "e", "f"), nowMillis).toReport(nowMillis)),
             List.of()));
-    TableRow row = new VerdictRow(other, List.of("d", "e", "f"), nowMillis).write();
-    pass(1);
+    TableRow row = new VerdictRow(other, List.of("d", "e", "f"), nowMillis).toTableRow();
+    advance(1);
     quarantine.withdrawCrashes(other);
-    pass(1);
-    onDuty = true;
+    advance(1);
+    isWriter = true;
 
-    drill(List.of(table.content().rows().get(0), row));
+    restoreBackup(List.of(table.content().rows().get(0), row));
 
     assertThat(table.keys()).containsExactly(KEY);
   }
 
   // Guards against a row that comes back and stays, as no box on duty knows that it was lifted.
   @Test
-  void aBoxThatIsNotOnDutyRemovesItAgainIfNobodyElseDoes() {
+  void removesRestoredRowWithDelayWhenNotWriter() {
     List<TableRow> copy = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
-    onDuty = false;
+    isWriter = false;
 
-    drill(copy);
+    restoreBackup(copy);
     assertThat(table.keys()).containsExactly(KEY);
-    pass(20_000);
+    advance(20_000);
 
     assertThat(table.keys()).isEmpty();
   }
 
   @Test
-  void aBoxThatIsNotOnDutyLeavesItToThoseThatAre() {
+  void leavesRemovalToWritersWhenNotWriter() {
     List<TableRow> copy = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
-    onDuty = false;
-    drill(copy);
+    isWriter = false;
+    restoreBackup(copy);
     table.remove(List.of(KEY)).block();
-    keeper.onChanges(new TableChanges(9, List.of(), List.of(KEY)));
-    int before = table.removals;
+    store.onChanges(new TableChanges(9, List.of(), List.of(KEY)));
+    int before = table.removalCount;
 
-    pass(20_000);
+    advance(20_000);
 
-    assertThat(table.removals).isEqualTo(before);
+    assertThat(table.removalCount).isEqualTo(before);
   }
 
   // Guards against a row that comes back and stays, as the call that removes it again failed.
   @Test
-  void aRemovalThatFailsIsTriedAgain() {
+  void retriesFailedRemoval() {
     List<TableRow> copy = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
-    table.away = true;
-    drill(copy);
+    table.unavailable = true;
+    restoreBackup(copy);
 
-    table.away = false;
-    pass(2_000);
+    table.unavailable = false;
+    advance(2_000);
 
     assertThat(table.keys()).isEmpty();
   }
 
   @Test
-  void oneThatWasLiftedAndReachedAgainIsHeld() {
+  void keepsVerdictReachedAgainAfterWithdrawal() {
     List<TableRow> copy = table.content().rows();
     table.remove(List.of(KEY)).block();
     read();
     nowMillis += 5_000;
     for (String start : List.of("g", "h", "i")) {
-      quarantine.recordCrash(GUILTY, start);
+      quarantine.recordCrash(CRASHING, start);
     }
-    pass(10);
+    advance(10);
 
-    drill(copy);
-    pass(10);
+    restoreBackup(copy);
+    advance(10);
 
-    assertThat(quarantine.isQuarantined(GUILTY)).isTrue();
+    assertThat(quarantine.isQuarantined(CRASHING)).isTrue();
     assertThat(table.keys()).containsExactly(KEY);
   }
 
   @Test
-  void afterTheCopyARowThatGoesIsLiftedAsEver() {
-    drill(List.of());
-    pass(10);
+  void withdrawsVerdictOfRowRemovedAfterRestore() {
+    restoreBackup(List.of());
+    advance(10);
     read();
 
     table.remove(List.of(KEY)).block();
     read();
 
-    assertThat(quarantine.isQuarantined(GUILTY)).isFalse();
+    assertThat(quarantine.isQuarantined(CRASHING)).isFalse();
   }
 
   @Test
-  void oneThatCannotBeWrittenAgainYetIsWrittenLater() {
-    table.away = true;
-    drill(List.of());
-    pass(3_000);
+  void retriesRewriteWhenTableIsUnavailable() {
+    table.unavailable = true;
+    restoreBackup(List.of());
+    advance(3_000);
     assertThat(table.keys()).isEmpty();
 
-    table.away = false;
-    pass(2_000);
+    table.unavailable = false;
+    advance(2_000);
 
     assertThat(table.keys()).containsExactly(KEY);
   }
 
-  private void drill(List<TableRow> copy) {
-    table.comeBackAs(copy);
-    keeper.onOlderCopy();
+  private void restoreBackup(List<TableRow> copy) {
+    table.restoreBackup(copy);
+    store.onBackupRestored();
     read();
   }
 
   private void read() {
-    keeper.onContent(table.content());
-    pass(1);
+    store.onContent(table.content());
+    advance(1);
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     nowMillis += millis;
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
     channel.runPendingTasks();
--- a/gradeledge-core/src/test/java/org/gradeledge/node/BoxInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedBox.java
@@ -5,42 +5,42 @@
 import java.util.concurrent.TimeUnit;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
-import org.gradeledge.follow.FollowPace;
+import org.gradeledge.follow.PollingIntervals;
 import org.gradeledge.follow.TableFollower;
 
 /** What a box knows of the list of upstreams, in virtual time, paced as among few boxes. */
-final class BoxInVirtualTime {
+final class SimulatedBox {
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final ListInVirtualTime list = new ListInVirtualTime(channel.eventLoop());
+  private final SimulatedUpstreamTable table = new SimulatedUpstreamTable(channel.eventLoop());
   private final TableFollower follower;
-  private long now;
+  private long nowMillis;
 
-  BoxInVirtualTime(Duration leavingBound) {
+  SimulatedBox(Duration leavingBound) {
     channel.freezeTime();
     UpstreamTableListener listener =
         new UpstreamTableListener(
             upstreams,
-            ListInVirtualTime::readRow,
-            new UnreadableRows(EventLogs.silent(), () -> {}),
+            SimulatedUpstreamTable::readRow,
+            new UnreadableRowLog(EventLogs.silent(), () -> {}),
             () -> {},
             channel.eventLoop(),
-            () -> TimeUnit.MILLISECONDS.toNanos(now),
+            () -> TimeUnit.MILLISECONDS.toNanos(nowMillis),
             leavingBound);
     follower =
         new TableFollower(
             "upstreams",
-            list,
+            table,
             listener,
             channel.eventLoop(),
-            () -> TimeUnit.MILLISECONDS.toNanos(now),
+            () -> TimeUnit.MILLISECONDS.toNanos(nowMillis),
             EventLogs.silent(),
-            new FollowPace(
+            new PollingIntervals(
                 () -> Duration.ZERO,
                 () -> leavingBound.dividedBy(2),
-                () -> PlatformFollowers.BACKOFF));
-    listener.onLook(follower::lookNow);
+                () -> PlatformFollowers.MAX_BACKOFF));
+    listener.setReadAction(follower::pollNow);
   }
 
   void follow() {
@@ -48,18 +48,18 @@
     channel.runPendingTasks();
   }
 
-  ListInVirtualTime list() {
-    return list;
+  SimulatedUpstreamTable table() {
+    return table;
   }
 
-  boolean uses(String id) {
+  boolean isUsable(String id) {
     return upstreams.usable("service").stream().anyMatch(each -> each.id().equals(id));
   }
 
   /** Lets time pass, a millisecond at a time. */
   void advance(long millis) {
     for (long step = 0; step < millis; step++) {
-      now++;
+      nowMillis++;
       channel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
       channel.runPendingTasks();
     }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/ListInVirtualTime.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/SimulatedUpstreamTable.java
@@ -26,25 +26,25 @@
  * A list of upstreams on an event loop of virtual time. A call that comes while it is away is never
  * answered and fails at its limit, also where the list is back before.
  */
-final class ListInVirtualTime implements RevisionedTable {
+final class SimulatedUpstreamTable implements RevisionedTable {
 
   /** As an answer takes where nothing is wrong. */
   private static final long ANSWER_MILLIS = 5;
 
   /** A connection that cannot be opened fails by then. */
-  private static final long CALL_LIMIT_MILLIS = 600;
+  private static final long CALL_TIMEOUT_MILLIS = 600;
 
-  private record Change(long revision, String id, boolean gone) {}
+  private record Change(long revision, String id, boolean removed) {}
 
   private final EventLoop loop;
   private final Map<String, Boolean> present = new TreeMap<>();
   private final List<Change> history = new ArrayList<>();
   private long revision;
-  private boolean away;
-  private long era;
-  private int calls;
+  private boolean unavailable;
+  private long epoch;
+  private int callCount;
 
-  ListInVirtualTime(EventLoop loop) {
+  SimulatedUpstreamTable(EventLoop loop) {
     this.loop = loop;
   }
 
@@ -67,23 +67,23 @@
   }
 
   /** Comes back as a copy with these entries; versions are given out again from a lower one. */
-  void comeBackAs(long version, String... ids) {
+  void restoreBackup(long version, String... ids) {
     present.clear();
     history.clear();
-    era++;
+    epoch++;
     revision = version;
     Stream.of(ids).forEach(id -> present.put(id, true));
   }
 
   /** Sets from when until when, in milliseconds from now, calls get no answer. */
-  void awayUntil(long from, long until) {
-    loop.schedule(() -> away = true, from, TimeUnit.MILLISECONDS);
-    loop.schedule(() -> away = false, until, TimeUnit.MILLISECONDS);
+  void scheduleOutage(long from, long until) {
+    loop.schedule(() -> unavailable = true, from, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> unavailable = false, until, TimeUnit.MILLISECONDS);
   }
 
   /** Returns how often it was called. */
-  int calls() {
-    return calls;
+  int callCount() {
+    return callCount;
   }
 
   @Override
@@ -91,7 +91,7 @@
     return answer(
         () ->
             new TableContent(
-                TableRevision.of(era, revision),
+                TableRevision.of(epoch, revision),
                 present.keySet().stream().map(this::row).toList()));
   }
 
@@ -101,16 +101,16 @@
   }
 
   private TableChanges changesAfter(long after) {
-    if (TableRevision.era(after) != era) {
+    if (TableRevision.epoch(after) != epoch) {
       throw new HistoryLostException("another era");
     }
     long afterRevision = TableRevision.version(after);
     Map<String, Boolean> last = new TreeMap<>();
     history.stream()
         .filter(change -> change.revision() > afterRevision)
-        .forEach(change -> last.put(change.id(), change.gone()));
+        .forEach(change -> last.put(change.id(), change.removed()));
     return new TableChanges(
-        TableRevision.of(era, revision),
+        TableRevision.of(epoch, revision),
         last.keySet().stream().filter(id -> !last.get(id)).map(this::row).toList(),
         last.keySet().stream().filter(last::get).toList());
   }
@@ -120,14 +120,16 @@
   }
 
   private <T> Mono<T> answer(Supplier<T> now) {
-    calls++;
-    return Mono.create(sink -> later(sink, now));
+    callCount++;
+    return Mono.create(sink -> scheduleAnswer(sink, now));
   }
 
-  private <T> void later(MonoSink<T> sink, Supplier<T> now) {
-    if (away) {
+  private <T> void scheduleAnswer(MonoSink<T> sink, Supplier<T> now) {
+    if (unavailable) {
       loop.schedule(
-          () -> sink.error(new IOException("no answer")), CALL_LIMIT_MILLIS, TimeUnit.MILLISECONDS);
+          () -> sink.error(new IOException("no answer")),
+          CALL_TIMEOUT_MILLIS,
+          TimeUnit.MILLISECONDS);
     } else {
       loop.schedule(() -> succeed(sink, now), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/gradeledge-core/src/test/java/org/gradeledge/node/RowsFromOthersTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/UnreadableUpstreamRowTests.java
@@ -22,29 +22,29 @@
 import org.junit.jupiter.api.Test;
 
 /** Something else writes into the list of upstreams, and over rows of upstreams. */
-class RowsFromOthersTests {
+class UnreadableUpstreamRowTests {
 
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final List<String> told = new ArrayList<>();
+  private final List<String> reportedRows = new ArrayList<>();
   private final UpstreamTableListener listener =
       new UpstreamTableListener(
           upstreams,
-          ListInVirtualTime::readRow,
-          new UnreadableRows(EventLogs.silent(), () -> told.add("row")),
+          SimulatedUpstreamTable::readRow,
+          new UnreadableRowLog(EventLogs.silent(), () -> reportedRows.add("row")),
           () -> {},
           new EmbeddedChannel().eventLoop(),
           () -> 0,
           Duration.ofSeconds(2));
 
   @Test
-  void aRowThatCannotBeReadHarmsNoOther() {
+  void ignoresUnreadableRow() {
     listener.onContent(new TableContent(1, List.of(row("a"), unreadable("x", "?"), row("b"))));
 
     assertThat(usable()).containsExactlyInAnyOrder("a", "b");
   }
 
   @Test
-  void anUpstreamWhoseRowBecomesUnreadableGetsNoNewWorkUntilItIsWholeAgain() {
+  void removesUpstreamWhileItsRowIsUnreadable() {
     listener.onContent(new TableContent(1, List.of(row("a"), row("b"))));
 
     listener.onChanges(new TableChanges(2, List.of(unreadable("a", "?")), List.of()));
@@ -55,19 +55,18 @@
   }
 
   @Test
-  void eachSuchRowIsToldOfOnceAndOnceMoreWhereItHasChanged() {
+  void reportsUnreadableRowOncePerContent() {
     List<TableRow> rows = List.of(row("a"), unreadable("x", "?"), unreadable("y", "?"));
     listener.onContent(new TableContent(1, rows));
     listener.onContent(new TableContent(2, rows));
-    assertThat(told).hasSize(2);
+    assertThat(reportedRows).hasSize(2);
 
     listener.onChanges(new TableChanges(3, List.of(unreadable("x", "?other")), List.of()));
-    assertThat(told).hasSize(3);
+    assertThat(reportedRows).hasSize(3);
   }
 
   @Property(tries = 300)
-  void whateverStandsAmongThemTheWholeRowsAreUsed(
-      @ForAll @Size(max = 20) List<@IntRange(max = 30) Integer> numbers) {
+  void usesAllReadableRows(@ForAll @Size(max = 20) List<@IntRange(max = 30) Integer> numbers) {
     List<TableRow> rows =
         numbers.stream()
             .distinct()
--- a/gradeledge-core/src/test/java/org/gradeledge/node/ReturnOfTheListTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/node/UpstreamTableOutageTests.java
@@ -20,53 +20,53 @@
  * and its list in virtual time, over all lengths of the outage; logs of played days show the same
  * times.
  */
-class ReturnOfTheListTests {
+class UpstreamTableOutageTests {
 
   /** A box that has reached the list again for so long must know what stands in it. */
-  private static final long IN_TOUCH_MILLIS = 3_000;
+  private static final long CONFIRMED_MILLIS = 3_000;
 
   /** An upstream gets no new work later than this after the box has read that it is gone. */
-  private static final Duration LEAVING_BOUND = Duration.ofSeconds(2);
+  private static final Duration MAX_LEAVING_DELAY = Duration.ofSeconds(2);
 
   /** Living upstreams have renewed their entries by then. */
   private static final long RENEWED_MILLIS = 1_600;
 
-  private static final long OUTAGE_BEGINS = 5_000;
+  private static final long OUTAGE_START_MILLIS = 5_000;
 
   @Property(tries = 300)
-  void anUpstreamThatLeftDuringAnOutageIsOutOfUseOnceTheBoxIsInTouchAgain(
+  void removesUpstreamThatLeftDuringOutage(
       @ForAll @LongRange(min = 1_500, max = 9_000) long outageMillis) {
-    BoxInVirtualTime box = afterOutage(outageMillis);
+    SimulatedBox box = afterOutage(outageMillis);
 
-    box.advance(IN_TOUCH_MILLIS);
+    box.advance(CONFIRMED_MILLIS);
 
-    assertThat(box.uses("left")).isFalse();
+    assertThat(box.isUsable("left")).isFalse();
   }
 
   @Property(tries = 300)
-  void oneThatLivesAndRenewsItsEntryIsInUseAllTheTime(
+  void keepsUpstreamThatRenewsItsRowAfterOutage(
       @ForAll @LongRange(min = 1_500, max = 9_000) long outageMillis) {
-    BoxInVirtualTime box = afterOutage(outageMillis);
+    SimulatedBox box = afterOutage(outageMillis);
 
     box.advance(RENEWED_MILLIS);
-    box.list().add("lives");
+    box.table().add("lives");
 
-    for (long after = RENEWED_MILLIS; after < IN_TOUCH_MILLIS; after += 10) {
+    for (long after = RENEWED_MILLIS; after < CONFIRMED_MILLIS; after += 10) {
       box.advance(10);
-      assertThat(box.uses("lives")).describedAs("%d ms after the return", after).isTrue();
+      assertThat(box.isUsable("lives")).describedAs("%d ms after the return", after).isTrue();
     }
   }
 
   /** Returns a box at the moment of the list's return; two entries have lapsed meanwhile. */
-  private static BoxInVirtualTime afterOutage(long outageMillis) {
-    BoxInVirtualTime box = new BoxInVirtualTime(LEAVING_BOUND);
-    box.list().add("left");
-    box.list().add("lives");
+  private static SimulatedBox afterOutage(long outageMillis) {
+    SimulatedBox box = new SimulatedBox(MAX_LEAVING_DELAY);
+    box.table().add("left");
+    box.table().add("lives");
     box.follow();
-    box.list().awayUntil(OUTAGE_BEGINS, OUTAGE_BEGINS + outageMillis);
-    box.advance(OUTAGE_BEGINS + 1);
-    box.list().remove("left");
-    box.list().remove("lives");
+    box.table().scheduleOutage(OUTAGE_START_MILLIS, OUTAGE_START_MILLIS + outageMillis);
+    box.advance(OUTAGE_START_MILLIS + 1);
+    box.table().remove("left");
+    box.table().remove("lives");
     box.advance(outageMillis - 1);
     return box;
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/KeyedHashTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/HmacSha256Tests.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-class KeyedHashTests {
+class HmacSha256Tests {
 
   private static final String ALGORITHM = "HmacSHA256";
 
@@ -27,14 +27,14 @@
     mac.init(new SecretKeySpec(key.getBytes(StandardCharsets.UTF_8), ALGORITHM));
     mac.update(one);
     mac.update(other);
-    assertThat(new KeyedHash(key).of(one, other)).isEqualTo(mac.doFinal());
+    assertThat(new HmacSha256(key).compute(one, other)).isEqualTo(mac.doFinal());
   }
 
   /** Test case 2 of RFC 4231. */
   @Test
   void isAsPublished() {
     byte[] text = "what do ya want for nothing?".getBytes(StandardCharsets.UTF_8);
-    assertThat(HexFormat.of().formatHex(new KeyedHash("Jefe").of(text)))
+    assertThat(HexFormat.of().formatHex(new HmacSha256("Jefe").compute(text)))
         .isEqualTo("5bdcc146bf60754e6a042426089575c75a003f089d2739839dec58b964ec3843");
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/MessageFormats.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/MessageFormats.java
@@ -18,12 +18,12 @@
   }
 
   /** Returns a message as bytes, bound by reflection. */
-  public static byte[] writeBound(Object message) throws IOException {
-    return BoundFormat.write(message);
+  public static byte[] writeReflectively(Object message) throws IOException {
+    return ReflectiveCodec.write(message);
   }
 
   /** Returns the message that bytes hold, bound by reflection. */
-  public static <T> T readBound(byte[] bytes, Class<T> type) throws IOException {
-    return BoundFormat.read(bytes, type);
+  public static <T> T readReflectively(byte[] bytes, Class<T> type) throws IOException {
+    return ReflectiveCodec.read(bytes, type);
   }
 }
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerDialerTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerDialerTests.java
@@ -29,7 +29,7 @@
   @Test
   void looksAtAConnectedPeerOnlyOnceTheConnectionHasEnded() {
     start();
-    dialer.opened();
+    dialer.connectionOpened();
     time.advanceTimeBy(Duration.ofMinutes(10));
     assertThat(looks).hasValue(1);
     assertThat(dials).hasValue(1);
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerNetworkTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerNetworkTests.java
@@ -44,7 +44,7 @@
 
     assertThat(ask(one, "box-2", "Шумен?")).isEqualTo("box-2 heard Шумен?");
     assertThat(ask(two, "box-1", "Huế?")).isEqualTo("box-1 heard Huế?");
-    assertThat(one.connected()).hasSize(1);
+    assertThat(one.connectedPeers()).hasSize(1);
   }
 
   @Test
@@ -56,11 +56,11 @@
     assertThatThrownBy(
             () ->
                 stranger
-                    .ask("box-1", QUESTION, new Question(""), Reply.class, LIMIT)
+                    .request("box-1", QUESTION, new Question(""), Reply.class, LIMIT)
                     .retryWhen(Retry.fixedDelay(10, Duration.ofMillis(50)))
                     .block(LIMIT))
         .hasRootCauseInstanceOf(PeerException.class);
-    assertThat(one.connected()).isEmpty();
+    assertThat(one.connectedPeers()).isEmpty();
   }
 
   @Test
@@ -73,7 +73,7 @@
     ask(one, "box-2", "first");
 
     for (int i = 0; i < 200; i++) {
-      one.ask("box-2", slow, new Question("slow"), Reply.class, LIMIT)
+      one.request("box-2", slow, new Question("slow"), Reply.class, LIMIT)
           .subscribe(answer -> {}, failure -> {});
     }
 
@@ -98,15 +98,15 @@
     assertThatThrownBy(
             () ->
                 other
-                    .ask("box-1", QUESTION, new Question(""), Reply.class, SHORT_LIMIT)
+                    .request("box-1", QUESTION, new Question(""), Reply.class, SHORT_LIMIT)
                     .retryWhen(Retry.fixedDelay(5, Duration.ofMillis(50)))
                     .block(LIMIT))
         .hasMessageContaining("Retries exhausted");
-    assertThat(closed.connected()).isEmpty();
+    assertThat(closed.connectedPeers()).isEmpty();
   }
 
   private static String ask(PeerNetwork from, String to, String text) {
-    return from.ask(to, QUESTION, new Question(text), Reply.class, LIMIT)
+    return from.request(to, QUESTION, new Question(text), Reply.class, LIMIT)
         .retryWhen(Retry.fixedDelay(100, Duration.ofMillis(50)))
         .block(LIMIT)
         .text();
--- a/gradeledge-core/src/test/java/org/gradeledge/peer/PeerProbeTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/peer/PeerProbeTests.java
@@ -18,8 +18,8 @@
   @Test
   void aConnectionOnWhichThingsComeIsNotProbed() {
     for (int i = 0; i < 20; i++) {
-      probe.received();
-      probe.sent();
+      probe.recordReceived();
+      probe.recordSent();
       time.advanceTimeBy(Duration.ofMillis(1_000));
     }
 
@@ -38,8 +38,8 @@
   @Test
   void whatIsSentIntoSilenceIsFoundOutWithinABound() {
     time.advanceTimeBy(Duration.ofSeconds(5));
-    probe.sent();
-    probe.sent();
+    probe.recordSent();
+    probe.recordSent();
     assertThat(probes).isEqualTo(1);
 
     time.advanceTimeBy(Duration.ofMillis(1_500));
@@ -50,13 +50,13 @@
   @Test
   void anAnswerToTheProbeSavesTheConnection() {
     time.advanceTimeBy(Duration.ofSeconds(5));
-    probe.sent();
+    probe.recordSent();
     time.advanceTimeBy(Duration.ofMillis(200));
-    probe.received();
+    probe.recordReceived();
     time.advanceTimeBy(Duration.ofMinutes(1));
     assertThat(silences).isZero();
 
-    probe.sent();
+    probe.recordSent();
     time.advanceTimeBy(Duration.ofSeconds(2));
 
     assertThat(probes).isEqualTo(2);
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
@@ -18,10 +18,10 @@
 import org.gradeledge.connection.LivenessChecker;
 import org.gradeledge.connection.OutgoingRequest;
 import org.gradeledge.deployment.DeploymentRegistry;
-import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
 import org.gradeledge.deployment.RouteDefinition;
 import org.gradeledge.deployment.StageWork;
+import org.gradeledge.deployment.TestDeployments;
 import org.gradeledge.discovery.UpstreamRecord;
 import org.gradeledge.discovery.UpstreamRegistry;
 import org.gradeledge.event.EventLogs;
@@ -45,11 +45,12 @@
   static final String PATH = "/path/x";
 
   /** Route whose requests may be repeated. */
-  static final RouteDefinition PLAIN = Deployments.route(HOST, "/path/", Repeatability.REPEATABLE);
+  static final RouteDefinition PLAIN =
+      TestDeployments.route(HOST, "/path/", Repeatability.REPEATABLE);
 
   /** Route with one stage whose requests may be repeated. */
   static final RouteDefinition STAGED =
-      Deployments.route(
+      TestDeployments.route(
           HOST,
           "/path/",
           Repeatability.REPEATABLE,
@@ -99,7 +100,7 @@
     channel.freezeTime();
     DeploymentRegistry deployments =
         new DeploymentRegistry(
-            document -> Either.right(Deployments.of(1, route)), EventLogs.silent());
+            document -> Either.right(TestDeployments.of(1, route)), EventLogs.silent());
     deployments.offer(new byte[1], "test");
     upstreams.replaceAll(1, List.of(registeredUpstreams));
     UpstreamLoads board = new UpstreamLoads(clock, EventLogs.silent());
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/StagePlanTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/StagePlanTests.java
@@ -11,11 +11,11 @@
 import org.gradeledge.batch.StageOutcome;
 import org.gradeledge.deployment.BatchLimits;
 import org.gradeledge.deployment.Deployment;
-import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
 import org.gradeledge.deployment.RouteDefinition;
 import org.gradeledge.deployment.ServiceDefinition;
 import org.gradeledge.deployment.StageWork;
+import org.gradeledge.deployment.TestDeployments;
 import org.junit.jupiter.api.Test;
 
 class StagePlanTests {
@@ -216,7 +216,7 @@
 
   private StagePlan start(int priority, Integer[] pieces) {
     RouteDefinition route =
-        Deployments.route("host", "/", Repeatability.RESUMABLE_STREAM, stageWork);
+        TestDeployments.route("host", "/", Repeatability.RESUMABLE_STREAM, stageWork);
     RelayRequest request =
         new RelayRequest(
             "request",
@@ -245,7 +245,7 @@
   }
 
   private static Deployment deployment(RouteDefinition route) {
-    Deployment plain = Deployments.of(1, route);
+    Deployment plain = TestDeployments.of(1, route);
     BatchLimits limits = new BatchLimits(1, 8, CALL_MILLIS, 0, 1_000_000, 4_000);
     return new Deployment(
         plain.revision(),
@@ -253,7 +253,7 @@
         Map.of("a", service("a", limits), "b", service("b", limits)),
         plain.accounts(),
         plain.keysRequired(),
-        plain.bounds(),
+        plain.callerLimits(),
         plain.document());
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SuspendedRequestTests.java
@@ -5,8 +5,8 @@
 
 import java.util.List;
 import org.gradeledge.connection.FakeUpstreamCaller;
-import org.gradeledge.deployment.Deployments;
 import org.gradeledge.deployment.Repeatability;
+import org.gradeledge.deployment.TestDeployments;
 import org.junit.jupiter.api.Test;
 
 /** Timeouts of requests in flight while the machine is suspended, when timers do not advance. */
@@ -17,7 +17,7 @@
 
   private final SimulatedRelay box =
       new SimulatedRelay(
-          Deployments.route(SimulatedRelay.HOST, "/path/", Repeatability.ONCE), upstream(1));
+          TestDeployments.route(SimulatedRelay.HOST, "/path/", Repeatability.ONCE), upstream(1));
 
   @Test
   void failsOverdueRequestsAfterResume() throws Exception {
--- a/gradeledge-core/src/test/java/org/gradeledge/time/SuspensionAwareClockTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/time/SuspensionAwareClockTests.java
@@ -16,30 +16,30 @@
 /** A machine whose clocks are set by hand. */
 class SuspensionAwareClockTests {
 
-  private static final long HUNDREDTH = 10_000_000;
+  private static final long NANOS_PER_HUNDREDTH = 10_000_000;
 
-  private long steadyNanos = 77_000_000_000L;
-  private long dayMillis = TimeUnit.DAYS.toMillis(20_000);
+  private long nanoTime = 77_000_000_000L;
+  private long wallClockMillis = TimeUnit.DAYS.toMillis(20_000);
   private long bootNanos = 123_456_000_000_000L;
   private boolean bootUnreadable;
-  private int bootLooks;
+  private int bootClockReads;
   private final SuspensionAwareClock clock =
-      new SuspensionAwareClock(() -> steadyNanos, () -> dayMillis, this::boot);
-  private final List<ClockJump> told = new ArrayList<>();
+      new SuspensionAwareClock(() -> nanoTime, () -> wallClockMillis, this::readBootClock);
+  private final List<ClockJump> jumps = new ArrayList<>();
 
   SuspensionAwareClockTests() {
-    clock.onJump(told::add);
+    clock.onJump(jumps::add);
   }
 
   @Test
   void goesOnWithTheSteadyClockWithoutALookAtTheBootClock() {
     long start = clock.nanos();
-    int looks = bootLooks;
+    int looks = bootClockReads;
 
     pass(50_000);
 
     assertThat(clock.nanos() - start).isEqualTo(millis(50_000));
-    assertThat(bootLooks).isEqualTo(looks);
+    assertThat(bootClockReads).isEqualTo(looks);
   }
 
   @Test
@@ -52,18 +52,18 @@
 
     pass(100);
     assertThat(clock.nanos() - start).isEqualTo(millis(10_200));
-    assertThat(told).extracting(ClockJump::suspended).containsExactly(Duration.ofSeconds(10));
+    assertThat(jumps).extracting(ClockJump::suspended).containsExactly(Duration.ofSeconds(10));
   }
 
   @Test
   void aStepOfTheTimeOfDayMovesNothing() {
     long start = clock.nanos();
-    dayMillis += 2_000;
+    wallClockMillis += 2_000;
     assertThat(clock.nanos()).isEqualTo(start);
-    dayMillis -= 5_000;
+    wallClockMillis -= 5_000;
     assertThat(clock.nanos()).isEqualTo(start);
-    assertThat(told).extracting(ClockJump::isSuspension).containsExactly(false, false);
-    assertThat(told).extracting(ClockJump::mayBeSuspension).containsExactly(true, false);
+    assertThat(jumps).extracting(ClockJump::isSuspension).containsExactly(false, false);
+    assertThat(jumps).extracting(ClockJump::mayBeSuspension).containsExactly(true, false);
   }
 
   /**
@@ -75,10 +75,10 @@
     long start = clock.nanos();
     for (int step = 1; step <= 5; step++) {
       bootNanos += millis(260 * step);
-      dayMillis += step % 2 == 0 ? -2_000 : 2_000;
+      wallClockMillis += step % 2 == 0 ? -2_000 : 2_000;
       assertThat(clock.nanos()).isEqualTo(start);
     }
-    assertThat(told).noneMatch(ClockJump::isSuspension);
+    assertThat(jumps).noneMatch(ClockJump::isSuspension);
   }
 
   /** What is known may be old then, but no deadline moves by a figure that two clocks deny. */
@@ -86,10 +86,10 @@
   void aSuspensionDuringWhichTheTimeOfDayIsSetIsToldAsOneThatMayBe() {
     long start = clock.nanos();
     suspend(4_000);
-    dayMillis -= 1_500;
+    wallClockMillis -= 1_500;
 
     assertThat(clock.nanos()).isEqualTo(start);
-    assertThat(told).extracting(ClockJump::mayBeSuspension).containsExactly(true);
+    assertThat(jumps).extracting(ClockJump::mayBeSuspension).containsExactly(true);
   }
 
   @Test
@@ -112,7 +112,7 @@
     for (int step = 0; step < 60; step++) {
       switch (random.nextInt(4)) {
         case 0 -> machine.suspend(500 + random.nextInt(20_000));
-        case 1 -> machine.dayMillis += random.nextInt(8_000) - 4_000;
+        case 1 -> machine.wallClockMillis += random.nextInt(8_000) - 4_000;
         default -> machine.pass(random.nextInt(3_000));
       }
       long now = machine.clock.nanos();
@@ -120,35 +120,35 @@
       last = now;
     }
     long off = Math.abs((last - start) - (machine.bootNanos - bootStart));
-    long suspensions = machine.told.stream().filter(ClockJump::isSuspension).count();
+    long suspensions = machine.jumps.stream().filter(ClockJump::isSuspension).count();
     assertThat(off).isLessThanOrEqualTo(millis(20) * suspensions);
   }
 
   @Test
   void readsTheFirstFigureOfTheFile() {
-    assertThat(UptimeFile.parse("1301.08 6510.28\n")).hasValue(1_301_080_000_000L);
-    assertThat(UptimeFile.parse("0.05 0.00\n")).hasValue(50_000_000L);
+    assertThat(UptimeFileClock.parse("1301.08 6510.28\n")).hasValue(1_301_080_000_000L);
+    assertThat(UptimeFileClock.parse("0.05 0.00\n")).hasValue(50_000_000L);
     for (String other : List.of("", "x", "1301", "13.1 2", "-1.00 2", "1e3.00 1", "1.00.00 2")) {
-      assertThat(UptimeFile.parse(other)).as(other).isEmpty();
+      assertThat(UptimeFileClock.parse(other)).as(other).isEmpty();
     }
-    assertThat(new UptimeFile("/nowhere").nanos()).isEmpty();
+    assertThat(new UptimeFileClock("/nowhere").nanos()).isEmpty();
   }
 
-  private OptionalLong boot() {
-    bootLooks++;
+  private OptionalLong readBootClock() {
+    bootClockReads++;
     return bootUnreadable
         ? OptionalLong.empty()
-        : OptionalLong.of(bootNanos / HUNDREDTH * HUNDREDTH);
+        : OptionalLong.of(bootNanos / NANOS_PER_HUNDREDTH * NANOS_PER_HUNDREDTH);
   }
 
   private void pass(long millis) {
-    steadyNanos += millis(millis);
-    dayMillis += millis;
+    nanoTime += millis(millis);
+    wallClockMillis += millis;
     bootNanos += millis(millis);
   }
 
   private void suspend(long millis) {
-    dayMillis += millis;
+    wallClockMillis += millis;
     bootNanos += millis(millis);
   }
 
