--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.http.HttpResponse;
-import org.gradeledge.standin.fleet.EngineArrival.Answer;
+import org.gradeledge.standin.fleet.EngineArrival.EngineAnnouncement;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -43,15 +43,17 @@
     FleetEngine backingOff = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    backingOff.signals().turnAway(BACKOFF_SECONDS);
+    backingOff.announcements().announceBackoff(BACKOFF_SECONDS);
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
     }
 
     for (int box = 0; box < BOXES; box++) {
-      assertThat(backingOff.signals().hasAnswered(Answer.BACKOFF, path(box))).isTrue();
-      assertThat(backingOff.signals().cameAfter(Answer.BACKOFF, path(box)))
+      assertThat(backingOff.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, path(box)))
+          .isTrue();
+      assertThat(
+              backingOff.announcements().requestCountAfter(EngineAnnouncement.BACKOFF, path(box)))
           .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
     }
   }
@@ -62,20 +64,20 @@
     fleet.addEngine("model", EngineKind.STREAM);
     FleetEngine backingOff = fleet.addEngine("stage", EngineKind.STAGE);
     startBoxes();
-    backingOff.signals().turnAway(BACKOFF_SECONDS);
+    backingOff.announcements().announceBackoff(BACKOFF_SECONDS);
 
     Fleet.await(
         () -> {
           fleet.runConcurrently(CALLERS, this::sendRefusedRequest);
-          return backingOff.signals().hasAnswered(Answer.BACKOFF, "/stage-run");
+          return backingOff.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, "/stage-run");
         });
-    long before = backingOff.signals().came("/stage-");
+    long before = backingOff.announcements().requestCount("/stage-");
 
     for (int round = 0; round < ROUNDS; round++) {
       fleet.runConcurrently(CALLERS, this::sendRefusedRequest);
     }
 
-    assertThat(backingOff.signals().came("/stage-") - before)
+    assertThat(backingOff.announcements().requestCount("/stage-") - before)
         .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
   }
 
@@ -85,13 +87,15 @@
     FleetEngine backingOff = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    backingOff.signals().turnAway(BACKOFF_SECONDS);
+    backingOff.announcements().announceBackoff(BACKOFF_SECONDS);
     for (int box = 0; box < BOXES; box++) {
       int boxIndex = box;
       Fleet.await(
           () ->
               get(boxIndex).statusCode() == 200
-                  && backingOff.signals().hasAnswered(Answer.BACKOFF, path(boxIndex)));
+                  && backingOff
+                      .announcements()
+                      .hasAnnounced(EngineAnnouncement.BACKOFF, path(boxIndex)));
     }
 
     for (int repetition = 0; repetition <= MAX_LATE_REQUESTS; repetition++) {
@@ -104,7 +108,8 @@
       }
     }
     for (int box = 0; box < BOXES; box++) {
-      assertThat(backingOff.signals().cameAfter(Answer.BACKOFF, path(box)))
+      assertThat(
+              backingOff.announcements().requestCountAfter(EngineAnnouncement.BACKOFF, path(box)))
           .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
     }
   }
@@ -114,7 +119,9 @@
     for (int box = 0; box < BOXES; box++) {
       int boxIndex = box;
       Fleet.await(
-          () -> get(boxIndex).statusCode() == 200 && engine.signals().came(path(boxIndex)) > 0);
+          () ->
+              get(boxIndex).statusCode() == 200
+                  && engine.announcements().requestCount(path(boxIndex)) > 0);
     }
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
@@ -45,10 +45,10 @@
       HttpResponse<String> response = fleet.post(box, "/staged/x", STAGE_HEADERS);
 
       assertThat(response.statusCode()).isEqualTo(200);
-      SeenRequest request = model.ran().get(box);
+      ReceivedRequest request = model.executedRequests().get(box);
       assertThat(request.header("X-Inputs").split(",")).hasSize(3);
     }
-    Fleet.await(() -> stage.freed().size() == BOXES * 5);
+    Fleet.await(() -> stage.releasedHandles().size() == BOXES * 5);
   }
 
   @Test
@@ -63,7 +63,7 @@
       assertThat(status.get()).isEqualTo(200);
     }
 
-    assertThat(stage.ran().size()).isLessThan(31 * 3);
+    assertThat(stage.executedRequests().size()).isLessThan(31 * 3);
   }
 
   @Test
@@ -108,22 +108,22 @@
     FleetEngine other = fleet.addEngine("plain", EngineKind.PLAIN);
     Fleet.await(() -> fleet.get(0, "/again/x", AUTHORIZATION).body().contains(other.id()));
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "draining"));
-    Fleet.await(() -> !other.ran().isEmpty() && runsAllRequests(other));
+    Fleet.await(() -> !other.executedRequests().isEmpty() && runsAllRequests(other));
 
-    int before = plain.ran().size();
+    int before = plain.executedRequests().size();
     for (int i = 0; i < 20; i++) {
       assertThat(fleet.get(0, "/again/x", AUTHORIZATION).statusCode()).isEqualTo(200);
     }
-    assertThat(plain.ran()).hasSize(before);
+    assertThat(plain.executedRequests()).hasSize(before);
   }
 
   /** Returns whether the engine runs all of the next requests to box 0. */
   private boolean runsAllRequests(FleetEngine engine) throws Exception {
-    int before = engine.ran().size();
+    int before = engine.executedRequests().size();
     for (int i = 0; i < 12; i++) {
       fleet.get(0, "/again/x", AUTHORIZATION);
     }
-    return engine.ran().size() == before + 12;
+    return engine.executedRequests().size() == before + 12;
   }
 
   @Test
@@ -131,7 +131,7 @@
     model.setFault(EngineFault.SLOW);
     CompletableFuture<HttpResponse<String>> response =
         CompletableFuture.supplyAsync(() -> postUnchecked(0, "/stream/x"));
-    Fleet.await(() -> !model.ran().isEmpty());
+    Fleet.await(() -> !model.executedRequests().isEmpty());
 
     fleet.box(0).stop();
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetInvalidRequestTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetInvalidRequestTests.java
@@ -63,7 +63,7 @@
                 + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n5\r\nwhole\r\n0\r\n\r\n");
 
     assertThat(response).startsWith("HTTP/1.1 200");
-    assertThat(plain.ran().get(0).body()).isEqualTo("halfwhole");
+    assertThat(plain.executedRequests().get(0).body()).isEqualTo("halfwhole");
   }
 
   @Test
@@ -79,7 +79,7 @@
         exchange("GET /again/1 HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n");
 
     assertThat(response).startsWith("HTTP/1.1 200");
-    assertThat(plain.ran()).noneMatch(request -> request.path().equals("/once/x"));
+    assertThat(plain.executedRequests()).noneMatch(request -> request.path().equals("/once/x"));
   }
 
   @Test
@@ -93,7 +93,7 @@
                 + "\r\n\r\n");
 
     assertThat(response).matches("(?s)HTTP/1.1 4(13|31|00).*");
-    assertThat(plain.ran()).isEmpty();
+    assertThat(plain.executedRequests()).isEmpty();
   }
 
   @Test
@@ -102,7 +102,7 @@
         exchange("GET /again/x HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n");
 
     assertThat(response).startsWith("HTTP/1.1 200");
-    assertThat(plain.ran().get(0).header("X-Deadline-Ms")).isNotEmpty();
+    assertThat(plain.executedRequests().get(0).header("X-Deadline-Ms")).isNotEmpty();
   }
 
   @Test
@@ -125,7 +125,7 @@
                 + "\r\n");
 
     assertThat(response).startsWith("HTTP/1.1 400");
-    assertThat(plain.ran()).isEmpty();
+    assertThat(plain.executedRequests()).isEmpty();
   }
 
   @Test
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
@@ -5,7 +5,7 @@
 import java.net.http.HttpResponse;
 import java.util.List;
 import java.util.stream.IntStream;
-import org.gradeledge.standin.fleet.EngineArrival.Answer;
+import org.gradeledge.standin.fleet.EngineArrival.EngineAnnouncement;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -37,7 +37,7 @@
     fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
     fleet.store().setFault(StoreFault.SILENT);
-    leaving.signals().announceLeaving("1");
+    leaving.announcements().announceLeaving("1");
     awaitAnnouncementOnAllBoxes(leaving);
     List<Long> before = requestCountPerBox(leaving);
 
@@ -56,19 +56,19 @@
     fleet.addEngine("stage", EngineKind.STAGE);
     startBoxes();
     fleet.store().setFault(StoreFault.SILENT);
-    leaving.signals().announceLeaving("1");
+    leaving.announcements().announceLeaving("1");
     Fleet.await(
         () -> {
           fleet.runConcurrently(CALLERS, this::sendStagedRequest);
-          return leaving.signals().hasAnswered(Answer.LEAVING, "/stage-");
+          return leaving.announcements().hasAnnounced(EngineAnnouncement.LEAVING, "/stage-");
         });
-    long before = leaving.signals().came("/stage-run");
+    long before = leaving.announcements().requestCount("/stage-run");
 
     for (int round = 0; round < ROUNDS; round++) {
       fleet.runConcurrently(CALLERS, this::sendStagedRequest);
     }
 
-    assertThat(leaving.signals().came("/stage-run")).isEqualTo(before);
+    assertThat(leaving.announcements().requestCount("/stage-run")).isEqualTo(before);
   }
 
   // Guards against using a leaving upstream again because its entry still says ready.
@@ -77,14 +77,15 @@
     FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    leaving.signals().announceLeaving("1");
+    leaving.announcements().announceLeaving("1");
     awaitAnnouncementOnAllBoxes(leaving);
     List<Long> before = requestCountPerBox(leaving);
     fleet.putServerRow(leaving, "ready");
     FleetEngine addedLater = fleet.addEngine("plain", EngineKind.PLAIN);
     for (int box = 0; box < BOXES; box++) {
       int boxIndex = box;
-      Fleet.await(() -> get(boxIndex) && addedLater.signals().came(path(boxIndex)) > 0);
+      Fleet.await(
+          () -> get(boxIndex) && addedLater.announcements().requestCount(path(boxIndex)) > 0);
     }
 
     for (int number = 0; number < REQUESTS; number++) {
@@ -92,13 +93,14 @@
     }
     assertThat(requestCountPerBox(leaving)).isEqualTo(before);
 
-    leaving.signals().withdraw();
-    leaving.startAgain();
+    leaving.announcements().withdraw();
+    leaving.restart();
     fleet.putServerRow(leaving, "ready");
     for (int box = 0; box < BOXES; box++) {
       int boxIndex = box;
-      long previous = leaving.signals().came(path(boxIndex));
-      Fleet.await(() -> get(boxIndex) && leaving.signals().came(path(boxIndex)) > previous);
+      long previous = leaving.announcements().requestCount(path(boxIndex));
+      Fleet.await(
+          () -> get(boxIndex) && leaving.announcements().requestCount(path(boxIndex)) > previous);
     }
   }
 
@@ -114,13 +116,17 @@
       Fleet.await(
           () ->
               get(boxIndex)
-                  && (leaving.signals().hasAnswered(Answer.LEAVING, path(boxIndex))
+                  && (leaving
+                          .announcements()
+                          .hasAnnounced(EngineAnnouncement.LEAVING, path(boxIndex))
                       || fleet.hasLogged(boxIndex, "upstream-announces-leaving")));
     }
   }
 
   private static List<Long> requestCountPerBox(FleetEngine engine) {
-    return IntStream.range(0, BOXES).mapToObj(box -> engine.signals().came(path(box))).toList();
+    return IntStream.range(0, BOXES)
+        .mapToObj(box -> engine.announcements().requestCount(path(box)))
+        .toList();
   }
 
   /** Returns a path that identifies the box that forwarded a request. */
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
@@ -38,20 +38,20 @@
   void keepsLimitAcrossAllBoxes() throws Exception {
     FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.addEngine("plain", EngineKind.PLAIN);
-    limited.limit().name("1");
+    limited.rateLimit().announce("1");
     startBoxes();
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number).statusCode()).isEqualTo(200);
     }
 
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
   }
 
   @Test
   void refusesExcessRequestsWithRetryAfter() throws Exception {
     FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
-    limited.limit().name("1.0");
+    limited.rateLimit().announce("1.0");
     startBoxes();
 
     HttpResponse<String> last = get(0);
@@ -61,14 +61,14 @@
 
     assertThat(last.statusCode()).isEqualTo(503);
     assertThat(last.headers().firstValue("Retry-After")).isPresent();
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
   }
 
   @Test
   void countsStageCallsAndReleases() throws Exception {
     fleet.addEngine("model", EngineKind.STREAM);
     FleetEngine limited = fleet.addEngine("stage", EngineKind.STAGE);
-    limited.limit().name("10");
+    limited.rateLimit().announce("10");
     startBoxes();
 
     int served = 0;
@@ -77,21 +77,21 @@
     }
 
     assertThat(served).isPositive();
-    assertThat(limited.limit().mostInWindowAfter(0))
+    assertThat(limited.rateLimit().maxInWindowAfter(0))
         .isLessThanOrEqualTo(MAX_IN_WINDOW_AT_TEN_PER_SECOND);
   }
 
   @Test
   void sendsAllRequestsOnceLimitIsWithdrawn() throws Exception {
     FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
-    limited.limit().name("0.5");
+    limited.rateLimit().announce("0.5");
     startBoxes();
     for (int number = 0; number < REQUESTS; number++) {
       get(number);
     }
-    assertThat(limited.limit().mostInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
 
-    limited.limit().withdraw();
+    limited.rateLimit().withdraw();
 
     for (int box = 0; box < BOXES; box++) {
       int boxIndex = box;
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRelayTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRelayTests.java
@@ -51,8 +51,11 @@
 
     assertThat(response.statusCode()).isEqualTo(200);
     assertThat(response.headers().firstValue("X-Response-Stamp")).contains("s");
-    SeenRequest request =
-        Stream.of(plain, otherPlain).flatMap(engine -> engine.ran().stream()).toList().get(0);
+    ReceivedRequest request =
+        Stream.of(plain, otherPlain)
+            .flatMap(engine -> engine.executedRequests().stream())
+            .toList()
+            .get(0);
     assertThat(response.body()).endsWith(request.header("X-Request-Id"));
     assertThat(request.path()).isEqualTo("/once/x?q=1");
     assertThat(request.body()).isEqualTo("a body");
@@ -126,7 +129,7 @@
     for (int i = 0; i < 10; i++) {
       assertThat(fleet.post(0, "/once/x", AUTHORIZATION).statusCode()).isEqualTo(200);
     }
-    assertThat(otherPlain.ran()).hasSize(10);
+    assertThat(otherPlain.executedRequests()).hasSize(10);
   }
 
   @Test
@@ -165,7 +168,7 @@
     for (int i = 0; i < 6; i++) {
       assertThat(fleet.post(0, "/resume/x", AUTHORIZATION).body()).isEqualTo(eventStream(1));
     }
-    assertThat(otherModel.ran()).isNotEmpty();
+    assertThat(otherModel.executedRequests()).isNotEmpty();
   }
 
   @Test
@@ -174,7 +177,7 @@
 
     assertThatThrownBy(() -> fleet.post(0, "/stream/x", AUTHORIZATION))
         .isInstanceOf(IOException.class);
-    assertThat(model.ran().size() + otherModel.ran().size()).isEqualTo(1);
+    assertThat(model.executedRequests().size() + otherModel.executedRequests().size()).isEqualTo(1);
   }
 
   private static String eventStream(int firstId) {
@@ -193,6 +196,6 @@
   }
 
   private int runCount() {
-    return plain.ran().size() + otherPlain.ran().size();
+    return plain.executedRequests().size() + otherPlain.executedRequests().size();
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRestartTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetRestartTests.java
@@ -40,28 +40,28 @@
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "draining"));
     Fleet.await(() -> fleet.get(0, "/again/x", AUTHORIZATION).statusCode() == 503);
 
-    plain.startAgain();
+    plain.restart();
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "ready"));
 
     for (int box = 0; box < BOXES; box++) {
       int boxIndex = box;
       Fleet.await(() -> fleet.get(boxIndex, "/again/x", AUTHORIZATION).statusCode() == 200);
     }
-    assertThat(plain.ranDuring(1)).isGreaterThanOrEqualTo(BOXES);
+    assertThat(plain.executedDuring(1)).isGreaterThanOrEqualTo(BOXES);
   }
 
   @Test
   void sendsStageWorkToRestartedUpstream() throws Exception {
     assertThat(fleet.post(0, "/staged/x", STAGE_HEADERS).statusCode()).isEqualTo(200);
 
-    stage.startAgain();
+    stage.restart();
     fleet.store().put("servers", stage.id(), stage.row("stage", "zone-a", "ready"));
 
     for (int box = 0; box < BOXES; box++) {
       int boxIndex = box;
       Fleet.await(() -> fleet.post(boxIndex, "/staged/x", STAGE_HEADERS).statusCode() == 200);
     }
-    assertThat(stage.ranDuring(1)).isPositive();
+    assertThat(stage.executedDuring(1)).isPositive();
   }
 
   @Test
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetStoreRestoreTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetStoreRestoreTests.java
@@ -36,7 +36,7 @@
     FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    restore(fleet.store().copy());
+    restore(fleet.store().snapshot());
 
     fleet.store().put("servers", leaving.id(), leaving.row("plain", "zone-a", "draining"));
 
@@ -49,7 +49,7 @@
   @Test
   void usesUpstreamThatStartsAfterRestore() throws Exception {
     startBoxes();
-    restore(fleet.store().copy());
+    restore(fleet.store().snapshot());
 
     FleetEngine started = fleet.addEngine("plain", EngineKind.PLAIN);
 
@@ -61,7 +61,7 @@
 
   @Test
   void keepsUpstreamThatIsMissingInSnapshot() throws Exception {
-    StoreStandIn.Copy snapshot = fleet.store().copy();
+    StoreStandIn.Snapshot snapshot = fleet.store().snapshot();
     FleetEngine upstream = fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
 
@@ -76,7 +76,7 @@
   void rewritesVerdictThatIsMissingInSnapshot() throws Exception {
     List<FleetEngine> upstreams = addCrashingUpstreams();
     startBoxes();
-    StoreStandIn.Copy snapshot = fleet.store().copy();
+    StoreStandIn.Snapshot snapshot = fleet.store().snapshot();
     awaitVerdict();
     long crashCount = upstreams.stream().filter(FleetEngine::isDown).count();
 
@@ -100,7 +100,7 @@
     List<FleetEngine> upstreams = addCrashingUpstreams();
     startBoxes();
     awaitVerdict();
-    StoreStandIn.Copy snapshot = fleet.store().copy();
+    StoreStandIn.Snapshot snapshot = fleet.store().snapshot();
     upstreams.forEach(upstream -> upstream.crashOn("nothing"));
     fleet.store().keys("quarantine").forEach(key -> fleet.store().remove("quarantine", key));
     for (int box = 0; box < BOXES; box++) {
@@ -141,7 +141,7 @@
   }
 
   /** Restores a snapshot once all boxes have read the writes that it lacks. */
-  private void restore(StoreStandIn.Copy snapshot) throws Exception {
+  private void restore(StoreStandIn.Snapshot snapshot) throws Exception {
     for (int number = 0; number < LOST_WRITES; number++) {
       fleet.store().put("heartbeats", "key", "{}");
     }
@@ -150,7 +150,7 @@
       int boxIndex = box;
       Fleet.await(() -> runCountFor(addedLater, boxIndex) > 0);
     }
-    fleet.store().comeBackAs(snapshot);
+    fleet.store().restore(snapshot);
   }
 
   private void startBoxes() throws Exception {
@@ -166,11 +166,11 @@
 
   /** Sends requests to a box and returns how many of them the upstream has run. */
   private int runCountFor(FleetEngine upstream, int box) throws Exception {
-    int before = upstream.ran().size();
+    int before = upstream.executedRequests().size();
     for (int number = 0; number < REQUESTS / BOXES; number++) {
       get(box);
     }
-    return upstream.ran().size() - before;
+    return upstream.executedRequests().size() - before;
   }
 
   private HttpResponse<String> get(int box) throws Exception {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementChecks.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import org.gradeledge.standin.fleet.EngineArrival.Answer;
+import org.gradeledge.standin.fleet.EngineArrival.EngineAnnouncement;
 
 /**
  * Checks that boxes apply the announcements of engines; each method returns violations. An
@@ -39,8 +39,8 @@
     List<String> violations = new ArrayList<>();
     for (FleetEngine engine : engines) {
       Map<Told, Long> announcedMillis = new HashMap<>();
-      for (EngineArrival arrival : engine.signals().arrivals()) {
-        Optional.ofNullable(callsById.get(arrival.id()))
+      for (EngineArrival arrival : engine.announcements().arrivals()) {
+        Optional.ofNullable(callsById.get(arrival.requestId()))
             .ifPresent(call -> checkArrival(engine, arrival, call, announcedMillis, violations));
       }
     }
@@ -58,7 +58,7 @@
     if (announcedAt != null && call.sentMillis() > announcedAt + LEAVING_BOUND_MILLIS) {
       violations.add(call.id() + " reached " + engine.id() + ", which had told " + key);
     }
-    if (arrival.answer() == Answer.LEAVING && call.hasStatus(200)) {
+    if (arrival.announcement() == EngineAnnouncement.LEAVING && call.hasStatus(200)) {
       announcedMillis.merge(key, call.endMillis(), Math::min);
     }
   }
@@ -72,15 +72,16 @@
     List<String> violations = new ArrayList<>();
     for (FleetEngine engine : engines) {
       Map<Told, List<EngineArrival>> arrivalsByKey =
-          engine.signals().arrivals().stream()
-              .filter(arrival -> callsById.containsKey(arrival.id()))
+          engine.announcements().arrivals().stream()
+              .filter(arrival -> callsById.containsKey(arrival.requestId()))
               .collect(
                   Collectors.groupingBy(
-                      arrival -> announcementKey(engine, arrival, callsById.get(arrival.id()))));
+                      arrival ->
+                          announcementKey(engine, arrival, callsById.get(arrival.requestId()))));
       arrivalsByKey.forEach(
           (key, arrivals) ->
               arrivals.stream()
-                  .filter(arrival -> arrival.answer() == Answer.BACKOFF)
+                  .filter(arrival -> arrival.announcement() == EngineAnnouncement.BACKOFF)
                   .filter(
                       backoff ->
                           countDuringBackoff(backoff, arrivals) > MAX_REQUESTS_DURING_BACKOFF)
@@ -101,13 +102,16 @@
 
   private static long countDuringBackoff(EngineArrival backoff, List<EngineArrival> arrivals) {
     return arrivals.stream()
-        .filter(arrival -> arrival.millis() > backoff.millis() + IN_FLIGHT_MILLIS)
-        .filter(arrival -> arrival.millis() < backoff.millis() + backoff.backoffMillis())
+        .filter(
+            arrival -> arrival.receivedAtMillis() > backoff.receivedAtMillis() + IN_FLIGHT_MILLIS)
+        .filter(
+            arrival ->
+                arrival.receivedAtMillis() < backoff.receivedAtMillis() + backoff.backoffMillis())
         .count();
   }
 
   private static Told announcementKey(FleetEngine engine, EngineArrival arrival, SoakCall call) {
-    return new Told(call.box(), call.life(), engine.id(), arrival.start());
+    return new Told(call.box(), call.life(), engine.id(), arrival.incarnation());
   }
 
   private static Map<String, SoakCall> callsById(Collection<SoakCall> calls) {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementStep.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementStep.java
@@ -28,7 +28,7 @@
   ANNOUNCE_UNREADABLY(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
-      EngineSignals announcements = run.engines().randomEngine(random).signals();
+      EngineAnnouncements announcements = run.engines().randomEngine(random).announcements();
       announcements.announceLeaving(
           INVALID_LEAVING_VALUES[random.nextInt(INVALID_LEAVING_VALUES.length)]);
       SoakRun.pause(randomMillis(random));
@@ -46,8 +46,8 @@
   TURN_AWAY(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
-      EngineSignals announcements = run.engines().randomEngine(random).signals();
-      announcements.turnAway(BACKOFF_VALUES[random.nextInt(BACKOFF_VALUES.length)]);
+      EngineAnnouncements announcements = run.engines().randomEngine(random).announcements();
+      announcements.announceBackoff(BACKOFF_VALUES[random.nextInt(BACKOFF_VALUES.length)]);
       SoakRun.pause(randomMillis(random));
       announcements.withdraw();
     }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
@@ -24,7 +24,7 @@
     this.folder = folder;
     this.number = number;
     // Outgoing connections must not take the ports of a box that is being restarted.
-    this.ports = FreePorts.findBelowOutgoing(PORT_COUNT);
+    this.ports = FreePorts.findBelowEphemeralRange(PORT_COUNT);
     this.storeLink = new FaultyLink(storeAddress);
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
@@ -48,14 +48,14 @@
   }
 
   /** Checks that each non-idempotent request runs at most once. */
-  static List<String> checkNoRepeatedRuns(Collection<SeenRequest> requests) {
+  static List<String> checkNoRepeatedRuns(Collection<ReceivedRequest> requests) {
     return countRuns(requests).entrySet().stream()
         .filter(entry -> entry.getValue() > 1)
         .map(entry -> entry.getKey() + " ran " + entry.getValue() + " times")
         .toList();
   }
 
-  private static Map<String, Long> countRuns(Collection<SeenRequest> requests) {
+  private static Map<String, Long> countRuns(Collection<ReceivedRequest> requests) {
     return requests.stream()
         .filter(request -> request.path().startsWith("/once/"))
         .collect(
@@ -65,7 +65,7 @@
 
   /** Checks that no request runs whose status states that it has not run. */
   static List<String> checkRefusedNotRun(
-      Collection<SoakCall> calls, Collection<SeenRequest> requests) {
+      Collection<SoakCall> calls, Collection<ReceivedRequest> requests) {
     Set<String> executedIds = countRuns(requests).keySet();
     return findViolations(
         calls,
@@ -97,7 +97,9 @@
 
   /** Checks that a planned stop aborts no request that an engine has run. */
   static List<String> checkPlannedStops(
-      Collection<SoakCall> calls, Collection<SeenRequest> requests, Collection<PlannedStop> stops) {
+      Collection<SoakCall> calls,
+      Collection<ReceivedRequest> requests,
+      Collection<PlannedStop> stops) {
     Set<String> executedIds =
         requests.stream()
             .map(request -> request.header("X-Request-Id"))
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecksTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecksTests.java
@@ -84,7 +84,7 @@
   void detectsRequestAbortedByPlannedStop() {
     SoakCall aborted = new SoakCall("a", "/once/1", 2, 1, 100, 300, Optional.empty(), "");
     PlannedStop stop = new PlannedStop(2, 1, 200, 400);
-    List<SeenRequest> executed = List.of(newRequest("a", "/once/1"));
+    List<ReceivedRequest> executed = List.of(newRequest("a", "/once/1"));
 
     assertThat(SoakChecks.checkPlannedStops(List.of(aborted), executed, List.of(stop))).hasSize(1);
     assertThat(SoakChecks.checkPlannedStops(List.of(aborted), List.of(), List.of(stop))).isEmpty();
@@ -98,7 +98,7 @@
     return new SoakCall(id, path, 1, 1, 0, 10, Optional.of(status), body);
   }
 
-  private static SeenRequest newRequest(String id, String path) {
-    return new SeenRequest("POST", path, Map.of("x-request-id", id), "");
+  private static ReceivedRequest newRequest(String id, String path) {
+    return new ReceivedRequest("POST", path, Map.of("x-request-id", id), "");
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakConfiguration.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakConfiguration.java
@@ -24,6 +24,6 @@
 
   /** Writes the current configuration, even if the store already has it. */
   synchronized void write() {
-    store.put("op", "config", FleetConfiguration.of(version, routes));
+    store.put("op", "config", FleetConfiguration.configuration(version, routes));
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
@@ -21,7 +21,7 @@
   private record DepartedEngine(FleetEngine engine, int incarnation, int runsAtBound) {
 
     boolean hasRunMore() {
-      return engine.ranDuring(incarnation) > runsAtBound;
+      return engine.executedDuring(incarnation) > runsAtBound;
     }
   }
 
@@ -52,12 +52,12 @@
   /** Checks that boxes keep a limit that an engine announces while no fault is injected. */
   void checkLimit(FleetEngine engine, double perSecond) throws InterruptedException {
     servingCheck.accept("before an engine names a limit");
-    engine.limit().name(String.valueOf(perSecond));
+    engine.rateLimit().announce(String.valueOf(perSecond));
     SoakRun.pause(LIMIT_PROPAGATION_MILLIS * timeoutFactor);
-    int requestsBefore = engine.limit().arrived();
+    int requestsBefore = engine.rateLimit().requestCount();
     SoakRun.pause(LIMIT_OBSERVATION_MILLIS);
-    long maxInWindow = engine.limit().mostInWindowAfter(requestsBefore);
-    engine.limit().withdraw();
+    long maxInWindow = engine.rateLimit().maxInWindowAfter(requestsBefore);
+    engine.rateLimit().withdraw();
     if (maxInWindow > SoakChecks.maxRequestsInWindow(perSecond)) {
       violations.accept(
           engine.id() + " takes " + perSecond + " a second and got " + maxInWindow + " in 4 s");
@@ -73,17 +73,18 @@
     engines.putRow(leaving, "draining");
     awaitLeavingBound();
     departedEngines.add(
-        new DepartedEngine(leaving, leaving.start(), leaving.ranDuring(leaving.start())));
+        new DepartedEngine(
+            leaving, leaving.incarnation(), leaving.executedDuring(leaving.incarnation())));
   }
 
   /** Drains an engine and restarts it under the same id after the leaving bound. */
   void checkLeavingAndRestart(FleetEngine engine) throws IOException, InterruptedException {
     servingCheck.accept("before an engine leaves to come back");
-    int incarnation = engine.start();
+    int incarnation = engine.incarnation();
     engines.putRow(engine, "draining");
     awaitLeavingBound();
-    int runsAtBound = engine.ranDuring(incarnation);
-    engine.startAgain();
+    int runsAtBound = engine.executedDuring(incarnation);
+    engine.restart();
     departedEngines.add(new DepartedEngine(engine, incarnation, runsAtBound));
     engines.putRow(engine, "ready");
     servingCheck.accept("after an engine came back under its id");
@@ -91,7 +92,7 @@
 
   /** Crashes an engine and restarts it under the same id. */
   void restart(FleetEngine engine) throws IOException {
-    engine.startAgain();
+    engine.restart();
     engines.putRow(engine, "ready");
   }
 
@@ -100,9 +101,9 @@
     servingCheck.accept("before an engine starts again");
     restart(engine);
     awaitLeavingBound();
-    int staleAtBound = engine.askedOfOthers().size();
+    int staleAtBound = engine.staleHandles().size();
     servingCheck.accept("after an engine started again");
-    if (engine.askedOfOthers().size() > staleAtBound) {
+    if (engine.staleHandles().size() > staleAtBound) {
       violations.accept(engine.id() + " was asked about results of the start before");
     }
   }
@@ -112,19 +113,19 @@
    * {@link SoakAnnouncementChecks} checks at the end of the run which requests it received.
    */
   void announceLeaving(FleetEngine engine, long millis) throws IOException, InterruptedException {
-    engine.signals().announceLeaving("1");
+    engine.announcements().announceLeaving("1");
     SoakRun.pause(millis);
-    engine.signals().withdraw();
-    engine.startAgain();
+    engine.announcements().withdraw();
+    engine.restart();
     engines.putRow(engine, "ready");
   }
 
   /** Lets an engine request a backoff while no fault is injected. */
   void checkBackoff(FleetEngine engine, int seconds) throws InterruptedException {
     servingCheck.accept("before an engine turns requests away");
-    engine.signals().turnAway(String.valueOf(seconds));
+    engine.announcements().announceBackoff(String.valueOf(seconds));
     SoakRun.pause(BACKOFF_MILLIS * timeoutFactor);
-    engine.signals().withdraw();
+    engine.announcements().withdraw();
     servingCheck.accept("after an engine turned requests away");
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
@@ -66,18 +66,18 @@
   }
 
   /** Returns the requests that all engines have run, including removed ones. */
-  List<SeenRequest> executedRequests() {
-    List<SeenRequest> requests = new ArrayList<>();
-    servingEngines.forEach(engine -> requests.addAll(engine.ran()));
-    removedEngines.forEach(engine -> requests.addAll(engine.ran()));
+  List<ReceivedRequest> executedRequests() {
+    List<ReceivedRequest> requests = new ArrayList<>();
+    servingEngines.forEach(engine -> requests.addAll(engine.executedRequests()));
+    removedEngines.forEach(engine -> requests.addAll(engine.executedRequests()));
     return requests;
   }
 
   /** Clears all faults, limits and announcements. */
   void clearFaults() {
     servingEngines.forEach(engine -> engine.setFault(EngineFault.NONE));
-    servingEngines.forEach(engine -> engine.limit().withdraw());
-    servingEngines.forEach(engine -> engine.signals().withdraw());
+    servingEngines.forEach(engine -> engine.rateLimit().withdraw());
+    servingEngines.forEach(engine -> engine.announcements().withdraw());
     allLinks.forEach(link -> link.setFault(FaultyLink.Fault.NONE));
   }
 
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakLimitAndRestoreStep.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakLimitAndRestoreStep.java
@@ -22,8 +22,8 @@
   NAME_LIMIT(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
-      EngineLimit limit = run.engines().randomEngine(random).limit();
-      limit.name(LIMIT_VALUES[random.nextInt(LIMIT_VALUES.length)]);
+      EngineRateLimit limit = run.engines().randomEngine(random).rateLimit();
+      limit.announce(LIMIT_VALUES[random.nextInt(LIMIT_VALUES.length)]);
       SoakRun.pause(500 + random.nextInt(2_500));
       limit.withdraw();
     }
@@ -39,9 +39,9 @@
   TWO_DRILLS(false) {
     @Override
     public void execute(SoakRun run, Random random) throws InterruptedException {
-      StoreStandIn.Copy snapshot = run.store().copy();
+      StoreStandIn.Snapshot snapshot = run.store().snapshot();
       restoreSnapshot(run, random);
-      run.store().comeBackAs(snapshot);
+      run.store().restore(snapshot);
       run.rewriteStore();
     }
   },
@@ -74,9 +74,9 @@
 
   /** Restores a snapshot and later writes again what it lacks. */
   private static void restoreSnapshot(SoakRun run, Random random) throws InterruptedException {
-    StoreStandIn.Copy snapshot = run.store().copy();
+    StoreStandIn.Snapshot snapshot = run.store().snapshot();
     SoakRun.pause(300 + random.nextInt(2_500));
-    run.store().comeBackAs(snapshot);
+    run.store().restore(snapshot);
     SoakRun.pause(random.nextInt(1_500));
     run.rewriteStore();
     SoakRun.pause(1_000 + random.nextInt(1_500));
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRun.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakRun.java
@@ -219,7 +219,7 @@
   }
 
   private void checkResults() {
-    List<SeenRequest> executed = engines.executedRequests();
+    List<ReceivedRequest> executed = engines.executedRequests();
     violations.addAll(SoakChecks.checkResponses(callers.calls()));
     violations.addAll(SoakChecks.checkNoRepeatedRuns(executed));
     violations.addAll(SoakChecks.checkRefusedNotRun(callers.calls(), executed));
