--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FaultyLink.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FaultyLink.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.locks.LockSupport;
 
-/** A loopback proxy before one address, whose connections can be harmed. Thread-safe. */
+/** A loopback TCP proxy in front of one address that injects network faults. Thread-safe. */
 final class FaultyLink implements AutoCloseable {
 
-  /** What is wrong with the link. */
+  /** A network fault. */
   enum Fault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** Bytes arrive late. */
+    /** Delays all bytes. */
     DELAY,
-    /** What is sent towards the target is lost, though the connection stays. */
-    CUT_FORTH,
-    /** What the target sends is lost, though the connection stays. */
-    CUT_BACK,
-    /** Connections that are open say nothing any more, for good; new ones work. */
-    OPEN_GO_SILENT,
-    /** Connections are reset, new ones too. */
+    /** Drops all bytes sent to the target and keeps the connection open. */
+    DROP_TO_TARGET,
+    /** Drops all bytes sent by the target and keeps the connection open. */
+    DROP_FROM_TARGET,
+    /** Drops all bytes on open connections until they are closed; new connections work. */
+    SILENCE_OPEN_CONNECTIONS,
+    /** Resets open and new connections. */
     RESET
   }
 
@@ -36,8 +36,8 @@
 
   private final InetSocketAddress target;
   private final ServerSocket listener;
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
-  private final Set<Socket> silent = ConcurrentHashMap.newKeySet();
+  private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+  private final Set<Socket> silencedSockets = ConcurrentHashMap.newKeySet();
   private volatile Fault fault = Fault.NONE;
 
   FaultyLink(String targetAddress) throws IOException {
@@ -47,73 +47,73 @@
             targetAddress.substring(0, colon),
             Integer.parseInt(targetAddress.substring(colon + 1)));
     this.listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
-    DaemonThread.start("link", this::accept);
+    DaemonThread.start("link", this::acceptConnections);
   }
 
   String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  void set(Fault next) {
-    fault = next;
-    if (next == Fault.RESET) {
-      open.forEach(FaultyLink::reset);
+  void setFault(Fault newFault) {
+    fault = newFault;
+    if (newFault == Fault.RESET) {
+      openSockets.forEach(FaultyLink::reset);
     }
-    if (next == Fault.OPEN_GO_SILENT) {
-      silent.addAll(open);
+    if (newFault == Fault.SILENCE_OPEN_CONNECTIONS) {
+      silencedSockets.addAll(openSockets);
     }
   }
 
-  private void accept() {
+  private void acceptConnections() {
     try {
       while (true) {
-        Socket near = listener.accept();
-        DaemonThread.start("link", () -> connect(near));
+        Socket client = listener.accept();
+        DaemonThread.start("link", () -> connectToTarget(client));
       }
     } catch (IOException e) {
-      // The link was closed.
+      // The listener was closed.
     }
   }
 
-  private void connect(Socket near) {
+  private void connectToTarget(Socket client) {
     if (fault == Fault.RESET) {
-      reset(near);
+      reset(client);
       return;
     }
     try {
-      Socket far = new Socket();
-      far.connect(target);
-      open.add(near);
-      open.add(far);
-      DaemonThread.start("link", () -> carry(near, far, Fault.CUT_FORTH));
-      carry(far, near, Fault.CUT_BACK);
+      Socket server = new Socket();
+      server.connect(target);
+      openSockets.add(client);
+      openSockets.add(server);
+      DaemonThread.start("link", () -> forwardUntilClosed(client, server, Fault.DROP_TO_TARGET));
+      forwardUntilClosed(server, client, Fault.DROP_FROM_TARGET);
     } catch (IOException e) {
-      reset(near);
+      reset(client);
     }
   }
 
-  private void carry(Socket from, Socket to, Fault loses) {
+  private void forwardUntilClosed(Socket from, Socket to, Fault dropFault) {
     try {
-      copy(from, to, loses);
+      forwardBytes(from, to, dropFault);
       from.close();
       to.close();
     } catch (IOException e) {
-      // A reset is passed on as a reset: an answer without length that is reset is not whole.
+      // Forwards a reset as a reset: a response without a length would look complete after a close.
       reset(to);
       reset(from);
     } finally {
-      open.remove(from);
+      openSockets.remove(from);
     }
   }
 
-  private void copy(Socket from, Socket to, Fault loses) throws IOException {
+  private void forwardBytes(Socket from, Socket to, Fault dropFault) throws IOException {
     byte[] buffer = new byte[BUFFER_BYTES];
     InputStream in = from.getInputStream();
     for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
       if (fault == Fault.DELAY) {
         LockSupport.parkNanos(DELAY_NANOS);
       }
-      if (fault != loses && !silent.contains(from)) {
+      if (fault != dropFault && !silencedSockets.contains(from)) {
         to.getOutputStream().write(buffer, 0, count);
       }
     }
@@ -124,13 +124,13 @@
       socket.setSoLinger(true, 0);
       socket.close();
     } catch (IOException e) {
-      // It is closed already.
+      // The socket is already closed.
     }
   }
 
   @Override
   public void close() throws IOException {
     listener.close();
-    open.forEach(FaultyLink::reset);
+    openSockets.forEach(FaultyLink::reset);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/Fleet.java
@@ -19,16 +19,16 @@
 import org.gradeledge.node.RelayBox;
 import reactor.netty.resources.LoopResources;
 
-/** A store, engines and boxes in one process, for tests. */
+/** Runs a store stand-in, engines and boxes in the process of a test. */
 final class Fleet implements AutoCloseable {
 
-  static final String KEY = FleetConfiguration.API_KEY;
+  static final String API_KEY = FleetConfiguration.API_KEY;
 
-  private static final Duration LIMIT = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   private final StoreStandIn store = new StoreStandIn();
   private final List<FleetEngine> engines = new ArrayList<>();
-  private final List<LoopResources> loops = new ArrayList<>();
+  private final List<LoopResources> loopResources = new ArrayList<>();
   private final List<RelayBox> boxes = new ArrayList<>();
   private final List<ByteArrayOutputStream> logs = new ArrayList<>();
   private final List<Integer> callerPorts = new ArrayList<>();
@@ -44,24 +44,24 @@
     return store;
   }
 
-  /** Writes a configuration; more routes may be given as JSON that starts with a comma. */
-  void configure(int version, String moreRoutes) {
-    store.put("op", "config", FleetConfiguration.configuration(version, moreRoutes));
+  /** Writes a configuration with additional routes, given as JSON that starts with a comma. */
+  void configure(int version, String additionalRoutes) {
+    store.put("op", "config", FleetConfiguration.configuration(version, additionalRoutes));
   }
 
-  FleetEngine engine(String service, EngineKind kind) {
+  FleetEngine addEngine(String service, EngineKind kind) {
     FleetEngine engine = new FleetEngine("i-" + service + "-" + engines.size(), kind);
     engines.add(engine);
-    list(engine, "ready");
+    putServerRow(engine, "ready");
     return engine;
   }
 
-  /** Writes the entry of an engine, with a state. */
-  void list(FleetEngine engine, String state) {
+  /** Writes the row of an engine with the given state. */
+  void putServerRow(FleetEngine engine, String state) {
     store.put("servers", engine.id(), engine.row(engine.kind().service(), "zone-a", state));
   }
 
-  /** Starts boxes, one after the other, each once the one before is ready. */
+  /** Starts boxes one after another, waiting until each is ready. */
   void startBoxes(int count) throws Exception {
     for (int box = 0; box < count; box++) {
       startBox();
@@ -69,18 +69,18 @@
     }
   }
 
-  /** Starts a box; it need not be ready yet. */
+  /** Starts a box without waiting until it is ready. */
   void startBox() throws Exception {
     List<Integer> ports = FreePorts.find(4);
     LoopResources resources = LoopResources.create("box-" + boxes.size(), 1, 1, true, false);
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     EventLog events = new EventLog(new PrintStream(log, true, StandardCharsets.UTF_8), "box");
     byte[] settings =
-        FleetConfiguration.settings(ports, store.address(), seeds())
+        FleetConfiguration.settings(ports, store.address(), seedAddresses())
             .getBytes(StandardCharsets.UTF_8);
     RelayBox box = PlatformBoxFactory.create(settings, resources, events);
-    box.start().block(LIMIT);
-    loops.add(resources);
+    box.start().block(TIMEOUT);
+    loopResources.add(resources);
     boxes.add(box);
     logs.add(log);
     callerPorts.add(ports.get(0));
@@ -88,11 +88,11 @@
     peerPorts.add(ports.get(2));
   }
 
-  private List<String> seeds() {
+  private List<String> seedAddresses() {
     return peerPorts.stream().map(port -> "127.0.0.1:" + port).toList();
   }
 
-  /** Waits until a box says that it is ready. */
+  /** Waits until a box reports that it is ready. */
   void awaitReady(int box) throws Exception {
     URI uri = URI.create("http://127.0.0.1:" + readyPorts.get(box) + "/ready");
     int status = 0;
@@ -104,27 +104,28 @@
     }
   }
 
-  /** Waits until each box hears all others. */
-  void awaitMet() throws Exception {
-    await(() -> logs.stream().allMatch(log -> lines(log, "peer-heard") >= boxes.size() - 1));
+  /** Waits until each box has received heartbeats of all others. */
+  void awaitPeersConnected() throws Exception {
+    await(() -> logs.stream().allMatch(log -> countEvents(log, "peer-heard") >= boxes.size() - 1));
   }
 
-  /** Returns whether a box has written a line. */
+  /** Returns whether a box has logged an event. */
   boolean hasLogged(int box, String event) {
-    return lines(logs.get(box), event) > 0;
+    return countEvents(logs.get(box), event) > 0;
   }
 
-  private static long lines(ByteArrayOutputStream log, String event) {
+  private static long countEvents(ByteArrayOutputStream log, String event) {
     return log.toString(StandardCharsets.UTF_8)
         .lines()
         .filter(line -> line.contains("\"event\":\"" + event + "\""))
         .count();
   }
 
-  /** Ends all boxes at once, without a word; whatever only they knew is lost. */
-  void loseAllBoxes() {
-    loops.forEach(resources -> resources.disposeLater(Duration.ZERO, LIMIT).block(LIMIT));
-    loops.clear();
+  /** Stops all boxes at once without a shutdown; their state in memory is lost. */
+  void killAllBoxes() {
+    loopResources.forEach(
+        resources -> resources.disposeLater(Duration.ZERO, TIMEOUT).block(TIMEOUT));
+    loopResources.clear();
     boxes.clear();
     logs.clear();
     callerPorts.clear();
@@ -137,7 +138,7 @@
   }
 
   HttpResponse<String> get(int box, String path, String... headers) throws Exception {
-    return send(box, builder(box, path, headers).GET());
+    return send(box, requestBuilder(box, path, headers).GET());
   }
 
   HttpResponse<String> post(int box, String path, String... headers) throws Exception {
@@ -146,16 +147,17 @@
 
   HttpResponse<String> postBody(int box, String path, String body, String... headers)
       throws Exception {
-    return send(box, builder(box, path, headers).POST(HttpRequest.BodyPublishers.ofString(body)));
+    return send(
+        box, requestBuilder(box, path, headers).POST(HttpRequest.BodyPublishers.ofString(body)));
   }
 
   int callerPort(int box) {
     return callerPorts.get(box);
   }
 
-  private HttpRequest.Builder builder(int box, String path, String... headers) {
+  private HttpRequest.Builder requestBuilder(int box, String path, String... headers) {
     URI uri = URI.create("http://127.0.0.1:" + callerPorts.get(box) + path);
-    HttpRequest.Builder builder = HttpRequest.newBuilder(uri).timeout(LIMIT);
+    HttpRequest.Builder builder = HttpRequest.newBuilder(uri).timeout(TIMEOUT);
     builder.header("X-Request-Id", UUID.randomUUID().toString());
     builder.header("X-Deadline-Ms", "9000");
     for (int i = 0; i < headers.length; i += 2) {
@@ -168,8 +170,8 @@
     return client.send(builder.build(), HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Lets several callers do a step at the same time, and waits until all are done. */
-  void atOnce(int callers, CallerStep step) throws Exception {
+  /** Runs an action of several callers concurrently and waits until all are done. */
+  void runConcurrently(int callers, CallerAction action) throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(callers);
     try {
       List<Future<?>> running = new ArrayList<>();
@@ -178,7 +180,7 @@
         running.add(
             threads.submit(
                 () -> {
-                  step.run(caller);
+                  action.run(caller);
                   return null;
                 }));
       }
@@ -190,18 +192,18 @@
     }
   }
 
-  /** What one of several callers does. */
+  /** An action of one of several callers. */
   @FunctionalInterface
-  interface CallerStep {
+  interface CallerAction {
 
     void run(int caller) throws Exception;
   }
 
-  /** Repeats a step until it holds; the test's own time limit ends what never does. */
+  /** Polls a condition until it holds or the time limit of the test interrupts the thread. */
   static void await(ThrowingCondition condition) throws Exception {
     while (!condition.holds()) {
       if (Thread.interrupted()) {
-        throw new InterruptedException("time is up");
+        throw new InterruptedException("condition did not hold within the time limit of the test");
       }
       Thread.onSpinWait();
     }
@@ -220,8 +222,8 @@
       engine.close();
     }
     store.close();
-    for (LoopResources resources : loops) {
-      resources.disposeLater(Duration.ZERO, LIMIT).block(LIMIT);
+    for (LoopResources resources : loopResources) {
+      resources.disposeLater(Duration.ZERO, TIMEOUT).block(TIMEOUT);
     }
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBackoffTests.java
@@ -8,27 +8,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An upstream turns requests away and says for how long it wants no more of them. */
+/** Tests that boxes keep the backoff that an upstream requests. */
 @Timeout(120)
 class FleetBackoffTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 3;
 
-  /** They take much longer than any pause that a box makes by itself. */
+  /** Enough to take longer than the backoff that a box applies by default. */
   private static final int REQUESTS = 1_500;
 
   private static final int CALLERS = 12;
-  private static final int WAVES = 20;
+  private static final int ROUNDS = 20;
 
-  /** Longer than any test. */
-  private static final String SECONDS = "600";
+  /** Longer than the time limit of a test. */
+  private static final String BACKOFF_SECONDS = "600";
 
-  /** What may come from one box all the same. */
-  private static final long MOST = 2;
+  /** Requests that one box may send despite the backoff. */
+  private static final long MAX_LATE_REQUESTS = 2;
 
   private final Fleet fleet = new Fleet();
 
@@ -37,103 +37,109 @@
     fleet.close();
   }
 
-  // Guards against requests at an upstream within the time for which it wants none (BUDGET).
+  // Guards against requests to an upstream during its backoff.
   @Test
-  void noBoxSendsMoreWithinTheTimeThatItWasTold() throws Exception {
-    FleetEngine busy = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void sendsNoRequestsDuringBackoff() throws Exception {
+    FleetEngine backingOff = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    busy.announcements().announceBackoff(SECONDS);
+    backingOff.announcements().announceBackoff(BACKOFF_SECONDS);
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
     }
 
     for (int box = 0; box < BOXES; box++) {
-      assertThat(busy.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, path(box))).isTrue();
-      assertThat(busy.announcements().requestCountAfter(EngineAnnouncement.BACKOFF, path(box)))
-          .isLessThanOrEqualTo(MOST);
+      assertThat(backingOff.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, path(box)))
+          .isTrue();
+      assertThat(
+              backingOff.announcements().requestCountAfter(EngineAnnouncement.BACKOFF, path(box)))
+          .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
     }
   }
 
-  // Guards against stage work at an upstream within the time for which it wants none (BUDGET).
+  // Guards against stage work for an upstream during its backoff.
   @Test
-  void noStageWorkIsGivenToOneWithinThatTime() throws Exception {
-    fleet.engine("model", EngineKind.STREAM);
-    FleetEngine busy = fleet.engine("stage", EngineKind.STAGE);
+  void sendsNoStageWorkDuringBackoff() throws Exception {
+    fleet.addEngine("model", EngineKind.STREAM);
+    FleetEngine backingOff = fleet.addEngine("stage", EngineKind.STAGE);
     startBoxes();
-    busy.announcements().announceBackoff(SECONDS);
+    backingOff.announcements().announceBackoff(BACKOFF_SECONDS);
 
     Fleet.await(
         () -> {
-          fleet.atOnce(CALLERS, this::refused);
-          return busy.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, "/stage-run");
+          fleet.runConcurrently(CALLERS, this::sendRefusedRequest);
+          return backingOff.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, "/stage-run");
         });
-    long before = busy.announcements().requestCount("/stage-");
+    long before = backingOff.announcements().requestCount("/stage-");
 
-    for (int wave = 0; wave < WAVES; wave++) {
-      fleet.atOnce(CALLERS, this::refused);
+    for (int round = 0; round < ROUNDS; round++) {
+      fleet.runConcurrently(CALLERS, this::sendRefusedRequest);
     }
 
-    assertThat(busy.announcements().requestCount("/stage-") - before).isLessThanOrEqualTo(MOST);
+    assertThat(backingOff.announcements().requestCount("/stage-") - before)
+        .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
   }
 
-  // Guards against requests within that time once the upstream's entry has gone and come back.
+  // Guards against losing the backoff when the entry of the upstream is removed and added again.
   @Test
-  void theTimeHoldsThoughItsEntryGoesAndComesBack() throws Exception {
-    FleetEngine busy = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void keepsBackoffWhenEntryIsRemovedAndAddedAgain() throws Exception {
+    FleetEngine backingOff = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
-    busy.announcements().announceBackoff(SECONDS);
+    backingOff.announcements().announceBackoff(BACKOFF_SECONDS);
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
+      int boxIndex = box;
       Fleet.await(
           () ->
-              get(asked).statusCode() == 200
-                  && busy.announcements().hasAnnounced(EngineAnnouncement.BACKOFF, path(asked)));
+              get(boxIndex).statusCode() == 200
+                  && backingOff
+                      .announcements()
+                      .hasAnnounced(EngineAnnouncement.BACKOFF, path(boxIndex)));
     }
 
-    for (int time = 0; time <= MOST; time++) {
-      fleet.store().remove("servers", busy.id());
-      awaitSeenByAll(fleet.engine("plain", EngineKind.PLAIN));
-      fleet.list(busy, "ready");
-      awaitSeenByAll(fleet.engine("plain", EngineKind.PLAIN));
-      for (int number = 0; number < REQUESTS / MOST; number++) {
+    for (int repetition = 0; repetition <= MAX_LATE_REQUESTS; repetition++) {
+      fleet.store().remove("servers", backingOff.id());
+      awaitUsedByAllBoxes(fleet.addEngine("plain", EngineKind.PLAIN));
+      fleet.putServerRow(backingOff, "ready");
+      awaitUsedByAllBoxes(fleet.addEngine("plain", EngineKind.PLAIN));
+      for (int number = 0; number < REQUESTS / MAX_LATE_REQUESTS; number++) {
         assertThat(get(number % BOXES).statusCode()).isEqualTo(200);
       }
     }
     for (int box = 0; box < BOXES; box++) {
-      assertThat(busy.announcements().requestCountAfter(EngineAnnouncement.BACKOFF, path(box)))
-          .isLessThanOrEqualTo(MOST);
+      assertThat(
+              backingOff.announcements().requestCountAfter(EngineAnnouncement.BACKOFF, path(box)))
+          .isLessThanOrEqualTo(MAX_LATE_REQUESTS);
     }
   }
 
-  /** Once an engine is used that was listed afterwards, what was written before is known. */
-  private void awaitSeenByAll(FleetEngine engine) throws Exception {
+  /** Waits until all boxes use the engine, and so have read all earlier writes to the store. */
+  private void awaitUsedByAllBoxes(FleetEngine engine) throws Exception {
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
+      int boxIndex = box;
       Fleet.await(
           () ->
-              get(asked).statusCode() == 200
-                  && engine.announcements().requestCount(path(asked)) > 0);
+              get(boxIndex).statusCode() == 200
+                  && engine.announcements().requestCount(path(boxIndex)) > 0);
     }
   }
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
-  private void refused(int caller) throws Exception {
-    assertThat(fleet.post(caller % BOXES, "/staged/x", STAGED).statusCode()).isEqualTo(503);
+  private void sendRefusedRequest(int caller) throws Exception {
+    assertThat(fleet.post(caller % BOXES, "/staged/x", STAGE_HEADERS).statusCode()).isEqualTo(503);
   }
 
-  /** Requests of one box can be told from those of others by their path. */
+  /** Returns a path that identifies the box that forwarded a request. */
   private static String path(int box) {
     return "/again/box-" + box;
   }
 
   private HttpResponse<String> get(int box) throws Exception {
-    return fleet.get(box, path(box), WITH_KEY);
+    return fleet.get(box, path(box), AUTHORIZATION);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBoxesTests.java
@@ -11,15 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Several boxes before stand-ins of the users' platform: stage work, changes, leaving, stopping.
- */
+/** Tests several boxes together: stage work, configuration changes, draining and planned stops. */
 @Timeout(60)
 class FleetBoxesTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 3;
 
@@ -30,9 +28,9 @@
 
   @BeforeEach
   void start() throws Exception {
-    plain = fleet.engine("plain", EngineKind.PLAIN);
-    model = fleet.engine("model", EngineKind.STREAM);
-    stage = fleet.engine("stage", EngineKind.STAGE);
+    plain = fleet.addEngine("plain", EngineKind.PLAIN);
+    model = fleet.addEngine("model", EngineKind.STREAM);
+    stage = fleet.addEngine("stage", EngineKind.STAGE);
     fleet.startBoxes(BOXES);
   }
 
@@ -42,114 +40,115 @@
   }
 
   @Test
-  void stageWorkIsDoneInOrderAndItsResultsAreHandedOnAndGivenUp() throws Exception {
+  void runsStagesInOrderAndReleasesResults() throws Exception {
     for (int box = 0; box < BOXES; box++) {
-      HttpResponse<String> answer = fleet.post(box, "/staged/x", STAGED);
+      HttpResponse<String> response = fleet.post(box, "/staged/x", STAGE_HEADERS);
 
-      assertThat(answer.statusCode()).isEqualTo(200);
-      ReceivedRequest seen = model.executedRequests().get(box);
-      assertThat(seen.header("X-Inputs").split(",")).hasSize(3);
+      assertThat(response.statusCode()).isEqualTo(200);
+      ReceivedRequest request = model.executedRequests().get(box);
+      assertThat(request.header("X-Inputs").split(",")).hasSize(3);
     }
     Fleet.await(() -> stage.releasedHandles().size() == BOXES * 5);
   }
 
   @Test
-  void piecesOfSeveralBoxesMeetInOneCall() throws Exception {
-    fleet.post(0, "/staged/x", STAGED);
-    List<CompletableFuture<Integer>> answers = new ArrayList<>();
+  void batchesPiecesOfSeveralBoxes() throws Exception {
+    fleet.post(0, "/staged/x", STAGE_HEADERS);
+    List<CompletableFuture<Integer>> statuses = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       int box = i % BOXES;
-      answers.add(CompletableFuture.supplyAsync(() -> status(box)));
+      statuses.add(CompletableFuture.supplyAsync(() -> postStaged(box)));
     }
-    for (CompletableFuture<Integer> answer : answers) {
-      assertThat(answer.get()).isEqualTo(200);
+    for (CompletableFuture<Integer> status : statuses) {
+      assertThat(status.get()).isEqualTo(200);
     }
 
     assertThat(stage.executedRequests().size()).isLessThan(31 * 3);
   }
 
   @Test
-  void aChangeIsInForceOnEveryBoxAndIsNeverTakenBack() throws Exception {
-    String added = "," + FleetConfiguration.route("/new/", "idempotent", "plain", "");
-    fleet.configure(5, added);
+  void appliesChangeOnAllBoxesAndIgnoresOlderVersion() throws Exception {
+    String addedRoute = "," + FleetConfiguration.route("/new/", "idempotent", "plain", "");
+    fleet.configure(5, addedRoute);
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> fleet.get(asked, "/new/x", WITH_KEY).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> fleet.get(boxIndex, "/new/x", AUTHORIZATION).statusCode() == 200);
     }
     fleet.configure(4, "");
-    fleet.configure(6, added + "," + FleetConfiguration.route("/n2/", "idempotent", "plain", ""));
-    Fleet.await(() -> fleet.get(0, "/n2/x", WITH_KEY).statusCode() == 200);
+    fleet.configure(
+        6, addedRoute + "," + FleetConfiguration.route("/n2/", "idempotent", "plain", ""));
+    Fleet.await(() -> fleet.get(0, "/n2/x", AUTHORIZATION).statusCode() == 200);
 
-    assertThat(fleet.get(0, "/new/x", WITH_KEY).statusCode()).isEqualTo(200);
+    assertThat(fleet.get(0, "/new/x", AUTHORIZATION).statusCode()).isEqualTo(200);
   }
 
   @Test
-  void aBoxThatTheStoreTurnsAwayLearnsFromItsPeers() throws Exception {
+  void startsFromPeersWhenStoreIsUnavailable() throws Exception {
     fleet.store().setFault(StoreFault.SILENT);
     fleet.startBox();
 
     fleet.awaitReady(BOXES);
 
-    assertThat(fleet.get(BOXES, "/again/x", WITH_KEY).statusCode()).isEqualTo(200);
+    assertThat(fleet.get(BOXES, "/again/x", AUTHORIZATION).statusCode()).isEqualTo(200);
   }
 
   @Test
-  void aStoreThatForgetsItsHistoryIsReadAnew() throws Exception {
+  void rereadsStoreThatLostItsHistory() throws Exception {
     fleet.store().setFault(StoreFault.FORGETFUL);
     fleet.configure(5, "," + FleetConfiguration.route("/new/", "idempotent", "plain", ""));
 
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> fleet.get(asked, "/new/x", WITH_KEY).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> fleet.get(boxIndex, "/new/x", AUTHORIZATION).statusCode() == 200);
     }
   }
 
   @Test
-  void anUpstreamThatLeavesGetsNoNewWork() throws Exception {
-    FleetEngine other = fleet.engine("plain", EngineKind.PLAIN);
-    Fleet.await(() -> fleet.get(0, "/again/x", WITH_KEY).body().contains(other.id()));
+  void sendsNoRequestsToDrainingUpstream() throws Exception {
+    FleetEngine other = fleet.addEngine("plain", EngineKind.PLAIN);
+    Fleet.await(() -> fleet.get(0, "/again/x", AUTHORIZATION).body().contains(other.id()));
     fleet.store().put("servers", plain.id(), plain.row("plain", "zone-a", "draining"));
-    Fleet.await(() -> !other.executedRequests().isEmpty() && ranLately(other));
+    Fleet.await(() -> !other.executedRequests().isEmpty() && runsAllRequests(other));
 
     int before = plain.executedRequests().size();
     for (int i = 0; i < 20; i++) {
-      assertThat(fleet.get(0, "/again/x", WITH_KEY).statusCode()).isEqualTo(200);
+      assertThat(fleet.get(0, "/again/x", AUTHORIZATION).statusCode()).isEqualTo(200);
     }
     assertThat(plain.executedRequests()).hasSize(before);
   }
 
-  /** Returns whether the next requests of box 0 all go to one engine. */
-  private boolean ranLately(FleetEngine engine) throws Exception {
+  /** Returns whether the engine runs all of the next requests to box 0. */
+  private boolean runsAllRequests(FleetEngine engine) throws Exception {
     int before = engine.executedRequests().size();
     for (int i = 0; i < 12; i++) {
-      fleet.get(0, "/again/x", WITH_KEY);
+      fleet.get(0, "/again/x", AUTHORIZATION);
     }
     return engine.executedRequests().size() == before + 12;
   }
 
   @Test
-  void aPlannedStopCutsNoRequestAndRefusesReadinessAtOnce() throws Exception {
+  void completesRequestInFlightOnPlannedStop() throws Exception {
     model.setFault(EngineFault.SLOW);
-    CompletableFuture<HttpResponse<String>> running =
-        CompletableFuture.supplyAsync(() -> unchecked(0, "/stream/x"));
+    CompletableFuture<HttpResponse<String>> response =
+        CompletableFuture.supplyAsync(() -> postUnchecked(0, "/stream/x"));
     Fleet.await(() -> !model.executedRequests().isEmpty());
 
     fleet.box(0).stop();
 
-    assertThat(running.get().body()).contains("piece " + FleetEngine.EVENTS);
+    assertThat(response.get().body()).contains("piece " + FleetEngine.EVENTS);
   }
 
-  private int status(int box) {
+  private int postStaged(int box) {
     try {
-      return fleet.post(box, "/staged/x", STAGED).statusCode();
+      return fleet.post(box, "/staged/x", STAGE_HEADERS).statusCode();
     } catch (Exception e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private HttpResponse<String> unchecked(int box, String path) {
+  private HttpResponse<String> postUnchecked(int box, String path) {
     try {
-      return fleet.post(box, path, WITH_KEY);
+      return fleet.post(box, path, AUTHORIZATION);
     } catch (Exception e) {
       throw new IllegalStateException(e);
     }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetCrashingRequestTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetCrashingRequestTests.java
@@ -10,28 +10,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Seen: one request ended more than twenty upstreams, one after the other, and each that ended took
- * the other requests along that ran there.
- *
- * <p>How it came about: each upstream that began to run it crashed. The box sent it to the next
- * one, as it may be repeated; its caller sent it again, to any box, under another id, and every
- * time it was new to whoever took it.
- *
- * <p>Cause: what a request has done was known for as long as one try of its caller lasts, to one
- * box. Proof: the count of upstreams that ended under it, however often and wherever it comes.
- */
+/** Guards against a request that crashes one upstream after another, through any box. */
 @Timeout(120)
 class FleetCrashingRequestTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String CRASHING = "ends whoever runs it";
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String CRASHING_BODY = "ends whoever runs it";
   private static final int BOXES = 3;
   private static final int UPSTREAMS = 12;
-  private static final int ARRIVALS = 12;
+  private static final int ATTEMPTS = 12;
 
-  /** Three prove it; three more are what may be under way until all boxes know. */
-  private static final int MOST_ENDED = 6;
+  /** Three crashes before the quarantine, and three requests in flight until all boxes apply it. */
+  private static final int MAX_CRASHES = 6;
 
   private final Fleet fleet = new Fleet();
   private final List<FleetEngine> upstreams = new ArrayList<>();
@@ -39,8 +29,8 @@
   @BeforeEach
   void start() throws Exception {
     for (int number = 0; number < UPSTREAMS; number++) {
-      FleetEngine upstream = fleet.engine("model", EngineKind.STREAM);
-      upstream.crashOn(CRASHING);
+      FleetEngine upstream = fleet.addEngine("model", EngineKind.STREAM);
+      upstream.crashOn(CRASHING_BODY);
       upstreams.add(upstream);
     }
     startBoxes();
@@ -48,7 +38,7 @@
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
   @AfterEach
@@ -57,51 +47,51 @@
   }
 
   @Test
-  void aRequestThatEndsEachUpstreamIsSoonSentToNoneAtAnyBox() throws Exception {
-    for (int arrival = 0; arrival < ARRIVALS; arrival++) {
-      send(arrival % BOXES, CRASHING);
+  void quarantinesCrashingRequestOnAllBoxes() throws Exception {
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      send(attempt % BOXES, CRASHING_BODY);
     }
 
-    assertThat(ended()).isLessThanOrEqualTo(MOST_ENDED);
-    assertThat(send(0, CRASHING).statusCode()).isEqualTo(503);
+    assertThat(crashCount()).isLessThanOrEqualTo(MAX_CRASHES);
+    assertThat(send(0, CRASHING_BODY).statusCode()).isEqualTo(503);
     assertThat(send(1, "innocent").statusCode()).isEqualTo(200);
   }
 
   @Test
-  void itIsNotSentAgainAfterAllBoxesWereLostAtOnce() throws Exception {
-    for (int arrival = 0; arrival < ARRIVALS; arrival++) {
-      send(arrival % BOXES, CRASHING);
+  void keepsQuarantineAfterAllBoxesCrash() throws Exception {
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      send(attempt % BOXES, CRASHING_BODY);
     }
-    long before = ended();
-    fleet.loseAllBoxes();
+    long before = crashCount();
+    fleet.killAllBoxes();
     startBoxes();
 
-    for (int arrival = 0; arrival < ARRIVALS; arrival++) {
-      send(arrival % BOXES, CRASHING);
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      send(attempt % BOXES, CRASHING_BODY);
     }
 
-    assertThat(before).isLessThanOrEqualTo(MOST_ENDED);
-    assertThat(ended()).isEqualTo(before);
+    assertThat(before).isLessThanOrEqualTo(MAX_CRASHES);
+    assertThat(crashCount()).isEqualTo(before);
     assertThat(send(1, "innocent").statusCode()).isEqualTo(200);
   }
 
   @Test
-  void theSameBodyOnAnotherPathIsAnotherRequest() throws Exception {
-    for (int arrival = 0; arrival < ARRIVALS; arrival++) {
-      send(arrival % BOXES, CRASHING);
+  void doesNotQuarantineSameBodyOnAnotherPath() throws Exception {
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      send(attempt % BOXES, CRASHING_BODY);
     }
     upstreams.forEach(upstream -> upstream.crashOn("nothing"));
 
-    HttpResponse<String> answer = fleet.postBody(0, "/resume/y", CRASHING, WITH_KEY);
+    HttpResponse<String> response = fleet.postBody(0, "/resume/y", CRASHING_BODY, AUTHORIZATION);
 
-    assertThat(answer.statusCode()).isEqualTo(200);
+    assertThat(response.statusCode()).isEqualTo(200);
   }
 
   private HttpResponse<String> send(int box, String body) throws Exception {
-    return fleet.postBody(box, "/resume/x", body, WITH_KEY);
+    return fleet.postBody(box, "/resume/x", body, AUTHORIZATION);
   }
 
-  private long ended() {
+  private long crashCount() {
     return upstreams.stream().filter(FleetEngine::isDown).count();
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetBadInputTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetInvalidRequestTests.java
@@ -10,21 +10,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What callers may send wrongly, byte by byte. */
+/** Tests the handling of unusual and invalid requests, sent as raw bytes. */
 @Timeout(60)
-class FleetBadInputTests {
+class FleetInvalidRequestTests {
 
-  private static final String KEY =
-      "Host: 127.0.0.1\r\nAuthorization: Bearer " + Fleet.KEY + "\r\n";
+  private static final String HOST_AND_KEY_HEADERS =
+      "Host: 127.0.0.1\r\nAuthorization: Bearer " + Fleet.API_KEY + "\r\n";
 
-  private static final int READ_MILLIS = 30_000;
+  private static final int READ_TIMEOUT_MILLIS = 30_000;
 
   private final Fleet fleet = new Fleet();
   private FleetEngine plain;
 
   @BeforeEach
   void start() throws Exception {
-    plain = fleet.engine("plain", EngineKind.PLAIN);
+    plain = fleet.addEngine("plain", EngineKind.PLAIN);
     fleet.startBox();
     fleet.awaitReady(0);
   }
@@ -35,102 +35,113 @@
   }
 
   @Test
-  void twoRequestsOnOneConnectionGetTheirOwnAnswersInOrder() throws Exception {
-    String answers;
+  void answersPipelinedRequestsInOrder() throws Exception {
+    String responses;
     try (Socket socket = new Socket("127.0.0.1", fleet.callerPort(0))) {
-      socket.setSoTimeout(READ_MILLIS);
+      socket.setSoTimeout(READ_TIMEOUT_MILLIS);
       send(
           socket,
           "GET /again/1 HTTP/1.1\r\nX-Request-Id: first\r\n"
-              + KEY
+              + HOST_AND_KEY_HEADERS
               + "\r\n"
               + "GET /again/2 HTTP/1.1\r\nX-Request-Id: second\r\n"
-              + KEY
+              + HOST_AND_KEY_HEADERS
               + "\r\n");
-      answers = readUntil(socket, "to second");
+      responses = readUntil(socket, "to second");
     }
 
-    assertThat(answers.indexOf("to first")).isPositive();
-    assertThat(answers.indexOf("to second")).isGreaterThan(answers.indexOf("to first"));
+    assertThat(responses.indexOf("to first")).isPositive();
+    assertThat(responses.indexOf("to second")).isGreaterThan(responses.indexOf("to first"));
   }
 
   @Test
-  void aChunkedBodyArrivesWhole() throws Exception {
-    String answer =
+  void forwardsWholeChunkedBody() throws Exception {
+    String response =
         exchange(
             "POST /once/x HTTP/1.1\r\nX-Request-Id: a\r\nConnection: close\r\n"
-                + KEY
+                + HOST_AND_KEY_HEADERS
                 + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n5\r\nwhole\r\n0\r\n\r\n");
 
-    assertThat(answer).startsWith("HTTP/1.1 200");
+    assertThat(response).startsWith("HTTP/1.1 200");
     assertThat(plain.executedRequests().get(0).body()).isEqualTo("halfwhole");
   }
 
   @Test
-  void aChunkedBodyThatIsCutShortReachesNobody() throws Exception {
+  void doesNotForwardTruncatedChunkedBody() throws Exception {
     try (Socket socket = new Socket("127.0.0.1", fleet.callerPort(0))) {
       send(
           socket,
           "POST /once/x HTTP/1.1\r\nX-Request-Id: a\r\n"
-              + KEY
+              + HOST_AND_KEY_HEADERS
               + "Transfer-Encoding: chunked\r\n\r\n9\r\nha");
     }
-    String after = exchange("GET /again/1 HTTP/1.1\r\nConnection: close\r\n" + KEY + "\r\n");
+    String response =
+        exchange("GET /again/1 HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n");
 
-    assertThat(after).startsWith("HTTP/1.1 200");
-    assertThat(plain.executedRequests()).noneMatch(seen -> seen.path().equals("/once/x"));
+    assertThat(response).startsWith("HTTP/1.1 200");
+    assertThat(plain.executedRequests()).noneMatch(request -> request.path().equals("/once/x"));
   }
 
   @Test
-  void aHeadOverTheBoundIsRefused() throws Exception {
-    String answer =
-        exchange("GET /again/x HTTP/1.1\r\n" + KEY + "X-Long: " + "x".repeat(100_000) + "\r\n\r\n");
+  void rejectsOversizedHeader() throws Exception {
+    String response =
+        exchange(
+            "GET /again/x HTTP/1.1\r\n"
+                + HOST_AND_KEY_HEADERS
+                + "X-Long: "
+                + "x".repeat(100_000)
+                + "\r\n\r\n");
 
-    assertThat(answer).matches("(?s)HTTP/1.1 4(13|31|00).*");
+    assertThat(response).matches("(?s)HTTP/1.1 4(13|31|00).*");
     assertThat(plain.executedRequests()).isEmpty();
   }
 
   @Test
-  void aRequestWithoutIdOrDeadlineIsServed() throws Exception {
-    String answer = exchange("GET /again/x HTTP/1.1\r\nConnection: close\r\n" + KEY + "\r\n");
+  void servesRequestWithoutIdOrDeadline() throws Exception {
+    String response =
+        exchange("GET /again/x HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n");
 
-    assertThat(answer).startsWith("HTTP/1.1 200");
+    assertThat(response).startsWith("HTTP/1.1 200");
     assertThat(plain.executedRequests().get(0).header("X-Deadline-Ms")).isNotEmpty();
   }
 
   @Test
-  void aRequestWithoutTimeLeftGetsAFinalAnswerAtOnce() throws Exception {
-    String answer =
+  void rejectsRequestWithoutTimeLeft() throws Exception {
+    String response =
         exchange(
-            "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: 0\r\nConnection: close\r\n" + KEY + "\r\n");
+            "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: 0\r\nConnection: close\r\n"
+                + HOST_AND_KEY_HEADERS
+                + "\r\n");
 
-    assertThat(answer).matches("(?s)HTTP/1.1 50[34].*");
+    assertThat(response).matches("(?s)HTTP/1.1 50[34].*");
   }
 
   @Test
-  void aDeadlineThatIsNoNumberIsRefused() throws Exception {
-    String answer =
+  void rejectsNonNumericDeadline() throws Exception {
+    String response =
         exchange(
-            "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: soon\r\nConnection: close\r\n" + KEY + "\r\n");
+            "GET /again/x HTTP/1.1\r\nX-Deadline-Ms: soon\r\nConnection: close\r\n"
+                + HOST_AND_KEY_HEADERS
+                + "\r\n");
 
-    assertThat(answer).startsWith("HTTP/1.1 400");
+    assertThat(response).startsWith("HTTP/1.1 400");
     assertThat(plain.executedRequests()).isEmpty();
   }
 
   @Test
-  void aConfigurationThatCannotBeReadLeavesTheLastGoodOneInForce() throws Exception {
+  void skipsUnreadableConfiguration() throws Exception {
     fleet.store().put("op", "config", "{\"version\":9,\"routes\":");
     fleet.configure(10, "," + FleetConfiguration.route("/new/", "idempotent", "plain", ""));
 
     Fleet.await(
         () ->
-            exchange("GET /new/x HTTP/1.1\r\nConnection: close\r\n" + KEY + "\r\n")
+            exchange("GET /new/x HTTP/1.1\r\nConnection: close\r\n" + HOST_AND_KEY_HEADERS + "\r\n")
                 .startsWith("HTTP/1.1 200"));
   }
 
   private String exchange(String bytes) throws IOException {
     try (Socket socket = new Socket("127.0.0.1", fleet.callerPort(0))) {
-      socket.setSoTimeout(READ_MILLIS);
+      socket.setSoTimeout(READ_TIMEOUT_MILLIS);
       send(socket, bytes);
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
@@ -138,10 +149,10 @@
 
   private static String readUntil(Socket socket, String end) throws IOException {
     StringBuilder text = new StringBuilder();
-    for (int next = socket.getInputStream().read();
-        next >= 0;
-        next = socket.getInputStream().read()) {
-      text.append((char) next);
+    for (int character = socket.getInputStream().read();
+        character >= 0;
+        character = socket.getInputStream().read()) {
+      text.append((char) character);
       if (text.indexOf(end) >= 0) {
         break;
       }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLeavingUpstreamTests.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An upstream says in its answers that it leaves, while its entry says nothing of it. */
+/** Tests upstreams that announce in responses that they leave while their entry says ready. */
 @Timeout(120)
 class FleetLeavingUpstreamTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 3;
   private static final int REQUESTS = 120;
   private static final int CALLERS = 12;
-  private static final int WAVES = 10;
+  private static final int ROUNDS = 10;
 
   private final Fleet fleet = new Fleet();
 
@@ -30,112 +30,116 @@
     fleet.close();
   }
 
-  // Guards against requests at an upstream whose answers have said that it leaves (DRAIN).
+  // Guards against requests to an upstream that has announced that it leaves.
   @Test
-  void noBoxSendsMoreOnceItHasPassedOnAnAnswerThatSaysSo() throws Exception {
-    FleetEngine leaving = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void sendsNoRequestsAfterAnnouncement() throws Exception {
+    FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
     fleet.store().setFault(StoreFault.SILENT);
     leaving.announcements().announceLeaving("1");
-    awaitAllKnow(leaving);
-    List<Long> before = cameFromEach(leaving);
+    awaitAnnouncementOnAllBoxes(leaving);
+    List<Long> before = requestCountPerBox(leaving);
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES)).isTrue();
     }
 
-    assertThat(cameFromEach(leaving)).isEqualTo(before);
+    assertThat(requestCountPerBox(leaving)).isEqualTo(before);
   }
 
-  // Guards against stage work at an upstream whose answers have said that it leaves (DRAIN).
+  // Guards against stage work for an upstream that has announced that it leaves.
   @Test
-  void noStageWorkIsGivenToOneThatHasSaidSo() throws Exception {
-    fleet.engine("model", EngineKind.STREAM);
-    FleetEngine leaving = fleet.engine("stage", EngineKind.STAGE);
-    fleet.engine("stage", EngineKind.STAGE);
+  void sendsNoStageWorkAfterAnnouncement() throws Exception {
+    fleet.addEngine("model", EngineKind.STREAM);
+    FleetEngine leaving = fleet.addEngine("stage", EngineKind.STAGE);
+    fleet.addEngine("stage", EngineKind.STAGE);
     startBoxes();
     fleet.store().setFault(StoreFault.SILENT);
     leaving.announcements().announceLeaving("1");
     Fleet.await(
         () -> {
-          fleet.atOnce(CALLERS, this::staged);
+          fleet.runConcurrently(CALLERS, this::sendStagedRequest);
           return leaving.announcements().hasAnnounced(EngineAnnouncement.LEAVING, "/stage-");
         });
     long before = leaving.announcements().requestCount("/stage-run");
 
-    for (int wave = 0; wave < WAVES; wave++) {
-      fleet.atOnce(CALLERS, this::staged);
+    for (int round = 0; round < ROUNDS; round++) {
+      fleet.runConcurrently(CALLERS, this::sendStagedRequest);
     }
 
     assertThat(leaving.announcements().requestCount("/stage-run")).isEqualTo(before);
   }
 
-  // Guards against an upstream that has said so being used again for what an older entry says.
+  // Guards against using a leaving upstream again because its entry still says ready.
   @Test
-  void anEntryThatStillSaysReadyDoesNotBringItBackButItsNextStartServes() throws Exception {
-    FleetEngine leaving = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void ignoresReadyEntryUntilNextIncarnation() throws Exception {
+    FleetEngine leaving = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     startBoxes();
     leaving.announcements().announceLeaving("1");
-    awaitAllKnow(leaving);
-    List<Long> before = cameFromEach(leaving);
-    fleet.list(leaving, "ready");
-    FleetEngine witness = fleet.engine("plain", EngineKind.PLAIN);
+    awaitAnnouncementOnAllBoxes(leaving);
+    List<Long> before = requestCountPerBox(leaving);
+    fleet.putServerRow(leaving, "ready");
+    FleetEngine addedLater = fleet.addEngine("plain", EngineKind.PLAIN);
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> get(asked) && witness.announcements().requestCount(path(asked)) > 0);
+      int boxIndex = box;
+      Fleet.await(
+          () -> get(boxIndex) && addedLater.announcements().requestCount(path(boxIndex)) > 0);
     }
 
     for (int number = 0; number < REQUESTS; number++) {
       assertThat(get(number % BOXES)).isTrue();
     }
-    assertThat(cameFromEach(leaving)).isEqualTo(before);
+    assertThat(requestCountPerBox(leaving)).isEqualTo(before);
 
     leaving.announcements().withdraw();
     leaving.restart();
-    fleet.list(leaving, "ready");
+    fleet.putServerRow(leaving, "ready");
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      long then = leaving.announcements().requestCount(path(asked));
-      Fleet.await(() -> get(asked) && leaving.announcements().requestCount(path(asked)) > then);
+      int boxIndex = box;
+      long previous = leaving.announcements().requestCount(path(boxIndex));
+      Fleet.await(
+          () -> get(boxIndex) && leaving.announcements().requestCount(path(boxIndex)) > previous);
     }
   }
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
-  /** Waits until each box has passed on an answer that says so, or was told by one that has. */
-  private void awaitAllKnow(FleetEngine leaving) throws Exception {
+  /** Waits until each box has received the announcement, from the upstream or from a peer. */
+  private void awaitAnnouncementOnAllBoxes(FleetEngine leaving) throws Exception {
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
+      int boxIndex = box;
       Fleet.await(
           () ->
-              get(asked)
-                  && (leaving.announcements().hasAnnounced(EngineAnnouncement.LEAVING, path(asked))
-                      || fleet.hasLogged(asked, "upstream-announces-leaving")));
+              get(boxIndex)
+                  && (leaving
+                          .announcements()
+                          .hasAnnounced(EngineAnnouncement.LEAVING, path(boxIndex))
+                      || fleet.hasLogged(boxIndex, "upstream-announces-leaving")));
     }
   }
 
-  private static List<Long> cameFromEach(FleetEngine engine) {
+  private static List<Long> requestCountPerBox(FleetEngine engine) {
     return IntStream.range(0, BOXES)
         .mapToObj(box -> engine.announcements().requestCount(path(box)))
         .toList();
   }
 
-  /** Requests of one box can be told from those of others by their path. */
+  /** Returns a path that identifies the box that forwarded a request. */
   private static String path(int box) {
     return "/again/box-" + box;
   }
 
   private boolean get(int box) throws Exception {
-    HttpResponse<String> answer = fleet.get(box, path(box), WITH_KEY);
-    return answer.statusCode() == 200;
+    HttpResponse<String> response = fleet.get(box, path(box), AUTHORIZATION);
+    return response.statusCode() == 200;
   }
 
-  private void staged(int caller) throws Exception {
-    assertThat(fleet.post(caller % BOXES, "/staged/x", STAGED).statusCode()).isEqualTo(200);
+  private void sendStagedRequest(int caller) throws Exception {
+    assertThat(fleet.post(caller % BOXES, "/staged/x", STAGE_HEADERS).statusCode()).isEqualTo(200);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/FleetLimitedUpstreamTests.java
@@ -7,37 +7,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Seen: two upstreams that had said how few requests a second they take from all boxes together got
- * twice as many, from seven of eight boxes, none of which sent more than three.
- *
- * <p>How it came about: they named their limits in a quiet moment, in which what came by itself was
- * below them. Eight seconds later there was twice as much to do, and they got as much of it as any
- * other upstream of their service.
- *
- * <p>Cause: no box read what they said. Nothing that sends (first tries, retries, calls for stage
- * work, releases of results) asked how many requests an upstream takes, but for first tries to cold
- * ones. Proof: the most requests that an upstream gets in 4 s, whoever sends them and whatever for;
- * 24 to 181 where 11 are allowed.
- */
+/** Guards against exceeding the request rate limit that an upstream announces for all boxes. */
 @Timeout(120)
 class FleetLimitedUpstreamTests {
 
-  private static final String[] WITH_KEY = {"Authorization", "Bearer " + Fleet.KEY};
-  private static final String[] STAGED = {
-    "Authorization", "Bearer " + Fleet.KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
+  private static final String[] AUTHORIZATION = {"Authorization", "Bearer " + Fleet.API_KEY};
+  private static final String[] STAGE_HEADERS = {
+    "Authorization", "Bearer " + Fleet.API_KEY, "X-Pieces", "2,3", "X-Piece-Key", "pk"
   };
   private static final int BOXES = 3;
   private static final int REQUESTS = 60;
 
-  /** Three calls and releases or more for each. */
+  /** Each causes at least three stage calls and releases. */
   private static final int STAGED_REQUESTS = 30;
 
-  /** One and a half times what a limit of one a second allows in 4 s, and 5. */
-  private static final long MOST_IN_WINDOW = 11;
+  /** Requests allowed in 4 s at a limit of one a second: one and a half times the limit plus 5. */
+  private static final long MAX_IN_WINDOW = 11;
 
-  /** The same of ten a second. */
-  private static final long MOST_OF_TEN_IN_WINDOW = 65;
+  /** Requests allowed in 4 s at a limit of ten a second. */
+  private static final long MAX_IN_WINDOW_AT_TEN_PER_SECOND = 65;
 
   private final Fleet fleet = new Fleet();
 
@@ -47,9 +35,9 @@
   }
 
   @Test
-  void allBoxesTogetherKeepToTheLimitAndTheOthersOfTheServiceTakeTheRest() throws Exception {
-    FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
-    fleet.engine("plain", EngineKind.PLAIN);
+  void keepsLimitAcrossAllBoxes() throws Exception {
+    FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
+    fleet.addEngine("plain", EngineKind.PLAIN);
     limited.rateLimit().announce("1");
     startBoxes();
 
@@ -57,12 +45,12 @@
       assertThat(get(number).statusCode()).isEqualTo(200);
     }
 
-    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
   }
 
   @Test
-  void whereAllOfAServiceNameALimitTheRestIsRefusedAtOnceAndToldWhenToComeBack() throws Exception {
-    FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
+  void refusesExcessRequestsWithRetryAfter() throws Exception {
+    FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
     limited.rateLimit().announce("1.0");
     startBoxes();
 
@@ -73,49 +61,50 @@
 
     assertThat(last.statusCode()).isEqualTo(503);
     assertThat(last.headers().firstValue("Retry-After")).isPresent();
-    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
   }
 
   @Test
-  void callsForStageWorkAndReleasesOfResultsCountAsRequestsToo() throws Exception {
-    fleet.engine("model", EngineKind.STREAM);
-    FleetEngine limited = fleet.engine("stage", EngineKind.STAGE);
+  void countsStageCallsAndReleases() throws Exception {
+    fleet.addEngine("model", EngineKind.STREAM);
+    FleetEngine limited = fleet.addEngine("stage", EngineKind.STAGE);
     limited.rateLimit().announce("10");
     startBoxes();
 
     int served = 0;
     for (int number = 0; number < STAGED_REQUESTS; number++) {
-      served += fleet.post(number % BOXES, "/staged/x", STAGED).statusCode() == 200 ? 1 : 0;
+      served += fleet.post(number % BOXES, "/staged/x", STAGE_HEADERS).statusCode() == 200 ? 1 : 0;
     }
 
     assertThat(served).isPositive();
-    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MOST_OF_TEN_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0))
+        .isLessThanOrEqualTo(MAX_IN_WINDOW_AT_TEN_PER_SECOND);
   }
 
   @Test
-  void oneThatNamesNoLimitAnyMoreTakesAllAgain() throws Exception {
-    FleetEngine limited = fleet.engine("plain", EngineKind.PLAIN);
+  void sendsAllRequestsOnceLimitIsWithdrawn() throws Exception {
+    FleetEngine limited = fleet.addEngine("plain", EngineKind.PLAIN);
     limited.rateLimit().announce("0.5");
     startBoxes();
     for (int number = 0; number < REQUESTS; number++) {
       get(number);
     }
-    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MOST_IN_WINDOW);
+    assertThat(limited.rateLimit().maxInWindowAfter(0)).isLessThanOrEqualTo(MAX_IN_WINDOW);
 
     limited.rateLimit().withdraw();
 
     for (int box = 0; box < BOXES; box++) {
-      int asked = box;
-      Fleet.await(() -> get(asked).statusCode() == 200 && get(asked).statusCode() == 200);
+      int boxIndex = box;
+      Fleet.await(() -> get(boxIndex).statusCode() == 200 && get(boxIndex).statusCode() == 200);
     }
   }
 
   private void startBoxes() throws Exception {
     fleet.startBoxes(BOXES);
-    fleet.awaitMet();
+    fleet.awaitPeersConnected();
   }
 
-  private HttpResponse<String> get(int number) throws Exception {
-    return fleet.get(number % BOXES, "/again/x", WITH_KEY);
+  private HttpResponse<String> get(int requestNumber) throws Exception {
+    return fleet.get(requestNumber % BOXES, "/again/x", AUTHORIZATION);
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakBox.java
@@ -7,30 +7,30 @@
 import java.util.List;
 import org.gradeledge.standin.JavaCommand;
 
-/** A box of the soak: a real process, its link to the store, and where it is reached. */
+/** A box that runs in a process of its own, with a proxy to the store that can inject faults. */
 final class SoakBox implements AutoCloseable {
 
-  private static final int PORTS = 4;
+  private static final int PORT_COUNT = 4;
 
   private final Path folder;
   private final int number;
   private final List<Integer> ports;
   private final FaultyLink storeLink;
-  private final Object steps = new Object();
+  private final Object processLock = new Object();
   private volatile Process process;
-  private volatile int life;
+  private volatile int incarnation;
 
-  SoakBox(Path folder, int number, String store) throws IOException {
+  SoakBox(Path folder, int number, String storeAddress) throws IOException {
     this.folder = folder;
     this.number = number;
-    // A box that is started again must find its ports free, whatever others dial meanwhile.
-    this.ports = FreePorts.findBelowEphemeralRange(PORTS);
-    this.storeLink = new FaultyLink(store);
+    // Outgoing connections must not take the ports of a box that is being restarted.
+    this.ports = FreePorts.findBelowEphemeralRange(PORT_COUNT);
+    this.storeLink = new FaultyLink(storeAddress);
   }
 
-  /** Returns what a step holds that stops, kills or freezes the process; callers never do. */
-  Object steps() {
-    return steps;
+  /** Returns the lock that steps hold while they stop, kill or suspend the process. */
+  Object processLock() {
+    return processLock;
   }
 
   FaultyLink storeLink() {
@@ -41,8 +41,8 @@
     return number;
   }
 
-  int life() {
-    return life;
+  int incarnation() {
+    return incarnation;
   }
 
   int callerPort() {
@@ -53,12 +53,12 @@
     return ports.get(1);
   }
 
-  String seed() {
+  String peerAddress() {
     return "127.0.0.1:" + ports.get(2);
   }
 
   void start(List<String> seeds) throws IOException {
-    life++;
+    incarnation++;
     Path settings = folder.resolve("box-" + number + ".json");
     Files.writeString(settings, FleetConfiguration.settings(ports, storeLink.address(), seeds));
     File log = folder.resolve("box-" + number + ".log").toFile();
@@ -73,7 +73,7 @@
     process.destroyForcibly().onExit().join();
   }
 
-  /** Asks the box to stop as planned and waits until it has. */
+  /** Sends SIGTERM, waits until the process has ended and returns its exit code. */
   int stop() {
     process.destroy();
     return process.onExit().join().exitValue();
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngineSteps.java
@@ -5,133 +5,138 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Consumer;
 
-/** What a run does to single engines, and what each must see of it. Thread-safe. */
+/** Steps that act on one engine and check which requests it receives. Thread-safe. */
 final class SoakEngineSteps {
 
   private static final long LEAVING_BOUND_MILLIS = 2_000;
-  private static final long LEAVING_SLACK_MILLIS = 500;
+  private static final long LEAVING_MARGIN_MILLIS = 500;
 
-  /** A limit must be kept so long after it was first named. */
-  private static final long LIMIT_KNOWN_MILLIS = 3_000;
+  /** Time within which boxes apply an announced limit. */
+  private static final long LIMIT_PROPAGATION_MILLIS = 3_000;
 
-  private static final long LIMIT_WATCHED_MILLIS = 6_000;
-  private static final long TURNED_AWAY_MILLIS = 2_000;
+  private static final long LIMIT_OBSERVATION_MILLIS = 6_000;
+  private static final long BACKOFF_MILLIS = 2_000;
 
-  /** A start that has left, and how many requests it had run when its bound was over. */
-  private record Left(FleetEngine engine, int start, int ranByThen) {
+  /** An incarnation that has left and the number of its runs at the end of the leaving bound. */
+  private record DepartedEngine(FleetEngine engine, int incarnation, int runsAtBound) {
 
-    boolean gotMore() {
-      return engine.executedDuring(start) > ranByThen;
+    boolean hasRunMore() {
+      return engine.executedDuring(incarnation) > runsAtBound;
     }
   }
 
   private final SoakEngines engines;
-  private final Consumer<String> allServing;
-  private final Consumer<String> broken;
-  private final int patience;
-  private final List<Left> left = new CopyOnWriteArrayList<>();
+  private final Consumer<String> servingCheck;
+  private final Consumer<String> violations;
+  private final int timeoutFactor;
+  private final List<DepartedEngine> departedEngines = new CopyOnWriteArrayList<>();
 
   /**
-   * Creates them.
+   * Creates the steps.
    *
-   * @param allServing notes the boxes that do not serve, with when that is
-   * @param broken takes what was broken
-   * @param patience by how much the bounds of time are stretched
+   * @param servingCheck checks that all boxes serve; takes the phase for the message
+   * @param violations receives the violations
+   * @param timeoutFactor factor for all time bounds
    */
   SoakEngineSteps(
-      SoakEngines engines, Consumer<String> allServing, Consumer<String> broken, int patience) {
+      SoakEngines engines,
+      Consumer<String> servingCheck,
+      Consumer<String> violations,
+      int timeoutFactor) {
     this.engines = engines;
-    this.allServing = allServing;
-    this.broken = broken;
-    this.patience = patience;
+    this.servingCheck = servingCheck;
+    this.violations = violations;
+    this.timeoutFactor = timeoutFactor;
   }
 
-  /** Lets an engine name a limit while nothing else is wrong: it must be kept. */
-  void limitInCalm(FleetEngine engine, double perSecond) throws InterruptedException {
-    allServing.accept("before an engine names a limit");
+  /** Checks that boxes keep a limit that an engine announces while no fault is injected. */
+  void checkLimit(FleetEngine engine, double perSecond) throws InterruptedException {
+    servingCheck.accept("before an engine names a limit");
     engine.rateLimit().announce(String.valueOf(perSecond));
-    SoakRun.last(LIMIT_KNOWN_MILLIS * patience);
-    int first = engine.rateLimit().requestCount();
-    SoakRun.last(LIMIT_WATCHED_MILLIS);
-    long most = engine.rateLimit().maxInWindowAfter(first);
+    SoakRun.pause(LIMIT_PROPAGATION_MILLIS * timeoutFactor);
+    int requestsBefore = engine.rateLimit().requestCount();
+    SoakRun.pause(LIMIT_OBSERVATION_MILLIS);
+    long maxInWindow = engine.rateLimit().maxInWindowAfter(requestsBefore);
     engine.rateLimit().withdraw();
-    if (most > SoakChecks.mostOfLimit(perSecond)) {
-      broken.accept(engine.id() + " takes " + perSecond + " a second and got " + most + " in 4 s");
+    if (maxInWindow > SoakChecks.maxRequestsInWindow(perSecond)) {
+      violations.accept(
+          engine.id() + " takes " + perSecond + " a second and got " + maxInWindow + " in 4 s");
     }
-    allServing.accept("after an engine names no limit any more");
+    servingCheck.accept("after an engine names no limit any more");
   }
 
-  /** Takes an engine away: after the bound it must get no new work. */
-  void leave(FleetEngine leaving) throws IOException, InterruptedException {
-    allServing.accept("before an engine leaves");
+  /** Replaces an engine; it must receive no work after the leaving bound. */
+  void checkLeaving(FleetEngine leaving) throws IOException, InterruptedException {
+    servingCheck.accept("before an engine leaves");
     engines.add(leaving.kind());
     engines.remove(leaving);
-    engines.list(leaving, "draining");
-    awaitBound();
-    left.add(
-        new Left(leaving, leaving.incarnation(), leaving.executedDuring(leaving.incarnation())));
+    engines.putRow(leaving, "draining");
+    awaitLeavingBound();
+    departedEngines.add(
+        new DepartedEngine(
+            leaving, leaving.incarnation(), leaving.executedDuring(leaving.incarnation())));
   }
 
-  /** Takes an engine away, and starts it again under its id once it must get no new work. */
-  void leaveAndComeBack(FleetEngine engine) throws IOException, InterruptedException {
-    allServing.accept("before an engine leaves to come back");
-    int start = engine.incarnation();
-    engines.list(engine, "draining");
-    awaitBound();
-    int ranByThen = engine.executedDuring(start);
+  /** Drains an engine and restarts it under the same id after the leaving bound. */
+  void checkLeavingAndRestart(FleetEngine engine) throws IOException, InterruptedException {
+    servingCheck.accept("before an engine leaves to come back");
+    int incarnation = engine.incarnation();
+    engines.putRow(engine, "draining");
+    awaitLeavingBound();
+    int runsAtBound = engine.executedDuring(incarnation);
     engine.restart();
-    left.add(new Left(engine, start, ranByThen));
-    engines.list(engine, "ready");
-    allServing.accept("after an engine came back under its id");
+    departedEngines.add(new DepartedEngine(engine, incarnation, runsAtBound));
+    engines.putRow(engine, "ready");
+    servingCheck.accept("after an engine came back under its id");
   }
 
-  /** Lets an engine crash and start again under its id. */
-  void startAgain(FleetEngine engine) throws IOException {
+  /** Crashes an engine and restarts it under the same id. */
+  void restart(FleetEngine engine) throws IOException {
     engine.restart();
-    engines.list(engine, "ready");
+    engines.putRow(engine, "ready");
   }
 
-  /** The same while nothing else is wrong. */
-  void startAgainInCalm(FleetEngine engine) throws IOException, InterruptedException {
-    allServing.accept("before an engine starts again");
-    startAgain(engine);
-    awaitBound();
-    int askedByThen = engine.staleHandles().size();
-    allServing.accept("after an engine started again");
-    if (engine.staleHandles().size() > askedByThen) {
-      broken.accept(engine.id() + " was asked about results of the start before");
+  /** Checks that no box requests results of the previous incarnation from a restarted engine. */
+  void checkRestart(FleetEngine engine) throws IOException, InterruptedException {
+    servingCheck.accept("before an engine starts again");
+    restart(engine);
+    awaitLeavingBound();
+    int staleAtBound = engine.staleHandles().size();
+    servingCheck.accept("after an engine started again");
+    if (engine.staleHandles().size() > staleAtBound) {
+      violations.accept(engine.id() + " was asked about results of the start before");
     }
   }
 
   /**
-   * Has an engine say in its answers that it leaves, and starts it again under its id some time
-   * later; what it got meanwhile is judged in the end.
+   * Lets an engine announce in responses that it leaves, and restarts it under the same id later.
+   * {@link SoakAnnouncementChecks} checks at the end of the run which requests it received.
    */
   void announceLeaving(FleetEngine engine, long millis) throws IOException, InterruptedException {
     engine.announcements().announceLeaving("1");
-    SoakRun.last(millis);
+    SoakRun.pause(millis);
     engine.announcements().withdraw();
     engine.restart();
-    engines.list(engine, "ready");
+    engines.putRow(engine, "ready");
   }
 
-  /** Has an engine turn requests away for some seconds while nothing else is wrong. */
-  void turnAwayInCalm(FleetEngine engine, int seconds) throws InterruptedException {
-    allServing.accept("before an engine turns requests away");
+  /** Lets an engine request a backoff while no fault is injected. */
+  void checkBackoff(FleetEngine engine, int seconds) throws InterruptedException {
+    servingCheck.accept("before an engine turns requests away");
     engine.announcements().announceBackoff(String.valueOf(seconds));
-    SoakRun.last(TURNED_AWAY_MILLIS * patience);
+    SoakRun.pause(BACKOFF_MILLIS * timeoutFactor);
     engine.announcements().withdraw();
-    allServing.accept("after an engine turned requests away");
+    servingCheck.accept("after an engine turned requests away");
   }
 
-  private void awaitBound() throws InterruptedException {
-    SoakRun.last((LEAVING_BOUND_MILLIS + LEAVING_SLACK_MILLIS) * patience);
+  private void awaitLeavingBound() throws InterruptedException {
+    SoakRun.pause((LEAVING_BOUND_MILLIS + LEAVING_MARGIN_MILLIS) * timeoutFactor);
   }
 
-  /** Notes the starts that got work after they had left. */
-  void judge() {
-    left.stream()
-        .filter(Left::gotMore)
-        .forEach(each -> broken.accept(each.engine().id() + " got work after it had left"));
+  /** Reports the incarnations that received work after they had left. */
+  void checkDepartedEngines() {
+    departedEngines.stream()
+        .filter(DepartedEngine::hasRunMore)
+        .forEach(each -> violations.accept(each.engine().id() + " got work after it had left"));
   }
 }
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakEngines.java
@@ -9,76 +9,76 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Stream;
 
-/** The engines of a run, each behind a link that can be harmed, and their rows. Thread-safe. */
+/** The engines of a run, each behind a {@link FaultyLink}, and their rows. Thread-safe. */
 final class SoakEngines implements AutoCloseable {
 
   private final StoreStandIn store;
-  private final Random seeds;
-  private final List<FleetEngine> serving = new CopyOnWriteArrayList<>();
-  private final List<FleetEngine> gone = new CopyOnWriteArrayList<>();
+  private final Random idRandom;
+  private final List<FleetEngine> servingEngines = new CopyOnWriteArrayList<>();
+  private final List<FleetEngine> removedEngines = new CopyOnWriteArrayList<>();
   private final List<FaultyLink> allLinks = new CopyOnWriteArrayList<>();
   private final Map<FleetEngine, FaultyLink> links = new ConcurrentHashMap<>();
 
-  SoakEngines(StoreStandIn store, Random seeds) {
+  SoakEngines(StoreStandIn store, Random idRandom) {
     this.store = store;
-    this.seeds = seeds;
+    this.idRandom = idRandom;
   }
 
-  /** Starts one more and lists it. */
+  /** Starts an engine and writes its row. */
   void add(EngineKind kind) throws IOException {
-    FleetEngine engine = new FleetEngine("i-" + kind + "-" + seeds.nextInt(1_000_000), kind);
+    FleetEngine engine = new FleetEngine("i-" + kind + "-" + idRandom.nextInt(1_000_000), kind);
     FaultyLink link = new FaultyLink(engine.address());
     allLinks.add(link);
     links.put(engine, link);
-    serving.add(engine);
-    list(engine, "ready");
+    servingEngines.add(engine);
+    putRow(engine, "ready");
   }
 
-  /** Takes one out of those that serve. */
+  /** Removes an engine from those that serve, without stopping it. */
   void remove(FleetEngine engine) {
-    serving.remove(engine);
-    gone.add(engine);
+    servingEngines.remove(engine);
+    removedEngines.add(engine);
   }
 
-  /** Puts the row of an engine, with a state. */
-  void list(FleetEngine engine, String state) {
+  /** Writes the row of an engine with the given state. */
+  void putRow(FleetEngine engine, String state) {
     String row = engine.row(engine.kind().service(), "zone-a", state);
     String address = links.get(engine).address();
     store.put("servers", engine.id(), row.replace(engine.address(), address));
   }
 
-  /** Puts the rows of all that serve. */
-  void listAll() {
-    serving.forEach(engine -> list(engine, "ready"));
+  /** Writes the rows of all engines that serve. */
+  void putAllRows() {
+    servingEngines.forEach(engine -> putRow(engine, "ready"));
   }
 
-  FleetEngine any(Random random) {
-    return serving.get(random.nextInt(serving.size()));
+  FleetEngine randomEngine(Random random) {
+    return servingEngines.get(random.nextInt(servingEngines.size()));
   }
 
-  FaultyLink anyLink(Random random) {
+  FaultyLink randomLink(Random random) {
     return allLinks.get(random.nextInt(allLinks.size()));
   }
 
-  /** Returns all that ever served. */
-  List<FleetEngine> all() {
-    return Stream.concat(serving.stream(), gone.stream()).toList();
+  /** Returns all engines, including removed ones. */
+  List<FleetEngine> allEngines() {
+    return Stream.concat(servingEngines.stream(), removedEngines.stream()).toList();
   }
 
-  /** Returns what all that ever served have run. */
-  List<ReceivedRequest> ran() {
-    List<ReceivedRequest> ran = new ArrayList<>();
-    serving.forEach(engine -> ran.addAll(engine.executedRequests()));
-    gone.forEach(engine -> ran.addAll(engine.executedRequests()));
-    return ran;
+  /** Returns the requests that all engines have run, including removed ones. */
+  List<ReceivedRequest> executedRequests() {
+    List<ReceivedRequest> requests = new ArrayList<>();
+    servingEngines.forEach(engine -> requests.addAll(engine.executedRequests()));
+    removedEngines.forEach(engine -> requests.addAll(engine.executedRequests()));
+    return requests;
   }
 
-  /** Ends all faults of engines and links. */
-  void lift() {
-    serving.forEach(engine -> engine.setFault(EngineFault.NONE));
-    serving.forEach(engine -> engine.rateLimit().withdraw());
-    serving.forEach(engine -> engine.announcements().withdraw());
-    allLinks.forEach(link -> link.set(FaultyLink.Fault.NONE));
+  /** Clears all faults, limits and announcements. */
+  void clearFaults() {
+    servingEngines.forEach(engine -> engine.setFault(EngineFault.NONE));
+    servingEngines.forEach(engine -> engine.rateLimit().withdraw());
+    servingEngines.forEach(engine -> engine.announcements().withdraw());
+    allLinks.forEach(link -> link.setFault(FaultyLink.Fault.NONE));
   }
 
   @Override
