--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchCoordinator.java
@@ -42,7 +42,7 @@
             builder.caller,
             builder.upstreams,
             builder.protocol,
-            builder.sendingRule,
+            builder.sendLimiter,
             this::incarnationOf,
             this::onReleased);
     this.context =
@@ -54,7 +54,7 @@
             builder.retryBudget,
             builder.caller,
             new LivenessChecker(builder.caller, builder.upstreams::hasLeft),
-            builder.sendingRule,
+            builder.sendLimiter,
             builder.protocol,
             builder.events,
             builder.pendingPieces,
@@ -138,7 +138,7 @@
   }
 
   /**
-   * Builds a coordinator; all parts except the pending pieces and the sending rule are required.
+   * Builds a coordinator; all parts except the pending pieces and the send limiter are required.
    */
   public static final class Builder {
 
@@ -152,7 +152,7 @@
     private StageProtocol protocol;
     private EventLog events;
     private PendingPieces pendingPieces = new PendingPieces();
-    private SendLimiter sendingRule = SendLimiter.UNLIMITED;
+    private SendLimiter sendLimiter = SendLimiter.UNLIMITED;
     private Function<String, Optional<BatchLimits>> limits;
 
     private Builder() {}
@@ -182,8 +182,8 @@
 
     /** Sets the load table, the retry budget and the event log. */
     public Builder loadAndRetries(
-        UpstreamLoads loadBoard, RetryBudget retryBudget, EventLog eventLog) {
-      this.loads = loadBoard;
+        UpstreamLoads upstreamLoads, RetryBudget retryBudget, EventLog eventLog) {
+      this.loads = upstreamLoads;
       this.retryBudget = retryBudget;
       this.events = eventLog;
       return this;
@@ -195,9 +195,9 @@
       return this;
     }
 
-    /** Sets the rule that limits the requests to an upstream; unlimited by default. */
-    public Builder sendingRule(SendLimiter rule) {
-      this.sendingRule = rule;
+    /** Sets the limiter of the requests to an upstream; unlimited by default. */
+    public Builder sendLimiter(SendLimiter limiter) {
+      this.sendLimiter = limiter;
       return this;
     }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchQueue.java
@@ -48,7 +48,7 @@
     this.upstreams = new BatchUpstreams(service, context, resultMemory);
     this.retries = new PieceRetries(service, context);
     this.recheck = new DelayedRecheck(loop, this::dispatch);
-    this.crashCheck = new CrashCheck(context.livenessChecks(), loop);
+    this.crashCheck = new CrashCheck(context.livenessChecker(), loop);
     this.forecast = new QueueForecast(service, context, waiting, upstreams);
   }
 
@@ -128,7 +128,7 @@
     double expected = target.expectedMillis(limits, batch.size());
     target.callStarted(call.resultBytes(), expected, now);
     context.loads().recordStart(target.upstream(), call.resultBytes());
-    context.sendingRule().recordSent(target.upstream());
+    context.sendLimiter().recordSent(target.upstream());
     List<CallItem> items =
         batch.stream()
             .map(
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/BatchUpstreams.java
@@ -49,7 +49,7 @@
     Comparator<BatchUpstream> fastest =
         Comparator.comparingDouble(each -> each.expectedMillis(limits, items));
     return upstreams.stream()
-        .filter(each -> hasFreeSlot(each, limits) && context.sendingRule().admits(each.upstream()))
+        .filter(each -> hasFreeSlot(each, limits) && context.sendLimiter().admits(each.upstream()))
         .filter(each -> each.expectedMillis(limits, items) <= earliestMillis * SLOWDOWN_TOLERANCE)
         .sorted(fastest.thenComparingLong(this::occupiedBytes))
         .toList();
@@ -83,19 +83,19 @@
     return upstreamSeconds / Math.max(1, effectiveUpstreams(usable(), limits));
   }
 
-  /** Returns the expected time until a call completes, including the wait for the sending rule. */
+  /** Returns the expected time until a call completes, including the wait for the send limiter. */
   private double millisUntilCompletion(
       BatchUpstream target, BatchLimits limits, int items, long now) {
-    double admissionMillis = context.sendingRule().millisUntilAdmitted(target.upstream(), 0);
+    double admissionMillis = context.sendLimiter().millisUntilAdmitted(target.upstream(), 0);
     return Math.max(
         target.millisUntilCompletion(limits, items, now),
         admissionMillis + target.expectedMillis(limits, items));
   }
 
   /**
-   * Returns the number of unlimited upstreams with the same throughput; an upstream that the
-   * sending rule limits counts in part. If no upstream accepts calls now, all count in full, as
-   * callers add the wait for the first one.
+   * Returns the number of unlimited upstreams with the same throughput; a limited one counts in
+   * part. If no upstream accepts calls now, all count in full, as callers add the wait for the
+   * first one.
    */
   private double effectiveUpstreams(List<BatchUpstream> upstreams, BatchLimits limits) {
     double effective = effectiveUpstreamsNow(upstreams, limits);
@@ -107,7 +107,7 @@
         .mapToDouble(
             each -> {
               double callsPerSecond =
-                  context.sendingRule().requestsPerSecond(each.upstream()) * CALLS_PER_REQUEST;
+                  context.sendLimiter().requestsPerSecond(each.upstream()) * CALLS_PER_REQUEST;
               double fullCallMillis = each.expectedMillis(limits, limits.maxItemsPerCall());
               return Math.min(1, callsPerSecond * fullCallMillis / MILLIS_PER_SECOND);
             })
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/CrashCheck.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/CrashCheck.java
@@ -14,18 +14,18 @@
   /** Longer than a network round trip: a crashed upstream refuses connections immediately. */
   private static final long TIMEOUT_MILLIS = 60;
 
-  private final LivenessChecker livenessChecks;
+  private final LivenessChecker livenessChecker;
   private final EventLoop loop;
 
-  CrashCheck(LivenessChecker livenessChecks, EventLoop loop) {
-    this.livenessChecks = livenessChecks;
+  CrashCheck(LivenessChecker livenessChecker, EventLoop loop) {
+    this.livenessChecker = livenessChecker;
     this.loop = loop;
   }
 
   /** Checks the upstream and runs the continuation once, after the check or a timeout. */
   void check(BatchCall call, Runnable continuation) {
     Once once = new Once(continuation);
-    livenessChecks.check(
+    livenessChecker.check(
         call.target().upstream(),
         result -> {
           if (result == LivenessResult.REFUSED) {
--- a/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/batch/ResultReleaser.java
@@ -35,7 +35,7 @@
   private final UpstreamCaller caller;
   private final UpstreamRegistry upstreams;
   private final StageProtocol protocol;
-  private final SendLimiter sendingRule;
+  private final SendLimiter sendLimiter;
   private final Function<String, Optional<String>> incarnationOf;
   private final Consumer<Collection<String>> onReleased;
   private final CollectedHandles pending = new CollectedHandles(COLLECTION_MILLIS);
@@ -46,14 +46,14 @@
       UpstreamCaller caller,
       UpstreamRegistry upstreams,
       StageProtocol protocol,
-      SendLimiter sendingRule,
+      SendLimiter sendLimiter,
       Function<String, Optional<String>> incarnationOf,
       Consumer<Collection<String>> onReleased) {
     this.loop = loop;
     this.caller = caller;
     this.upstreams = upstreams;
     this.protocol = protocol;
-    this.sendingRule = sendingRule;
+    this.sendLimiter = sendLimiter;
     this.incarnationOf = incarnationOf;
     this.onReleased = onReleased;
   }
@@ -91,13 +91,13 @@
   }
 
   /**
-   * Sends the release or defers it while the sending rule does not admit a request. Handles are
+   * Sends the release or defers it while the send limiter does not admit a request. Handles are
    * dropped if the upstream will have expired the results before the release is admitted.
    */
   private void send(UpstreamRecord upstream, List<String> handles) {
-    if (sendingRule.admits(upstream)) {
+    if (sendLimiter.admits(upstream)) {
       call(upstream, keepStoredAt(upstream, handles));
-    } else if (sendingRule.millisUntilAdmitted(upstream, 0) <= MAX_DEFERRAL_MILLIS) {
+    } else if (sendLimiter.millisUntilAdmitted(upstream, 0) <= MAX_DEFERRAL_MILLIS) {
       deferred.add(upstream.address(), handles);
     }
   }
@@ -115,7 +115,7 @@
     if (handles.isEmpty()) {
       return;
     }
-    sendingRule.recordSent(upstream);
+    sendLimiter.recordSent(upstream);
     caller.call(upstream, protocol.encodeRelease(upstream, handles), new ReleaseListener(handles));
   }
 
--- a/gradeledge-core/src/main/java/org/gradeledge/change/Submission.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/change/Submission.java
@@ -7,7 +7,7 @@
 /**
  * A pipeline file submitted by an operator.
  *
- * @param id chosen by the operator; a repeated submission with this id gets the same verdict
+ * @param id id from the operator; a repeated submission with this id gets the same verdict
  * @param operator name of the operator
  * @param baseVersion version that the file replaces, 0 for a new pipeline
  * @param text the file as submitted
--- a/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimKey.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/claim/ClaimKey.java
@@ -7,7 +7,7 @@
  *
  * @param pipeline name of the pipeline
  * @param account name of the client account
- * @param idempotencyKey key chosen by the caller
+ * @param idempotencyKey key that the caller sent
  * @since 0.1
  */
 public record ClaimKey(String pipeline, String account, String idempotencyKey) {
--- a/gradeledge-core/src/main/java/org/gradeledge/limit/LimitShare.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/limit/LimitShare.java
@@ -24,10 +24,10 @@
   /** Window in which the deployment counts requests. */
   private static final double WINDOW_SECONDS = 4;
 
-  /** The deployment accepts this multiple of the limit in each window, */
+  /** Multiple of the limit that the deployment accepts in each window. */
   private static final double LIMIT_FACTOR = 1.5;
 
-  /** and this number of requests in addition. */
+  /** Requests that the deployment accepts in each window above that multiple. */
   private static final double EXTRA_REQUESTS = 5;
 
   /** Fraction of the accepted burst that the buckets use. */
--- a/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/node/RelayBox.java
@@ -105,7 +105,7 @@
             .calls(caller, adapters.stageProtocol())
             .loadAndRetries(load, budget, events)
             .pendingPieces(pieces)
-            .sendingRule(SendLimiter.allOf(rateLimiter, limiters.backoffs()))
+            .sendLimiter(SendLimiter.allOf(rateLimiter, limiters.backoffs()))
             .build();
     StageWorkClient stageWork = mesh.stageWorkClient(coordinator);
     RelayServices services =
--- a/gradeledge-core/src/main/java/org/gradeledge/platform/TableTransaction.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/platform/TableTransaction.java
@@ -8,7 +8,7 @@
  * A transaction whose writes are applied atomically if all conditions hold.
  *
  * @param conditions preconditions
- * @param writes writes
+ * @param writes rows to write or delete
  * @since 0.1
  */
 public record TableTransaction(List<TableCondition> conditions, List<TableWrite> writes) {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RelayServices.java
@@ -25,10 +25,10 @@
  * @param upstreams registered upstreams
  * @param loads load and health of upstreams
  * @param chooser chooses an upstream for a request
- * @param sendingRule decides whether an upstream accepts one more request of this box
+ * @param sendLimiter decides whether an upstream accepts one more request of this box
  * @param retryBudget limits retries
  * @param upstreamCaller sends requests to upstreams
- * @param crashDetector checks whether an upstream has crashed after a lost connection
+ * @param livenessChecker checks whether an upstream has crashed after a lost connection
  * @param quarantine requests that crash upstreams
  * @param trials grants trials of quarantined requests
  * @param protocol wire format of requests and answers
@@ -45,10 +45,10 @@
     UpstreamRegistry upstreams,
     UpstreamLoads loads,
     UpstreamChooser chooser,
-    SendLimiter sendingRule,
+    SendLimiter sendLimiter,
     RetryBudget retryBudget,
     UpstreamCaller upstreamCaller,
-    LivenessChecker crashDetector,
+    LivenessChecker livenessChecker,
     Quarantine quarantine,
     QuarantineTrials trials,
     RelayProtocol protocol,
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestDispatcher.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestDispatcher.java
@@ -23,14 +23,14 @@
   private final RequestClock clock;
   private final ExchangeOutcome outcome;
 
-  RequestDispatcher(ExchangeContext parts, Runnable dispatch) {
-    this.queue = parts.queue();
+  RequestDispatcher(ExchangeContext context, Runnable dispatch) {
+    this.queue = context.queue();
     this.queued =
         new DispatchQueue.QueuedRequest(
-            parts.admitted().service(), parts.admitted().priority(), dispatch);
-    this.candidates = parts.candidates();
-    this.clock = parts.clock();
-    this.outcome = parts.outcome();
+            context.admitted().service(), context.admitted().priority(), dispatch);
+    this.candidates = context.candidates();
+    this.clock = context.clock();
+    this.outcome = context.outcome();
   }
 
   /** Removes the request from the queue. */
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/RequestQuarantine.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/RequestQuarantine.java
@@ -105,7 +105,7 @@
   void connectionLost(UpstreamRecord upstream, Runnable continuation) {
     boolean suspect = isShapeKnown() && quarantine.crashCount(fingerprint()) > 0;
     services
-        .crashDetector()
+        .livenessChecker()
         .check(
             upstream,
             result -> {
--- a/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
+++ b/gradeledge-core/src/main/java/org/gradeledge/relay/UpstreamCandidates.java
@@ -59,12 +59,12 @@
     List<UpstreamRecord> untried = untried().filter(this::admitsRequest).toList();
     Optional<UpstreamRecord> chosen = services.chooser().choose(untried, demand());
     chosen.ifPresent(upstream -> tried.add(upstream.incarnationId()));
-    chosen.ifPresent(services.sendingRule()::recordSent);
+    chosen.ifPresent(services.sendLimiter()::recordSent);
     return chosen;
   }
 
   private boolean admitsRequest(UpstreamRecord upstream) {
-    boolean admitted = services.sendingRule().admits(upstream);
+    boolean admitted = services.sendLimiter().admits(upstream);
     if (!admitted) {
       skipped.add(upstream.id());
     }
@@ -90,15 +90,16 @@
    * @param ahead number of requests that are sent before this one
    */
   OptionalDouble millisUntilNext(long ahead) {
-    SendLimiter sending = services.sendingRule();
+    SendLimiter sendLimiter = services.sendLimiter();
     List<UpstreamRecord> untried = untried().toList();
-    double totalRate = untried.stream().mapToDouble(sending::requestsPerSecond).sum();
+    double totalRate = untried.stream().mapToDouble(sendLimiter::requestsPerSecond).sum();
     if (Double.isInfinite(totalRate)) {
       return OptionalDouble.of(0);
     }
     return untried.stream()
         .mapToDouble(
-            each -> sending.millisUntilAdmitted(each, ahead * shareOf(each, totalRate, untried)))
+            each ->
+                sendLimiter.millisUntilAdmitted(each, ahead * shareOf(each, totalRate, untried)))
         .min();
   }
 
@@ -108,7 +109,7 @@
    */
   OptionalDouble millisUntilAny() {
     return services.upstreams().usable(service).stream()
-        .mapToDouble(each -> services.sendingRule().millisUntilAdmitted(each, 0))
+        .mapToDouble(each -> services.sendLimiter().millisUntilAdmitted(each, 0))
         .min();
   }
 
@@ -119,7 +120,7 @@
   private double shareOf(
       UpstreamRecord upstream, double totalRate, List<UpstreamRecord> candidates) {
     return totalRate > 0
-        ? services.sendingRule().requestsPerSecond(upstream) / totalRate
+        ? services.sendLimiter().requestsPerSecond(upstream) / totalRate
         : 1.0 / candidates.size();
   }
 
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/BatchCoordinatorTests.java
@@ -32,7 +32,7 @@
   private final EventLoop loop = new DefaultEventLoop();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final UpstreamLoads board =
+  private final UpstreamLoads loads =
       new UpstreamLoads(MonotonicClock.system(), EventLogs.silent());
   private final BlockingQueue<StageGroupResult> results = new LinkedBlockingQueue<>();
   private volatile long retentionMillis = 60_000;
@@ -152,12 +152,12 @@
     list(upstream("u1", 1, "zone"));
     submit(StageGroups.large("a", 1, 100));
     answer(caller.nextCall(), "10.0.0.1:1/a");
-    assertThat(loop.submit(board::ownLoads).get()).containsEntry("u1", new BoxLoad(0, 100));
+    assertThat(loop.submit(loads::ownLoads).get()).containsEntry("u1", new BoxLoad(0, 100));
 
     loop.submit(() -> coordinator.release(List.of("10.0.0.1:1/a"))).sync();
     answer(caller.nextCall(), "");
 
-    assertThat(loop.submit(board::ownLoads).get()).isEmpty();
+    assertThat(loop.submit(loads::ownLoads).get()).isEmpty();
   }
 
   @Test
@@ -168,7 +168,7 @@
     answer(caller.nextCall(), "10.0.0.1:1/a");
     results.take();
 
-    while (!loop.submit(board::ownLoads).get().isEmpty()) {
+    while (!loop.submit(loads::ownLoads).get().isEmpty()) {
       loop.submit(coordinator::backlogMillis).sync();
     }
   }
@@ -240,7 +240,7 @@
   }
 
   private BatchCoordinator newCoordinator(double allowance) {
-    return new CoordinatorFixture(loop, upstreams, caller, board)
+    return new CoordinatorFixture(loop, upstreams, caller, loads)
         .withRetries(
             allowance,
             () -> Optional.of(new BatchLimits(1, 4, 400, 1, MEMORY_BYTES, retentionMillis)));
@@ -251,7 +251,7 @@
   }
 
   private void peerHas(String upstream, BoxLoad share) throws InterruptedException {
-    loop.submit(() -> board.setPeerLoads("peer", Map.of(upstream, share))).sync();
+    loop.submit(() -> loads.setPeerLoads("peer", Map.of(upstream, share))).sync();
   }
 
   private void submit(StageGroup group) throws InterruptedException {
--- a/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/batch/LimitedBatchUpstreamTests.java
@@ -30,7 +30,7 @@
   private static final BatchLimits LIMITS = new BatchLimits(1, 4, 200, 10, 1_000, 60_000);
 
   /** Admits the configured number of requests per upstream and counts those sent. */
-  private static final class ManualSendingRule implements SendLimiter {
+  private static final class ManualSendLimiter implements SendLimiter {
 
     private final Map<String, Integer> remaining = new HashMap<>();
     private double perSecond = Double.POSITIVE_INFINITY;
@@ -63,7 +63,7 @@
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final FakeUpstreamCaller caller = new FakeUpstreamCaller();
   private final UpstreamRegistry upstreams = new UpstreamRegistry(EventLogs.silent());
-  private final ManualSendingRule rule = new ManualSendingRule();
+  private final ManualSendLimiter sendLimiter = new ManualSendLimiter();
   private final BatchCoordinator coordinator =
       BatchCoordinator.builder()
           .box("box", channel.eventLoop(), clock)
@@ -73,7 +73,7 @@
               new UpstreamLoads(clock, EventLogs.silent()),
               new RetryBudget(clock, 0, 10, Duration.ofSeconds(10), () -> 1),
               EventLogs.silent())
-          .sendingRule(rule)
+          .sendLimiter(sendLimiter)
           .build();
 
   LimitedBatchUpstreamTests() {
@@ -83,7 +83,7 @@
   @Test
   void skipsAnUpstreamThatReachedItsLimit() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
-    rule.remaining.put(FIRST.id(), 0);
+    sendLimiter.remaining.put(FIRST.id(), 0);
 
     coordinator.submit(StageGroups.group("a", 2), result -> {});
 
@@ -93,41 +93,41 @@
   @Test
   void piecesWaitUntilTheUpstreamAdmitsThem() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST));
-    rule.remaining.put(FIRST.id(), 0);
+    sendLimiter.remaining.put(FIRST.id(), 0);
     coordinator.submit(StageGroups.group("a", 2), result -> {});
     advance(300);
     assertThat(caller.hasNoCalls()).isTrue();
 
-    rule.remaining.put(FIRST.id(), 1);
+    sendLimiter.remaining.put(FIRST.id(), 1);
     advance(50);
 
     assertThat(caller.nextCall().target()).isEqualTo(FIRST);
-    assertThat(rule.remaining).containsEntry(FIRST.id(), 0);
+    assertThat(sendLimiter.remaining).containsEntry(FIRST.id(), 0);
   }
 
   @Test
   void deferredReleasesAreSentInOneCall() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST));
-    rule.remaining.put(FIRST.id(), 0);
+    sendLimiter.remaining.put(FIRST.id(), 0);
     coordinator.release(List.of("10.0.0.1:1/x"));
     advance(150);
     coordinator.release(List.of("10.0.0.1:1/y"));
     advance(150);
     assertThat(caller.hasNoCalls()).isTrue();
 
-    rule.remaining.put(FIRST.id(), 1);
+    sendLimiter.remaining.put(FIRST.id(), 1);
     advance(150);
 
     assertThat(caller.nextCall().body().split(" ")).containsExactly("10.0.0.1:1/x", "10.0.0.1:1/y");
     assertThat(caller.hasNoCalls()).isTrue();
-    assertThat(rule.remaining).containsEntry(FIRST.id(), 0);
+    assertThat(sendLimiter.remaining).containsEntry(FIRST.id(), 0);
   }
 
   // Guards against results that occupy memory longer because another upstream admits no releases.
   @Test
   void releasesToOtherUpstreamsAreNotDeferred() throws Exception {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
-    rule.remaining.put(FIRST.id(), 0);
+    sendLimiter.remaining.put(FIRST.id(), 0);
     coordinator.release(List.of("10.0.0.1:1/x"));
     advance(20);
 
@@ -141,12 +141,12 @@
   @Test
   void releasesAreDroppedIfTheResultsExpireFirst() {
     upstreams.replaceAll(1, List.of(FIRST));
-    rule.remaining.put(FIRST.id(), 0);
-    rule.waitMillis = 60_000;
+    sendLimiter.remaining.put(FIRST.id(), 0);
+    sendLimiter.waitMillis = 60_000;
     coordinator.release(List.of("10.0.0.1:1/x"));
     advance(150);
 
-    rule.remaining.put(FIRST.id(), 1);
+    sendLimiter.remaining.put(FIRST.id(), 1);
     advance(150);
 
     assertThat(caller.hasNoCalls()).isTrue();
@@ -158,9 +158,9 @@
     coordinator.submit(StageGroups.group("a", 40), result -> {});
     long withBoth = coordinator.backlogMillisOf("service", 9);
 
-    rule.blocked.add(FIRST.id());
+    sendLimiter.blocked.add(FIRST.id());
     long withOne = coordinator.backlogMillisOf("service", 9);
-    rule.blocked.add(SECOND.id());
+    sendLimiter.blocked.add(SECOND.id());
     long withNone = coordinator.backlogMillisOf("service", 9);
 
     assertThat(withOne).isGreaterThan(withBoth * 3 / 2);
@@ -170,12 +170,12 @@
   @Test
   void aRequestLimitIncreasesTheBacklog() {
     upstreams.replaceAll(1, List.of(FIRST, SECOND));
-    rule.remaining.put(FIRST.id(), 0);
-    rule.remaining.put(SECOND.id(), 0);
+    sendLimiter.remaining.put(FIRST.id(), 0);
+    sendLimiter.remaining.put(SECOND.id(), 0);
     coordinator.submit(StageGroups.group("a", 40), result -> {});
     long unlimited = coordinator.backlogMillisOf("service", 9);
 
-    rule.perSecond = 1;
+    sendLimiter.perSecond = 1;
 
     assertThat(coordinator.backlogMillisOf("service", 9)).isGreaterThan(5 * unlimited);
   }
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/LimitedUpstreamTests.java
@@ -139,10 +139,10 @@
   }
 
   private SimulatedRelay box(RouteDefinition route, UpstreamRecord... upstreams) {
-    return new SimulatedRelay(clock -> sendingRule(clock, upstreams), route, upstreams);
+    return new SimulatedRelay(clock -> sendLimiter(clock, upstreams), route, upstreams);
   }
 
-  private SendLimiter sendingRule(MonotonicClock clock, UpstreamRecord... upstreams) {
+  private SendLimiter sendLimiter(MonotonicClock clock, UpstreamRecord... upstreams) {
     limits = new UpstreamLimits(clock, EventLogs.silent(), () -> List.of(upstreams));
     return new UpstreamRateLimiter(
         clock, limits, start -> Optional.of(new BoxRank(0, 1)), service -> false);
--- a/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
+++ b/gradeledge-core/src/test/java/org/gradeledge/relay/SimulatedRelay.java
@@ -91,19 +91,19 @@
     this(clock -> SendLimiter.UNLIMITED, route, registeredUpstreams);
   }
 
-  /** Creates a relay whose sending rule uses the virtual time. */
+  /** Creates a relay whose send limiter uses the virtual time. */
   SimulatedRelay(
-      Function<MonotonicClock, SendLimiter> sendingRule,
+      Function<MonotonicClock, SendLimiter> limiterFactory,
       RouteDefinition route,
       UpstreamRecord... registeredUpstreams) {
-    SendLimiter sending = sendingRule.apply(clock);
+    SendLimiter sendLimiter = limiterFactory.apply(clock);
     channel.freezeTime();
     DeploymentRegistry deployments =
         new DeploymentRegistry(
             document -> Either.right(TestDeployments.of(1, route)), EventLogs.silent());
     deployments.offer(new byte[1], "test");
     upstreams.replaceAll(1, List.of(registeredUpstreams));
-    UpstreamLoads board = new UpstreamLoads(clock, EventLogs.silent());
+    UpstreamLoads loads = new UpstreamLoads(clock, EventLogs.silent());
     RelayServices services =
         new RelayServices(
             "zone",
@@ -111,9 +111,9 @@
             clock,
             deployments,
             upstreams,
-            board,
+            loads,
             (candidates, demand) -> candidates.stream().findFirst(),
-            sending,
+            sendLimiter,
             new RetryBudget(clock, 1, 100, Duration.ofSeconds(10), () -> 1),
             upstreamCaller,
             new LivenessChecker(upstreamCaller, upstreams::hasLeft),
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakAnnouncementChecks.java
@@ -27,7 +27,8 @@
   private SoakAnnouncementChecks() {}
 
   /** Identifies the incarnation of a box and of the engine that sent an announcement to it. */
-  private record Told(int box, int life, String engine, int start) {}
+  private record AnnouncementKey(
+      int box, int boxIncarnation, String engine, int engineIncarnation) {}
 
   /**
    * Checks that an engine receives no request that was sent later than the bound after the box had
@@ -38,7 +39,7 @@
     Map<String, SoakCall> callsById = callsById(calls);
     List<String> violations = new ArrayList<>();
     for (FleetEngine engine : engines) {
-      Map<Told, Long> announcedMillis = new HashMap<>();
+      Map<AnnouncementKey, Long> announcedMillis = new HashMap<>();
       for (EngineArrival arrival : engine.announcements().arrivals()) {
         Optional.ofNullable(callsById.get(arrival.requestId()))
             .ifPresent(call -> checkArrival(engine, arrival, call, announcedMillis, violations));
@@ -51,9 +52,9 @@
       FleetEngine engine,
       EngineArrival arrival,
       SoakCall call,
-      Map<Told, Long> announcedMillis,
+      Map<AnnouncementKey, Long> announcedMillis,
       List<String> violations) {
-    Told key = announcementKey(engine, arrival, call);
+    AnnouncementKey key = announcementKey(engine, arrival, call);
     Long announcedAt = announcedMillis.get(key);
     if (announcedAt != null && call.sentMillis() > announcedAt + LEAVING_BOUND_MILLIS) {
       violations.add(call.id() + " reached " + engine.id() + ", which had told " + key);
@@ -71,7 +72,7 @@
     Map<String, SoakCall> callsById = callsById(calls);
     List<String> violations = new ArrayList<>();
     for (FleetEngine engine : engines) {
-      Map<Told, List<EngineArrival>> arrivalsByKey =
+      Map<AnnouncementKey, List<EngineArrival>> arrivalsByKey =
           engine.announcements().arrivals().stream()
               .filter(arrival -> callsById.containsKey(arrival.requestId()))
               .collect(
@@ -110,8 +111,9 @@
         .count();
   }
 
-  private static Told announcementKey(FleetEngine engine, EngineArrival arrival, SoakCall call) {
-    return new Told(call.box(), call.life(), engine.id(), arrival.incarnation());
+  private static AnnouncementKey announcementKey(
+      FleetEngine engine, EngineArrival arrival, SoakCall call) {
+    return new AnnouncementKey(call.box(), call.incarnation(), engine.id(), arrival.incarnation());
   }
 
   private static Map<String, SoakCall> callsById(Collection<SoakCall> calls) {
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCall.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakCall.java
@@ -8,7 +8,7 @@
  * @param id id of the request
  * @param path path of the request
  * @param box number of the box that received it
- * @param life incarnation of the process of that box
+ * @param incarnation incarnation of the process of that box
  * @param sentMillis time at which it was sent
  * @param endMillis time at which it ended
  * @param status status of the response, empty if the connection ended before a complete response
@@ -18,7 +18,7 @@
     String id,
     String path,
     int box,
-    int life,
+    int incarnation,
     long sentMillis,
     long endMillis,
     Optional<Integer> status,
--- a/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
+++ b/gradeledge-standin/src/test/java/org/gradeledge/standin/fleet/SoakChecks.java
@@ -86,7 +86,7 @@
 
   private static void checkRoute(
       SoakCall call, Map<String, Long> servedMillis, List<String> violations) {
-    String processAndPath = call.box() + "/" + call.life() + call.path();
+    String processAndPath = call.box() + "/" + call.incarnation() + call.path();
     if (call.hasStatus(200)) {
       servedMillis.merge(processAndPath, call.endMillis(), Math::min);
     } else if (call.hasStatus(404)
@@ -125,7 +125,7 @@
 
     boolean overlaps(SoakCall call) {
       return call.box() == box
-          && call.life() == incarnation
+          && call.incarnation() == incarnation
           && call.sentMillis() <= untilMillis
           && call.endMillis() >= fromMillis;
     }
